--- a/internal/gateway/peernews.go
+++ b/internal/gateway/peernews.go
@@ -24,11 +24,11 @@
 	}
 	// With mu held, so that news of one origin that come over two links count in order.
 	p.takeRuns(receipt.Origin, news, now)
-	if receipt.State != overlay.FeedUnchanged {
-		p.sendRuns(from, receipt.State, now)
+	if receipt.RequestedFeed != overlay.FeedUnchanged {
+		p.sendRuns(from, receipt.RequestedFeed, now)
 	}
 	if news.MembersWanted {
-		p.links.Send(from, &wire.Envelope{News: []wire.RelayNews{{Members: p.node.Alive()}}})
+		p.links.Send(from, &wire.Envelope{News: []wire.RelayNews{{Members: p.node.Reachable()}}})
 	}
 	p.mu.Unlock()
 	// Before servers: a process that starts must not send to an evacuated data centre.
@@ -94,7 +94,7 @@
 // sendRuns tells a peer the runs that it lacks for a feed that it asked for; mu is held.
 func (p *peers) sendRuns(to string, feed overlay.Feed, now monotime.Instant) {
 	runs := p.fleet.board.Runs(now)
-	state := p.node.State(to, feed)
+	state := p.node.FeedState(to, feed)
 	for i := range state {
 		news := &state[i]
 		id, ok := p.node.Instance(news.Origin)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -117,7 +117,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.node.Holds() {
+	if p.node.HasPending() {
 		p.fleet.news.pass()
 	}
 	if changed {
@@ -149,11 +149,11 @@
 		p.log.Info("instance_lost", zap.String("peer", id))
 		p.fleet.board.InstanceGone(id, now)
 	}
-	for _, ask := range effects.Asks {
+	for _, ask := range effects.FeedRequests {
 		p.links.Send(ask.To, &wire.Envelope{News: []wire.RelayNews{{Feed: int(ask.Feed)}}})
 	}
-	if effects.MembersFrom != "" {
-		p.links.Send(effects.MembersFrom, &wire.Envelope{News: []wire.RelayNews{{MembersWanted: true}}})
+	if effects.RequestMembersFrom != "" {
+		p.links.Send(effects.RequestMembersFrom, &wire.Envelope{News: []wire.RelayNews{{MembersWanted: true}}})
 	}
 	p.setWanted(now)
 	if p.node.LinksChanged() {
@@ -164,7 +164,7 @@
 
 // setWanted tells the links which of them are wanted; mu is held.
 func (p *peers) setWanted(now monotime.Instant) {
-	wanted := p.node.Wanted(now)
+	wanted := p.node.LinkTargets(now)
 	targets := make([]peer.Target, 0, len(wanted))
 	for _, t := range wanted {
 		targets = append(targets, peer.Target{ID: t.ID, Address: t.Address})
@@ -180,7 +180,7 @@
 	}
 	p.logged = is
 	p.log.Info("news_role", zap.String("role", is.name), zap.String("hub", is.primary),
-		zap.Int("links", len(p.node.Linked())), zap.Int("instances", len(p.node.Alive())),
+		zap.Int("links", len(p.node.Linked())), zap.Int("instances", len(p.node.Reachable())),
 		zap.Duration("news_age_ms", p.node.Staleness(now)))
 }
 
@@ -191,7 +191,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refresh(now)
-	for _, id := range p.node.Surplus(now) {
+	for _, id := range p.node.SurplusLinks(now) {
 		p.links.Drop(id)
 	}
 	p.logLateness(now)
@@ -211,10 +211,10 @@
 	switch {
 	case !p.late && age >= newsLate:
 		p.late = true
-		p.log.Warn("news_late", zap.String("hub", p.node.Primary()), zap.Duration("news_age_ms", age), zap.Int("missed", p.node.Missed()))
+		p.log.Warn("news_late", zap.String("hub", p.node.Primary()), zap.Duration("news_age_ms", age), zap.Int("missed", p.node.MissedUpdates()))
 	case p.late && age <= newsFresh:
 		p.late = false
-		p.log.Info("news_fresh", zap.String("hub", p.node.Primary()), zap.Duration("news_age_ms", age), zap.Int("missed", p.node.Missed()))
+		p.log.Info("news_fresh", zap.String("hub", p.node.Primary()), zap.Duration("news_age_ms", age), zap.Int("missed", p.node.MissedUpdates()))
 	}
 }
 
@@ -234,7 +234,7 @@
 	defer p.mu.Unlock()
 	return newsState{
 		Role: p.node.Role(), Hub: p.node.Primary(), Links: len(p.node.Linked()),
-		Instances: len(p.node.Alive()), AgeMS: p.node.Staleness(monotime.Now()).Milliseconds(), Missed: p.node.Missed(),
+		Instances: len(p.node.Reachable()), AgeMS: p.node.Staleness(monotime.Now()).Milliseconds(), Missed: p.node.MissedUpdates(),
 	}
 }
 
@@ -242,14 +242,14 @@
 func (p *peers) gather() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.node.Gather()
+	return p.node.BatchDelay()
 }
 
 // due reports whether peers are to be told something although nothing happened.
 func (p *peers) due() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.node.Due(monotime.Now())
+	return p.node.StatusDue(monotime.Now())
 }
 
 // staleness is about how long after a choice of another instance it is known here.
@@ -264,7 +264,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, frame := range p.node.Flush(*own, since, urgent, monotime.Now()) {
-		p.links.Broadcast(frame.To, &wire.Envelope{News: frame.News})
+		p.links.Broadcast(frame.To, &wire.Envelope{News: frame.Updates})
 	}
 }
 
@@ -295,7 +295,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []route.Member
-	for _, m := range p.node.Alive() {
+	for _, m := range p.node.Reachable() {
 		out = append(out, route.Member{ID: m.ID, DataCentre: m.DataCentre})
 	}
 	return out
@@ -321,7 +321,7 @@
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.node.Known()
+	return p.node.MemberCount()
 }
 
 // staying returns the instances that can be reached and do not leave, by id.
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -116,7 +116,7 @@
 	do()
 	i.members.SetRevision(i.conf.Revision())
 	i.passView(now)
-	i.eff.Want(i.members.Wanted())
+	i.eff.Want(i.members.LinkTargets())
 	_, age := i.conf.Confirmed(now)
 	if age != confsync.NeverConfirmed {
 		i.node.Confirm(now, now.Add(-age))
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -26,22 +26,22 @@
 	listVersion int
 	listed      bool
 
-	lastTick  monotime.Instant
-	lastHeard monotime.Instant
-	bumped    monotime.Instant
-	probe     Target
-	probeEnd  monotime.Instant
-	nextProbe monotime.Instant
+	lastTick      monotime.Instant
+	lastReceived  monotime.Instant
+	epochRaisedAt monotime.Instant
+	probe         Target
+	probeEnd      monotime.Instant
+	nextProbe     monotime.Instant
 
-	seq         int
-	confirmSeq  int
-	confirmed   bool
-	sums        []int // digests of the buckets, nil when out of date
-	graphDirty  bool
-	viewDirty   bool
-	view        *View
-	viewVersion uint64
-	stats       Stats
+	seq           int
+	confirmSeq    int
+	confirmed     bool
+	bucketDigests []int // digests of the buckets, nil when out of date
+	graphDirty    bool
+	viewDirty     bool
+	view          *View
+	viewVersion   uint64
+	stats         Stats
 }
 
 // New returns the core of the member self. Seeds are peer addresses to start
@@ -70,9 +70,9 @@
 	return c.stats
 }
 
-// LastHeard returns when any peer was heard last, zero for never.
-func (c *Core) LastHeard() monotime.Instant {
-	return c.lastHeard
+// LastReceived returns when any peer was heard last, zero for never.
+func (c *Core) LastReceived() monotime.Instant {
+	return c.lastReceived
 }
 
 // Neighbours returns the members that this one keeps heartbeats with, sorted.
@@ -81,9 +81,9 @@
 	return slices.Clone(c.neighbours)
 }
 
-// Wanted returns the peers that links should be kept to: the neighbours, a
+// LinkTargets returns the peers that links should be kept to: the neighbours, a
 // peer that is being probed, and the seeds while nobody is linked.
-func (c *Core) Wanted() []Target {
+func (c *Core) LinkTargets() []Target {
 	c.refreshGraph()
 	out := make([]Target, 0, len(c.neighbours)+1)
 	for _, id := range c.neighbours {
@@ -114,7 +114,7 @@
 // Tick does what is due. The shell calls it each TickInterval; a gap of
 // PauseLimit or more counts as a pause of the process.
 func (c *Core) Tick(now monotime.Instant, eff Effects) {
-	c.noticePause(now, eff)
+	c.detectPause(now, eff)
 	c.lastTick = now
 	c.refreshContacts(now)
 	c.expire(now)
@@ -123,26 +123,26 @@
 	c.chooseProbe(now)
 }
 
-// noticePause makes every event look at the gap since the last tick: a process
+// detectPause makes every event look at the gap since the last tick: a process
 // that wakes may read old messages from its sockets before its timers fire.
-func (c *Core) noticePause(now monotime.Instant, eff Effects) {
-	if gap := now.Sub(c.lastTick); c.lastTick != 0 && gap >= PauseLimit {
+func (c *Core) detectPause(now monotime.Instant, eff Effects) {
+	if gap := now.Sub(c.lastTick); c.lastTick != 0 && gap >= PauseThreshold {
 		c.OnPaused(now, gap, eff)
 	}
 }
 
 // OnLinkUp tells that a link to a peer is open.
 func (c *Core) OnLinkUp(now monotime.Instant, id string, eff Effects) {
-	c.noticePause(now, eff)
+	c.detectPause(now, eff)
 	ct := c.contact(id)
 	ct.up = true
-	ct.mismatch = 0
-	c.heardFrom(now, ct)
-	compare := c.mayKnowMore(id, ct)
+	ct.mismatches = 0
+	c.markReceived(now, ct)
+	sync := c.shouldSync(id, ct)
 	if c.probe.ID == id {
 		c.probe = Target{}
 	}
-	if compare {
+	if sync {
 		c.sendSync(now, id, ct, eff)
 	}
 	if !c.confirmed {
@@ -150,12 +150,12 @@
 	}
 }
 
-// mayKnowMore reports whether tables are to be compared with a peer on a new
+// shouldSync reports whether tables are to be compared with a peer on a new
 // link. Links opened on demand, for a slot or a permit, go to members that the
 // graph already keeps current; comparing on each of them costs more than the
 // heartbeats once an instance talks to most of the fleet. A peer that was not
 // live here comes from another part of the fleet, and tables are compared.
-func (c *Core) mayKnowMore(id string, ct *contact) bool {
+func (c *Core) shouldSync(id string, ct *contact) bool {
 	if ct.neighbour || !c.confirmed || c.probe.ID == id {
 		return true
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	ct.up = false
-	ct.down = now
+	ct.downAt = now
 	if !ct.neighbour {
 		delete(c.contacts, id)
 	}
@@ -191,10 +191,10 @@
 			e.since = now
 		}
 	}
-	c.bumpSelf(now)
+	c.raiseEpoch(now)
 	for _, id := range c.contactIDs() {
 		ct := c.contacts[id]
-		ct.wanted, ct.heard, ct.down = now, now, 0
+		ct.requiredSince, ct.receivedAt, ct.downAt = now, now, 0
 		if ct.up {
 			c.sendSync(now, id, ct, eff)
 			c.ping(now, id, ct, eff)
@@ -218,14 +218,14 @@
 		return
 	}
 	c.self.State = state
-	c.bumpSelf(now)
+	c.raiseEpoch(now)
 	c.pushSelf(eff)
 }
 
-func (c *Core) bumpSelf(now monotime.Instant) {
+func (c *Core) raiseEpoch(now monotime.Instant) {
 	c.self.Epoch++
-	c.sums = nil
-	c.bumped = now
+	c.bucketDigests = nil
+	c.epochRaisedAt = now
 	c.viewDirty = true
 }
 
@@ -247,24 +247,24 @@
 	selfPlaced := false
 	for _, e := range c.entries {
 		if !selfPlaced && e.ID > c.self.ID {
-			v.place(c.self, c.self.State == Leaving)
+			v.add(c.self, c.self.State == Leaving)
 			selfPlaced = true
 		}
 		if e.State.present() {
-			v.place(e.Member, e.left || e.listedLeaving)
-		} else if e.counted() {
+			v.add(e.Member, e.left || e.listedLeaving)
+		} else if e.mayStillRun() {
 			v.Missing = append(v.Missing, e.Member)
 		}
 	}
 	if !selfPlaced {
-		v.place(c.self, c.self.State == Leaving)
+		v.add(c.self, c.self.State == Leaving)
 	}
-	v.Known = len(v.Live) + len(v.Missing) + c.unseen()
+	v.Known = len(v.Live) + len(v.Missing) + c.countLiveCandidates()
 	c.view = v
 	return v
 }
 
-func (v *View) place(m Member, leaving bool) {
+func (v *View) add(m Member, leaving bool) {
 	switch {
 	case m.State == Gone:
 	case leaving:
@@ -275,8 +275,8 @@
 	}
 }
 
-// counted reports whether a dead member may run beyond a partition.
-func (e *entry) counted() bool {
+// mayStillRun reports whether a dead member may run beyond a partition.
+func (e *entry) mayStillRun() bool {
 	return e.State == Dead && !e.left && !e.unlisted
 }
 
--- a/internal/membership/detect.go
+++ b/internal/membership/detect.go
@@ -10,8 +10,8 @@
 
 // OnPing answers a heartbeat.
 func (c *Core) OnPing(now monotime.Instant, from string, ping *wire.Ping, eff Effects) {
-	c.noticePause(now, eff)
-	c.heard(now, from)
+	c.detectPause(now, eff)
+	c.receivedFrom(now, from)
 	e := c.find(from)
 	if e != nil && !e.State.present() {
 		c.sendUpdates(from, []wire.MemberUpdate{toWire(e.Member)}, eff)
@@ -26,21 +26,21 @@
 
 // OnPong takes the answer to a heartbeat.
 func (c *Core) OnPong(now monotime.Instant, from string, pong *wire.Pong, eff Effects) {
-	c.noticePause(now, eff)
-	c.heard(now, from)
+	c.detectPause(now, eff)
+	c.receivedFrom(now, from)
 	if pong.Seq >= c.confirmSeq && pong.Seq <= c.seq {
 		c.setConfirmed(true)
 	}
 	ct := c.contacts[from]
 	if ct == nil || pong.Digest == 0 || pong.Digest == c.digest() {
 		if ct != nil {
-			ct.mismatch = 0
+			ct.mismatches = 0
 		}
 		return
 	}
 	// One difference may be news under way; a lasting one is lost news.
-	ct.mismatch++
-	if ct.mismatch >= mismatchesForSync && now.Sub(ct.synced) >= syncBackoff {
+	ct.mismatches++
+	if ct.mismatches >= mismatchesForSync && now.Sub(ct.syncedAt) >= syncBackoff {
 		c.sendSync(now, from, ct, eff)
 	}
 }
@@ -64,18 +64,18 @@
 	return ids
 }
 
-func (c *Core) heard(now monotime.Instant, from string) {
+func (c *Core) receivedFrom(now monotime.Instant, from string) {
 	if ct := c.contacts[from]; ct != nil {
-		c.heardFrom(now, ct)
+		c.markReceived(now, ct)
 	}
 }
 
-func (c *Core) heardFrom(now monotime.Instant, ct *contact) {
-	ct.heard = now
-	ct.lost = false
-	c.lastHeard = now
-	if ct.raised != 0 && now.Sub(ct.raised) >= raiseForget {
-		ct.raised, ct.backoff = 0, 0
+func (c *Core) markReceived(now monotime.Instant, ct *contact) {
+	ct.receivedAt = now
+	ct.suspected = false
+	c.lastReceived = now
+	if ct.suspectedAt != 0 && now.Sub(ct.suspectedAt) >= suspectBackoffReset {
+		ct.suspectedAt, ct.backoff = 0, 0
 	}
 }
 
@@ -92,8 +92,8 @@
 			c.postpone(now, id)
 			continue
 		}
-		if (e.State == Alive || e.State == Leaving) && c.mayRaise(now, ct) {
-			c.raise(now, e, ct, eff)
+		if (e.State == Alive || e.State == Leaving) && c.maySuspect(now, ct) {
+			c.suspect(now, e, ct, eff)
 		}
 	}
 }
@@ -101,31 +101,31 @@
 // contactLimit returns when a neighbour that stays as it is becomes suspect.
 func (ct *contact) contactLimit() monotime.Instant {
 	if ct.up {
-		return ct.heard.Add(SilenceLimit)
+		return ct.receivedAt.Add(HeartbeatTimeout)
 	}
-	if ct.down > ct.wanted {
-		return ct.down.Add(LostLinkGrace)
+	if ct.downAt > ct.requiredSince {
+		return ct.downAt.Add(LostLinkGrace)
 	}
-	return ct.wanted.Add(DialLimit)
+	return ct.requiredSince.Add(DialTimeout)
 }
 
-// mayRaise limits how often one member suspects another that refutes each
+// maySuspect limits how often one member suspects another that refutes each
 // time. With a path that is cut or flaps between just these two, the fleet
 // would otherwise pass a suspicion and a refutation on every few seconds. The
 // other neighbours still notice a real death, so a pause here hides none;
 // with no other member there is nobody else to notice, and no limit.
-func (c *Core) mayRaise(now monotime.Instant, ct *contact) bool {
-	if ct.raised == 0 || len(c.neighbours) < 2 {
-		return !ct.lost || now.Sub(ct.raised) >= raiseBackoff
+func (c *Core) maySuspect(now monotime.Instant, ct *contact) bool {
+	if ct.suspectedAt == 0 || len(c.neighbours) < 2 {
+		return !ct.suspected || now.Sub(ct.suspectedAt) >= suspectBackoff
 	}
-	return now.Sub(ct.raised) >= ct.backoff
+	return now.Sub(ct.suspectedAt) >= ct.backoff
 }
 
-func (c *Core) raise(now monotime.Instant, e *entry, ct *contact, eff Effects) {
+func (c *Core) suspect(now monotime.Instant, e *entry, ct *contact, eff Effects) {
 	c.stats.Suspected++
-	ct.lost = true
-	ct.raised = now
-	ct.backoff = backedOff(ct.backoff, raiseBackoff, raiseBackoffMax)
+	ct.suspected = true
+	ct.suspectedAt = now
+	ct.backoff = nextBackoff(ct.backoff, suspectBackoff, maxSuspectBackoff)
 	m := e.Member
 	m.State = Suspect
 	c.set(now, e, m)
@@ -137,7 +137,7 @@
 func (c *Core) postpone(now monotime.Instant, id string) {
 	for _, cand := range c.candidates {
 		if cand.id == id {
-			cand.backoff = backedOff(cand.backoff, candidateRetry, raiseBackoffMax)
+			cand.backoff = nextBackoff(cand.backoff, candidateBackoff, maxSuspectBackoff)
 			cand.retry = now.Add(cand.backoff)
 			c.graphDirty = true
 		}
@@ -149,10 +149,10 @@
 func (c *Core) heartbeat(now monotime.Instant, eff Effects) {
 	for _, id := range c.neighbours {
 		ct := c.contacts[id]
-		if !ct.up || now.Sub(ct.pinged) < PingInterval {
+		if !ct.up || now.Sub(ct.pingedAt) < PingInterval {
 			continue
 		}
-		quiet := now.Sub(ct.heard) >= PingInterval+PingInterval/2
+		quiet := now.Sub(ct.receivedAt) >= PingInterval+PingInterval/2
 		if c.self.ID < id || quiet || !c.confirmed {
 			c.ping(now, id, ct, eff)
 		}
@@ -161,7 +161,7 @@
 
 func (c *Core) ping(now monotime.Instant, id string, ct *contact, eff Effects) {
 	c.seq++
-	ct.pinged = now
+	ct.pingedAt = now
 	eff.SendPeer(id, &wire.Envelope{Ping: &wire.Ping{
 		Seq:      c.seq,
 		Revision: int(c.revision),
@@ -183,7 +183,7 @@
 	c.nextProbe = now.Add(time.Duration(float64(ProbeInterval) * jitter))
 	var options []Target
 	for _, e := range c.entries {
-		if e.counted() && e.PeerAddress != "" {
+		if e.mayStillRun() && e.PeerAddress != "" {
 			options = append(options, Target{ID: e.ID, Address: e.PeerAddress})
 		}
 	}
@@ -196,5 +196,5 @@
 		return
 	}
 	c.probe = options[c.rng.IntN(len(options))]
-	c.probeEnd = now.Add(probeLimit)
+	c.probeEnd = now.Add(probeTimeout)
 }
--- a/internal/membership/graph.go
+++ b/internal/membership/graph.go
@@ -37,12 +37,12 @@
 func (g *graph) add(n node) bool {
 	changed := false
 	for r := range Rings {
-		self, place := g.self.rings[r], n.rings[r]
-		if g.next[r].id == "" || clockwise(self, place) < clockwise(self, g.next[r].rings[r]) {
+		self, position := g.self.rings[r], n.rings[r]
+		if g.next[r].id == "" || clockwise(self, position) < clockwise(self, g.next[r].rings[r]) {
 			g.next[r] = n
 			changed = true
 		}
-		if g.prev[r].id == "" || clockwise(place, self) < clockwise(g.prev[r].rings[r], self) {
+		if g.prev[r].id == "" || clockwise(position, self) < clockwise(g.prev[r].rings[r], self) {
 			g.prev[r] = n
 			changed = true
 		}
@@ -88,8 +88,8 @@
 	return e.ID != "" && e.State.present() && e.PeerAddress != ""
 }
 
-// followGraph makes the graph follow a row that is about to become m.
-func (c *Core) followGraph(e *entry, m Member) {
+// updateGraph makes the graph follow a row that is about to become m.
+func (c *Core) updateGraph(e *entry, m Member) {
 	was := e.onRings()
 	is := m.State.present() && m.PeerAddress != ""
 	switch {
@@ -124,7 +124,7 @@
 		ct := c.contact(id)
 		if !ct.neighbour {
 			ct.neighbour = true
-			ct.wanted = now
+			ct.requiredSince = now
 		}
 	}
 }
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -62,7 +62,7 @@
 		e.listing = listings[e.ID]
 		switch e.listing {
 		case notListed:
-			e.unlisted = e.unlisted || !e.State.present() && now.Sub(e.since) >= forgetUnlisted
+			e.unlisted = e.unlisted || !e.State.present() && now.Sub(e.since) >= unlistedGrace
 		case listedAsLive:
 			e.listedLive, e.listedLeaving, e.unlisted = true, false, false
 		case listedAsLeaving:
@@ -80,9 +80,9 @@
 	return listedAsLeaving
 }
 
-// takeCandidate removes a listed instance that peers have told of and returns
+// removeCandidate removes a listed instance that peers have told of and returns
 // how it was listed.
-func (c *Core) takeCandidate(id string) listing {
+func (c *Core) removeCandidate(id string) listing {
 	i := slices.IndexFunc(c.candidates, func(cand *candidate) bool { return cand.id == id })
 	if i < 0 {
 		return notListed
@@ -92,8 +92,8 @@
 	return listing
 }
 
-// unseen counts listed live instances that no peer has told of.
-func (c *Core) unseen() int {
+// countLiveCandidates counts listed live instances that no peer has told of.
+func (c *Core) countLiveCandidates() int {
 	n := 0
 	for _, cand := range c.candidates {
 		if cand.listing == listedAsLive {
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/schema/platformapi"
 )
 
-func TestInstanceListLies(t *testing.T) {
+func TestWrongInstanceListRemovesNoMember(t *testing.T) {
 	// The platform's list is empty, names only strangers, calls everybody
 	// leaving, or goes back to an old version. Peers know better: nobody may
 	// fall out. Strangers count as instances that may run elsewhere.
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestStaleListAndReplacementOfAllButOne(t *testing.T) {
+func TestReplacedFleetConvergesWithStaleList(t *testing.T) {
 	// Every instance but one is replaced by others with new ids while the
 	// platform shows the old list to everybody. The newcomers find the fleet
 	// through the one that stayed; those that left are not counted.
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-func TestEveryoneStartsAtOnce(t *testing.T) {
+func TestSimultaneousStartConverges(t *testing.T) {
 	// All instances are replaced at the same moment and nobody knows anything
 	// but the platform's list. Each dials its ring neighbours and passes on
 	// what it learns, so that all see all without a full mesh of links.
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestEveryoneRestartsAtOnce(t *testing.T) {
+func TestSimultaneousRestartConverges(t *testing.T) {
 	// A settled fleet is killed and started again under the same ids, with
 	// clocks that make the new epochs smaller than the old ones for a third.
 	// Nobody remembers the old processes, so the new ones are all there is.
@@ -44,7 +44,7 @@
 	t.Logf("48 restarted members saw each other after %v", w.settle())
 }
 
-func TestCrashIsNoticed(t *testing.T) {
+func TestCrashIsDetected(t *testing.T) {
 	// A process is killed. Its host closes its links, the neighbours cannot
 	// replace them and suspect it, nobody refutes, and everyone drops it.
 	for _, n := range []int{8, 64} {
@@ -54,7 +54,7 @@
 		w.kill("dc1-000")
 		took := w.settle()
 		t.Logf("%d members dropped a killed process after %v", n, took)
-		if took > LostLinkGrace+SuspicionLimit+time.Second {
+		if took > LostLinkGrace+SuspicionTimeout+time.Second {
 			t.Errorf("took %v", took)
 		}
 		if got := w.view("dc2-001").Known; got != n {
@@ -63,20 +63,20 @@
 	}
 }
 
-func TestLostHostIsNoticed(t *testing.T) {
+func TestLostHostIsDetected(t *testing.T) {
 	// A host loses power. Nothing closes its links; they fall silent.
 	w := newNetwork(t, 64)
 	w.settle()
 	w.Run(5 * time.Second)
-	w.lose("dc1-000")
+	w.loseHost("dc1-000")
 	took := w.settle()
 	t.Logf("64 members dropped a silent process after %v", took)
-	if took > SilenceLimit+SuspicionLimit+2*time.Second {
+	if took > HeartbeatTimeout+SuspicionTimeout+2*time.Second {
 		t.Errorf("took %v", took)
 	}
 }
 
-func TestRestartedProcessReplacesItself(t *testing.T) {
+func TestRestartWithLowerEpochReplacesOldProcess(t *testing.T) {
 	// A process crashes and is started again at once under its id, on a host
 	// whose clock is behind. Peers hold news of the old process with a higher
 	// epoch; the new one hears of it, outbids it and is the one that counts.
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestPauseAndPartition(t *testing.T) {
+func TestResumedProcessIgnoresOldPongs(t *testing.T) {
 	// A process is stopped for a minute. Meanwhile the others drop it and a
 	// part of the fleet is cut off. When it wakes its sockets are full of old
 	// answers, which must not confirm its view; only a peer that answers a new
@@ -164,7 +164,7 @@
 	t.Logf("both parts were one after %v", w.settle())
 }
 
-func TestAsymmetricCut(t *testing.T) {
+func TestAsymmetricCutDropsNoMember(t *testing.T) {
 	// What one member sends reaches another, but nothing comes back. Their
 	// link falls silent and one suspects the other; the rest of the fleet
 	// reaches both, so both refute and stay. The suspicions must get rare.
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestFlappingPath(t *testing.T) {
+func TestFlappingPathDropsNoMember(t *testing.T) {
 	// The path between two members fails for 5 s out of every 10. Each time a
 	// link is lost and a suspicion may be raised; nobody may be dropped and
 	// the suspicions must get rare.
@@ -210,7 +210,7 @@
 	w.Run(5 * time.Second)
 	for _, id := range w.ids {
 		if id < "dc2" {
-			w.lose(id)
+			w.loseHost(id)
 		}
 	}
 	took := w.settle()
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestRegionsApartAndBack(t *testing.T) {
+func TestPartitionedRegionsMerge(t *testing.T) {
 	// Two regions lose each other for an hour. Each part must work with its
 	// own members and know of the others; when the path is back nobody may
 	// fall out of anybody's own part on the way to one fleet.
@@ -264,7 +264,7 @@
 	return slices.DeleteFunc(slices.Clone(ids), func(x string) bool { return slices.Contains(drop, x) })
 }
 
-func TestLostNewsHeals(t *testing.T) {
+func TestLostUpdatesAreRepairedBySync(t *testing.T) {
 	// One frame in five is lost while members crash and come back. Pushed news
 	// goes missing here and there; comparing tables must find what differs.
 	w := newNetwork(t, 32)
@@ -279,14 +279,14 @@
 		w.Run(3 * time.Second)
 	}
 	w.kill(w.ids[1])
-	w.Run(LostLinkGrace + SuspicionLimit/2)
+	w.Run(LostLinkGrace + SuspicionTimeout/2)
 	w.start(w.ids[1])
 	w.Run(100 * time.Millisecond)
 	w.drop = func() bool { return false }
 	t.Logf("tables agreed %v after the last loss", w.settle())
 }
 
-func TestTwoProcessesWithOneID(t *testing.T) {
+func TestTwoProcessesWithOneIDRefuteSlowly(t *testing.T) {
 	// Operators start two processes with the same id. Both claim it and outbid
 	// each other. The claims must not come faster than one in some seconds.
 	core := New(Member{ID: "a", Incarnation: "1", PeerAddress: "a", Epoch: 10}, nil, 1)
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	testDelay     = 2 * time.Millisecond
-	testSilence   = 3500 * time.Millisecond // what the link layer tolerates
+	linkDelay     = 2 * time.Millisecond
+	linkTimeout   = 3500 * time.Millisecond // what the link layer tolerates
 	frameOverhead = 4
 )
 
@@ -26,18 +26,18 @@
 func keyOf(a, b string) linkKey { return linkKey{min(a, b), max(a, b)} }
 
 type link struct {
-	heardA, heardB monotime.Instant
+	receivedA, receivedB monotime.Instant
 }
 
 type process struct {
-	core    *Core
-	paused  bool
-	dead    bool
-	inbox   []func()
-	peers   map[string]bool // linked
-	bytes   int
-	frames  int
-	restart int
+	core     *Core
+	paused   bool
+	dead     bool
+	inbox    []func()
+	peers    map[string]bool // linked
+	bytes    int
+	frames   int
+	restarts int
 }
 
 // network runs cores in virtual time. Links open when one side wants them,
@@ -74,7 +74,7 @@
 func (w *network) start(id string) *process {
 	restart := 0
 	if old := w.procs[id]; old != nil {
-		restart = old.restart + 1
+		restart = old.restarts + 1
 	} else {
 		w.ids = append(w.ids, id)
 		slices.Sort(w.ids)
@@ -82,12 +82,12 @@
 	return w.startWith(id, restart, 1_764_000_000+uint64(restart))
 }
 
-func (w *network) startWith(id string, restart int, epoch uint64) *process {
+func (w *network) startWith(id string, restarts int, epoch uint64) *process {
 	self := Member{
-		ID: id, Incarnation: fmt.Sprintf("%04x", hash64(id)%65536+uint64(restart)), DataCentre: id[:3],
+		ID: id, Incarnation: fmt.Sprintf("%04x", hash64(id)%65536+uint64(restarts)), DataCentre: id[:3],
 		CallerAddress: "10.1.100.100:8080", PeerAddress: id, Epoch: epoch,
 	}
-	p := &process{core: New(self, nil, 7), restart: restart, peers: make(map[string]bool)}
+	p := &process{core: New(self, nil, 7), restarts: restarts, peers: make(map[string]bool)}
 	w.procs[id] = p
 	p.core.OnInstanceList(w.Now(), w.list(1, w.listed))
 	w.tick(id, p, time.Duration(hash64(id)%uint64(TickInterval)))
@@ -137,7 +137,7 @@
 		return
 	}
 	p := w.procs[to]
-	w.After(testDelay, func() {
+	w.After(linkDelay, func() {
 		if w.links[keyOf(from, to)] == l {
 			w.deliver(to, p, func() { w.receive(from, to, l, env) })
 		}
@@ -158,9 +158,9 @@
 
 func (w *network) receive(from, to string, l *link, env *wire.Envelope) {
 	if to < from {
-		l.heardA = w.Now()
+		l.receivedA = w.Now()
 	} else {
-		l.heardB = w.Now()
+		l.receivedB = w.Now()
 	}
 	c, eff := w.procs[to].core, &sender{w, to}
 	if env.Members != nil {
@@ -179,22 +179,22 @@
 
 // connect does the work of the link layer for one process after its tick.
 func (w *network) connect(id string, p *process) {
-	wanted := map[string]bool{}
-	for _, target := range p.core.Wanted() {
-		wanted[target.ID] = true
+	required := map[string]bool{}
+	for _, target := range p.core.LinkTargets() {
+		required[target.ID] = true
 		w.dial(id, target.ID)
 	}
 	for _, other := range p.linked() {
 		l := w.links[keyOf(id, other)]
-		heard := l.heardB
+		receivedAt := l.receivedB
 		if id < other {
-			heard = l.heardA
+			receivedAt = l.receivedA
 		}
-		unwanted := !wanted[other] && !slices.ContainsFunc(w.procs[other].core.Wanted(), func(t Target) bool { return t.ID == id })
-		if !unwanted && !w.cut(other, id) && !w.procs[other].paused && !w.procs[other].dead {
+		unused := !required[other] && !slices.ContainsFunc(w.procs[other].core.LinkTargets(), func(t Target) bool { return t.ID == id })
+		if !unused && !w.cut(other, id) && !w.procs[other].paused && !w.procs[other].dead {
 			continue // the link layer's own sign of life
 		}
-		if unwanted || w.Now().Sub(heard) >= testSilence {
+		if unused || w.Now().Sub(receivedAt) >= linkTimeout {
 			w.closeLink(id, other)
 		}
 	}
@@ -205,10 +205,10 @@
 	if other == nil || other.dead || other.paused || w.cut(from, to) || w.cut(to, from) || w.links[keyOf(from, to)] != nil {
 		return
 	}
-	w.links[keyOf(from, to)] = &link{heardA: w.Now(), heardB: w.Now()}
+	w.links[keyOf(from, to)] = &link{receivedA: w.Now(), receivedB: w.Now()}
 	p := w.procs[from]
 	p.peers[to], other.peers[from] = true, true
-	w.After(testDelay, func() {
+	w.After(linkDelay, func() {
 		w.deliver(from, p, func() { p.core.OnLinkUp(w.Now(), to, &sender{w, from}) })
 		w.deliver(to, other, func() { other.core.OnLinkUp(w.Now(), from, &sender{w, to}) })
 	})
@@ -252,14 +252,14 @@
 
 // kill ends a process; its host closes the links.
 func (w *network) kill(id string) {
-	w.lose(id)
+	w.loseHost(id)
 	for _, other := range w.procs[id].linked() {
 		w.closeLink(id, other)
 	}
 }
 
-// lose ends a process together with its host: nothing closes the links.
-func (w *network) lose(id string) { w.procs[id].dead = true }
+// loseHost ends a process together with its host: nothing closes the links.
+func (w *network) loseHost(id string) { w.procs[id].dead = true }
 
 func (w *network) resume(id string) {
 	p := w.procs[id]
--- a/internal/membership/demand_test.go
+++ b/internal/membership/newlink_test.go
@@ -16,7 +16,7 @@
 // permits. Comparing tables on each cost it more than all heartbeats. A link to
 // a member whose link had been given up still compares: the member may come
 // from another part of the fleet, with news that no neighbour has.
-func TestTablesAreComparedOnlyWhereThereMayBeNews(t *testing.T) {
+func TestNewLinkComparesTablesOnlyWhenTheyMayDiffer(t *testing.T) {
 	w := newNetwork(t, 32)
 	w.settle()
 	id := w.ids[0]
--- a/internal/membership/traffic_test.go
+++ b/internal/membership/traffic_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// headerBytes stands for TCP and IP headers of one frame.
-const headerBytes = 52
+// tcpIPHeaderBytes stands for TCP and IP headers of one frame.
+const tcpIPHeaderBytes = 52
 
-func TestTrafficAndNotice(t *testing.T) {
+func TestTrafficPerMemberDoesNotGrowWithFleet(t *testing.T) {
 	// In one fleet of each size: all start at once; nothing happens; one
 	// member is replaced in order; one is killed. The cost of a member must
 	// not grow with the fleet once it is larger than a neighbourhood.
-	quiet := map[int]float64{}
+	idle := map[int]float64{}
 	for _, n := range []int{8, 16, 32, 64, 128, 360} {
 		if n > largestFleet {
 			break
@@ -20,25 +20,25 @@
 		w := newNetwork(t, n)
 		started := w.settle()
 		w.Run(10 * time.Second)
-		quiet[n] = w.logQuiet()
+		idle[n] = w.logIdle()
 		w.logReplacement()
 		w.kill(w.ids[n/2])
 		t.Logf("%3d members: all saw all %v after a common start, and dropped a killed one after %v",
 			n, started, w.settle())
 	}
-	if quiet[largestFleet] > 1.2*quiet[32] {
-		t.Errorf("a member of %d sends %.0f B/s, one of 32 sends %.0f B/s", largestFleet, quiet[largestFleet], quiet[32])
+	if idle[largestFleet] > 1.2*idle[32] {
+		t.Errorf("a member of %d sends %.0f B/s, one of 32 sends %.0f B/s", largestFleet, idle[largestFleet], idle[32])
 	}
 }
 
-// logQuiet returns the bytes per second that a member sends.
-func (w *network) logQuiet() float64 {
+// logIdle returns the bytes per second that a member sends.
+func (w *network) logIdle() float64 {
 	const measured = 10 * time.Second
-	bytes, frames := w.during(measured)
+	bytes, frames := w.trafficDuring(measured)
 	share := float64(len(w.ids)) * measured.Seconds()
 	perMember, rate := float64(bytes)/share, float64(frames)/share
 	w.t.Logf("%3d members: quiet: %.0f B/s and %.1f frames/s sent per member, %.0f B/s with TCP/IP headers",
-		len(w.ids), perMember, rate, perMember+rate*headerBytes)
+		len(w.ids), perMember, rate, perMember+rate*tcpIPHeaderBytes)
 	return perMember
 }
 
@@ -46,13 +46,13 @@
 // the quiet state.
 func (w *network) logReplacement() {
 	const measured = 15 * time.Second
-	quietBytes, quietFrames := w.during(measured)
+	quietBytes, quietFrames := w.trafficDuring(measured)
 	id, n := w.ids[0], float64(len(w.ids))
 	w.After(0, func() { w.procs[id].core.Leave(w.Now(), &sender{w, id}) })
 	w.After(5*time.Second, func() { w.procs[id].core.Goodbye(w.Now(), &sender{w, id}) })
 	w.After(5*time.Second+10*time.Millisecond, func() { w.kill(id) })
 	w.After(8*time.Second, func() { w.start(id) })
-	bytes, frames := w.during(measured)
+	bytes, frames := w.trafficDuring(measured)
 	w.t.Logf("%3.0f members: a replacement: %.0f B and %.1f frames sent per member",
 		n, float64(bytes-quietBytes)/n, float64(frames-quietFrames)/n)
 }
@@ -65,12 +65,12 @@
 		w := newNetwork(t, n)
 		w.settle()
 		w.Run(10 * time.Second)
-		quiet, _ := w.during(measured)
+		quiet, _ := w.trafficDuring(measured)
 		half := w.ids[n/2]
 		w.cut = func(a, b string) bool { return (a < half) != (b < half) }
-		apart, _ := w.during(measured)
+		apart, _ := w.trafficDuring(measured)
 		w.cut = func(string, string) bool { return false }
-		back, _ := w.during(measured)
+		back, _ := w.trafficDuring(measured)
 		if !w.sees(w.ids, w.ids) {
 			t.Error("the fleet is not whole again")
 		}
@@ -78,8 +78,8 @@
 	}
 }
 
-// during returns what all members send within d.
-func (w *network) during(d time.Duration) (bytes, frames int) {
+// trafficDuring returns what all members send within d.
+func (w *network) trafficDuring(d time.Duration) (bytes, frames int) {
 	bytes, frames = w.traffic()
 	w.Run(d)
 	endBytes, endFrames := w.traffic()
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -23,32 +23,32 @@
 	TickInterval = 250 * time.Millisecond
 	// PingInterval is the time between heartbeats on a link.
 	PingInterval = time.Second
-	// SilenceLimit is how long a neighbour may be silent before it is suspected.
-	SilenceLimit = 3 * time.Second
+	// HeartbeatTimeout is how long a neighbour may be silent before it is suspected.
+	HeartbeatTimeout = 3 * time.Second
 	// LostLinkGrace is how long a neighbour may be without a link once it had
 	// one; links are replaced within milliseconds when the process lives.
 	LostLinkGrace = time.Second
-	// DialLimit is how long a first link to a neighbour may take.
-	DialLimit = 3 * time.Second
-	// SuspicionLimit is how long a suspected member has to refute. News crosses
+	// DialTimeout is how long a first link to a neighbour may take.
+	DialTimeout = 3 * time.Second
+	// SuspicionTimeout is how long a suspected member has to refute. News crosses
 	// 360 members in well under a second.
-	SuspicionLimit = 2 * time.Second
-	// PauseLimit is the gap between ticks that counts as a pause.
-	PauseLimit = 2 * time.Second
+	SuspicionTimeout = 2 * time.Second
+	// PauseThreshold is the gap between ticks that counts as a pause.
+	PauseThreshold = 2 * time.Second
 	// ProbeInterval is the time between tries to reach a member that is listed
 	// or was alive but is not reachable, so that parts of the fleet find each
 	// other again.
 	ProbeInterval = 5 * time.Second
 
-	probeLimit      = 4 * time.Second
-	candidateRetry  = 15 * time.Second
-	raiseBackoff    = 10 * time.Second
-	raiseBackoffMax = 60 * time.Second
-	raiseForget     = 5 * time.Minute
-	conflictBackoff = 5 * time.Second
-	syncBackoff     = 2 * time.Second
-	tombstoneTTL    = 2 * time.Hour
-	forgetUnlisted  = time.Minute
+	probeTimeout        = 4 * time.Second
+	candidateBackoff    = 15 * time.Second
+	suspectBackoff      = 10 * time.Second
+	maxSuspectBackoff   = 60 * time.Second
+	suspectBackoffReset = 5 * time.Minute
+	conflictBackoff     = 5 * time.Second
+	syncBackoff         = 2 * time.Second
+	tombstoneTTL        = 2 * time.Hour
+	unlistedGrace       = time.Minute
 )
 
 // Sizes of the protocol.
@@ -241,18 +241,18 @@
 
 // contact is the direct experience with one peer.
 type contact struct {
-	up        bool
-	neighbour bool
-	wanted    monotime.Instant
-	heard     monotime.Instant
-	down      monotime.Instant
-	pinged    monotime.Instant
-	synced    monotime.Instant
-	mismatch  int
-	// lost is set once a suspicion was raised, until the peer is heard again.
-	lost    bool
-	raised  monotime.Instant
-	backoff time.Duration
+	up            bool
+	neighbour     bool
+	requiredSince monotime.Instant
+	receivedAt    monotime.Instant
+	downAt        monotime.Instant
+	pingedAt      monotime.Instant
+	syncedAt      monotime.Instant
+	mismatches    int
+	// suspected is set once a suspicion was raised, until the peer is heard again.
+	suspected   bool
+	suspectedAt monotime.Instant
+	backoff     time.Duration
 }
 
 // candidate is a listed instance of which no peer has told.
--- a/internal/membership/news.go
+++ b/internal/membership/updates.go
@@ -11,9 +11,9 @@
 
 // OnMembers takes news from a peer and passes on what was new, once.
 func (c *Core) OnMembers(now monotime.Instant, from string, updates []wire.MemberUpdate, eff Effects) {
-	c.noticePause(now, eff)
-	c.heard(now, from)
-	var fresh, back []wire.MemberUpdate
+	c.detectPause(now, eff)
+	c.receivedFrom(now, from)
+	var accepted, corrections []wire.MemberUpdate
 	refute := false
 	for _, u := range updates {
 		m, ok := fromWire(u)
@@ -21,12 +21,12 @@
 			continue
 		}
 		if m.ID == c.self.ID {
-			refute = c.onSelfNews(now, m) || refute
+			refute = c.onSelfUpdate(now, m) || refute
 			continue
 		}
 		if e := c.merge(now, m); e != nil {
 			c.stats.Accepted++
-			fresh = append(fresh, toWire(e.Member))
+			accepted = append(accepted, toWire(e.Member))
 			continue
 		}
 		c.stats.Repeated++
@@ -34,11 +34,11 @@
 			// The subject itself tells something old, for instance that it
 			// lives although it is held for dead: it must learn what it has
 			// to refute.
-			back = append(back, toWire(e.Member))
+			corrections = append(corrections, toWire(e.Member))
 		}
 	}
-	c.push(fresh, from, eff)
-	c.sendUpdates(from, back, eff)
+	c.push(accepted, from, eff)
+	c.sendUpdates(from, corrections, eff)
 	if refute {
 		c.pushSelf(eff)
 	}
@@ -49,9 +49,9 @@
 	return a.State != b.State || a.Epoch != b.Epoch || a.Incarnation != b.Incarnation
 }
 
-// onSelfNews judges news of this member's own ID and reports whether its
+// onSelfUpdate judges news of this member's own ID and reports whether its
 // answer must be pushed.
-func (c *Core) onSelfNews(now monotime.Instant, m Member) bool {
+func (c *Core) onSelfUpdate(now monotime.Instant, m Member) bool {
 	same := m.Incarnation == c.self.Incarnation
 	if m.Epoch < c.self.Epoch || c.self.State == Gone {
 		return false
@@ -64,13 +64,13 @@
 		// Two running processes with one ID would outbid each other at the
 		// speed of the network; a slow pace keeps the fleet usable until
 		// the operators end one of them.
-		if c.bumped != 0 && now.Sub(c.bumped) < conflictBackoff {
+		if c.epochRaisedAt != 0 && now.Sub(c.epochRaisedAt) < conflictBackoff {
 			return false
 		}
 	}
 	c.stats.Refuted++
 	c.self.Epoch = m.Epoch
-	c.bumpSelf(now)
+	c.raiseEpoch(now)
 	return true
 }
 
@@ -123,7 +123,7 @@
 		c.stats.Overflows++
 		return nil
 	}
-	e := &entry{rings: ringHashes(m.ID), bucket: bucketOf(m.ID), listing: c.takeCandidate(m.ID)}
+	e := &entry{rings: ringHashes(m.ID), bucket: bucketOf(m.ID), listing: c.removeCandidate(m.ID)}
 	e.listedLive = e.listing == listedAsLive
 	i, _ := c.search(m.ID)
 	c.entries = slices.Insert(c.entries, i, e)
@@ -151,7 +151,7 @@
 
 // set changes a row.
 func (c *Core) set(now monotime.Instant, e *entry, m Member) {
-	c.followGraph(e, m)
+	c.updateGraph(e, m)
 	if m.State == Alive {
 		e.left = false
 	}
@@ -159,7 +159,7 @@
 	e.left = e.left || m.State == Leaving || m.State == Gone
 	e.since = now
 	e.digest = digestOf(m)
-	c.sums = nil
+	c.bucketDigests = nil
 	c.viewDirty = true
 }
 
@@ -189,8 +189,8 @@
 // sendSync tells a peer of this member and compares tables with it.
 func (c *Core) sendSync(now monotime.Instant, to string, ct *contact, eff Effects) {
 	c.stats.Syncs++
-	ct.synced = now
-	ct.mismatch = 0
+	ct.syncedAt = now
+	ct.mismatches = 0
 	eff.SendPeer(to, &wire.Envelope{
 		Members:    []wire.MemberUpdate{toWire(c.self)},
 		MemberSync: &wire.MemberSync{Buckets: c.buckets()},
@@ -200,24 +200,24 @@
 // OnSync answers a comparison of tables with the rows of each bucket that
 // differs. The asker then answers the answer, so that both sides learn.
 func (c *Core) OnSync(now monotime.Instant, from string, sync *wire.MemberSync, eff Effects) {
-	c.noticePause(now, eff)
-	c.heard(now, from)
+	c.detectPause(now, eff)
+	c.receivedFrom(now, from)
 	if len(sync.Buckets) != SyncBuckets {
 		return
 	}
-	mine := c.buckets()
+	own := c.buckets()
 	var updates []wire.MemberUpdate
 	for _, e := range c.entries {
-		if mine[e.bucket] != sync.Buckets[e.bucket] && e.ID != from {
+		if own[e.bucket] != sync.Buckets[e.bucket] && e.ID != from {
 			updates = append(updates, toWire(e.Member))
 		}
 	}
-	if mine[bucketOf(c.self.ID)] != sync.Buckets[bucketOf(c.self.ID)] {
+	if own[bucketOf(c.self.ID)] != sync.Buckets[bucketOf(c.self.ID)] {
 		updates = append(updates, toWire(c.self))
 	}
 	c.sendUpdates(from, updates, eff)
 	if !sync.Reply {
-		eff.SendPeer(from, &wire.Envelope{MemberSync: &wire.MemberSync{Buckets: mine, Reply: true}})
+		eff.SendPeer(from, &wire.Envelope{MemberSync: &wire.MemberSync{Buckets: own, Reply: true}})
 	}
 }
 
@@ -225,17 +225,17 @@
 // left out: members forget them at different times. Dead against alive still
 // differs.
 func (c *Core) buckets() []int {
-	if c.sums != nil {
-		return c.sums
+	if c.bucketDigests != nil {
+		return c.bucketDigests
 	}
-	c.sums = make([]int, SyncBuckets)
+	c.bucketDigests = make([]int, SyncBuckets)
 	for _, e := range c.entries {
 		if e.State.present() {
-			c.sums[e.bucket] ^= int(e.digest)
+			c.bucketDigests[e.bucket] ^= int(e.digest)
 		}
 	}
-	c.sums[bucketOf(c.self.ID)] ^= int(digestOf(c.self))
-	return c.sums
+	c.bucketDigests[bucketOf(c.self.ID)] ^= int(digestOf(c.self))
+	return c.bucketDigests
 }
 
 // digest returns one number for the whole table, never zero.
@@ -266,7 +266,7 @@
 // expire ends suspicions that were not refuted and forgets old tombstones.
 func (c *Core) expire(now monotime.Instant) {
 	for _, e := range c.entries {
-		if e.State == Suspect && now.Sub(e.since) >= SuspicionLimit {
+		if e.State == Suspect && now.Sub(e.since) >= SuspicionTimeout {
 			m := e.Member
 			m.State = Dead
 			if e.left {
@@ -285,7 +285,7 @@
 	}
 }
 
-func backedOff(d time.Duration, first, limit time.Duration) time.Duration {
+func nextBackoff(d time.Duration, first, limit time.Duration) time.Duration {
 	return min(max(first, 2*d), limit)
 }
 
--- a/internal/overlay/delay.go
+++ b/internal/overlay/delay.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// gatherMesh and gatherMeshPeer: where all are linked, every message goes to all,
+	// meshBatchDelay and gatherMeshPeer: where all are linked, every message goes to all,
 	// and each receives from all. So the messages of an instance stay below some 400 a
 	// second.
-	gatherMesh     = 10 * time.Millisecond
-	gatherMeshPeer = 3 * time.Millisecond
-	// gatherOwn is the time for which an instance that is no hub gathers: its messages
+	meshBatchDelay        = 10 * time.Millisecond
+	meshBatchDelayPerLink = 3 * time.Millisecond
+	// subscriberBatchDelay is the time for which an instance that is no hub gathers: its messages
 	// are few anyhow, and a run often ends when the next begins.
-	gatherOwn = 5 * time.Millisecond
-	// gatherHub and gatherHubLink: a hub sends each message over all its links, so the
+	subscriberBatchDelay = 5 * time.Millisecond
+	// hubBatchDelay and gatherHubLink: a hub sends each message over all its links, so the
 	// more it has the longer it gathers, for some 2,500 messages a second at most.
-	gatherHub     = 10 * time.Millisecond
-	gatherHubLink = 400 * time.Microsecond
+	hubBatchDelay        = 10 * time.Millisecond
+	hubBatchDelayPerLink = 400 * time.Microsecond
 
-	// clockWindow is the time in which a link's least delay is looked for. Clocks of
+	// offsetWindow is the time in which a link's least delay is looked for. Clocks of
 	// two machines drift apart by less than a millisecond in it.
-	clockWindow = 5 * time.Second
-	// stalenessTime is over how long the age of news is averaged.
-	stalenessTime = time.Second
-	// travel is the usual time of a message between two machines with its handling.
-	travel = time.Millisecond
+	offsetWindow = 5 * time.Second
+	// stalenessTimeConstant is over how long the age of news is averaged.
+	stalenessTimeConstant = time.Second
+	// hopDelay is the usual time of a message between two machines with its handling.
+	hopDelay = time.Millisecond
 )
 
-// Gather is how long news are gathered before they are sent.
-func (n *Node) Gather() time.Duration {
+// BatchDelay is how long news are gathered before they are sent.
+func (n *Node) BatchDelay() time.Duration {
 	links := time.Duration(len(n.Linked()))
 	switch {
 	case n.mesh:
-		return max(gatherMesh, links*gatherMeshPeer-gatherMesh)
-	case n.hub || n.feeds(FeedAll):
-		return max(gatherHub, links*gatherHubLink)
+		return max(meshBatchDelay, links*meshBatchDelayPerLink-meshBatchDelay)
+	case n.hub || n.hasPeerWithFeed(FeedAll):
+		return max(hubBatchDelay, links*hubBatchDelayPerLink)
 	default:
-		return gatherOwn
+		return subscriberBatchDelay
 	}
 }
 
@@ -48,13 +48,13 @@
 func (n *Node) Staleness(now monotime.Instant) time.Duration {
 	out := n.staleness.mean
 	if out == 0 {
-		out = n.Gather()
+		out = n.BatchDelay()
 		if !n.mesh {
-			out = gatherOwn + 2*gatherHub
+			out = subscriberBatchDelay + 2*hubBatchDelay
 		}
 	}
 	if m := n.members[n.primary]; m != nil {
-		out = max(out, now.Sub(m.heardAt)-keepAlive)
+		out = max(out, now.Sub(m.receivedAt)-keepAlive)
 	}
 	return out
 }
@@ -65,14 +65,14 @@
 	at   monotime.Instant
 }
 
-func (s *staleness) note(age time.Duration, now monotime.Instant) {
-	age += travel
+func (s *staleness) observe(age time.Duration, now monotime.Instant) {
+	age += hopDelay
 	if s.at == 0 {
 		s.mean, s.at = age, now
 		return
 	}
 	// A message counts by the time since the one before it, but not for nothing.
-	share := 1 - math.Exp(-max(now.Sub(s.at), time.Millisecond).Seconds()/stalenessTime.Seconds())
+	share := 1 - math.Exp(-max(now.Sub(s.at), time.Millisecond).Seconds()/stalenessTimeConstant.Seconds())
 	s.mean += time.Duration(share * float64(age-s.mean))
 	s.at = now
 }
@@ -82,19 +82,19 @@
 // nothing delays the message; what is more is delay. A slow link, a machine without
 // processor time and a queue all show in it.
 type linkClock struct {
-	least, before int64 // least differences in ms, in this window and the one before
-	since         monotime.Instant
-	late          time.Duration // of the last message
+	minOffset, prevMinOffset int64 // least differences in ms, in this window and the one before
+	windowStart              monotime.Instant
+	excessDelay              time.Duration // of the last message
 }
 
-func (c *linkClock) note(sentMS int64, now monotime.Instant) {
-	difference := int64(now)/int64(time.Millisecond) - sentMS
+func (c *linkClock) observe(sentMS int64, now monotime.Instant) {
+	offset := int64(now)/int64(time.Millisecond) - sentMS
 	switch {
-	case c.since == 0:
-		c.least, c.before, c.since = difference, difference, now
-	case now.Sub(c.since) >= clockWindow:
-		c.least, c.before, c.since = difference, c.least, now
+	case c.windowStart == 0:
+		c.minOffset, c.prevMinOffset, c.windowStart = offset, offset, now
+	case now.Sub(c.windowStart) >= offsetWindow:
+		c.minOffset, c.prevMinOffset, c.windowStart = offset, c.minOffset, now
 	}
-	c.least = min(c.least, difference)
-	c.late = time.Duration(difference-min(c.least, c.before)) * time.Millisecond
+	c.minOffset = min(c.minOffset, offset)
+	c.excessDelay = time.Duration(offset-min(c.minOffset, c.prevMinOffset)) * time.Millisecond
 }
--- a/internal/overlay/feed.go
+++ b/internal/overlay/feed.go
@@ -24,29 +24,29 @@
 
 // Frame is what is to be sent to some peers.
 type Frame struct {
-	To   []string
-	News []wire.RelayNews
+	To      []string
+	Updates []wire.RelayNews
 }
 
-// held is news to be passed on, and since when it is held here.
-type held struct {
-	news wire.RelayNews
-	at   monotime.Instant
+// pendingUpdate is news to be passed on, and since when it is pendingUpdate here.
+type pendingUpdate struct {
+	update     wire.RelayNews
+	receivedAt monotime.Instant
 }
 
 // outbox is what this instance is going to tell.
 type outbox struct {
-	number int // of its own news
+	lastNumber int // of its own news
 	// group is news of subscribers, others what came from elsewhere.
-	group, others []held
-	// announce are peers whose links are new.
-	announce []wire.RelayMember
-	// links is what the others were last told of the links, and when.
-	links   []string
-	linksAt monotime.Instant
-	// statusAt and fedAt are when all peers, and those that want news, were last told
+	group, others []pendingUpdate
+	// newPeers are peers whose links are new.
+	newPeers []wire.RelayMember
+	// sentLinks is what the others were last told of the sentLinks, and when.
+	sentLinks   []string
+	linksSentAt monotime.Instant
+	// statusSentAt and feedsSentAt are when all peers, and those that want news, were last told
 	// what is in force.
-	statusAt, fedAt monotime.Instant
+	statusSentAt, feedsSentAt monotime.Instant
 }
 
 // Receipt tells what to do with news that were taken.
@@ -59,9 +59,9 @@
 	Age time.Duration
 	// Changed asks for a Refresh.
 	Changed bool
-	// State is the feed whose state the peer is to be sent, since it has just asked for
+	// RequestedFeed is the feed whose state the peer is to be sent, since it has just asked for
 	// it; or FeedUnchanged.
-	State Feed
+	RequestedFeed Feed
 }
 
 // Receive takes news from a link. It reports false for those that are to be ignored,
@@ -71,40 +71,40 @@
 	if m == nil || !m.linked {
 		return Receipt{}, false
 	}
-	m.heardAt = now
+	m.receivedAt = now
 	if news.SentMS > 0 {
-		m.clock.note(int64(news.SentMS), now)
+		m.clock.observe(int64(news.SentMS), now)
 	}
-	out := Receipt{Origin: from, Direct: true, Age: m.clock.late + milliseconds(news.HeldMS)}
+	out := Receipt{Origin: from, Direct: true, Age: m.clock.excessDelay + milliseconds(news.HeldMS)}
 	if news.Origin == "" {
-		out.Changed = n.learn(news.Members, now)
-		out.Changed = n.takeLeaving(m, news) || out.Changed
-		out.Changed = n.takeNeighbours(m, news) || out.Changed
-		out.State = n.takeAsk(m, Feed(news.Feed), &out.Changed)
+		out.Changed = n.mergeMembers(news.Members, now)
+		out.Changed = n.mergeLeaving(m, news) || out.Changed
+		out.Changed = n.mergeNeighbours(m, news) || out.Changed
+		out.RequestedFeed = n.setOutFeed(m, Feed(news.Feed), &out.Changed)
 		return out, true
 	}
 	origin := n.incarnations[news.Origin]
 	if origin == nil {
 		// What came is lost; the members that the peer tells then make the next count.
 		out.Changed = news.Origin != n.self.Incarnation
-		n.unknown = n.unknown || out.Changed
+		n.unknownOrigin = n.unknownOrigin || out.Changed
 		return out, false
 	}
 	if !n.advance(origin, news) {
 		return out, false
 	}
 	out.Origin, out.Direct = origin.ID, origin == m
-	out.Changed = n.learn(news.Members, now)
-	out.Changed = n.takeLeaving(origin, news) || out.Changed
+	out.Changed = n.mergeMembers(news.Members, now)
+	out.Changed = n.mergeLeaving(origin, news) || out.Changed
 	if !origin.linked {
 		// One with a link tells its neighbours over that, and what others passed on may
 		// be older.
-		out.Changed = n.takeNeighbours(origin, news) || out.Changed
+		out.Changed = n.mergeNeighbours(origin, news) || out.Changed
 	}
 	if len(news.Begun) > 0 && !news.Whole {
-		n.staleness.note(out.Age, now)
+		n.staleness.observe(out.Age, now)
 	}
-	n.hold(m, news, out.Age, now)
+	n.queueForRelay(m, news, out.Age, now)
 	return out, true
 }
 
@@ -114,29 +114,29 @@
 // in the minds of all others.
 func (n *Node) advance(origin *member, news *wire.RelayNews) bool {
 	if news.Whole {
-		if news.Number < origin.last || news.Number < origin.whole {
+		if news.Number < origin.lastNumber || news.Number < origin.nextStateNumber {
 			return false
 		}
-		origin.last, origin.whole = news.Number, news.Number+1
+		origin.lastNumber, origin.nextStateNumber = news.Number, news.Number+1
 		return true
 	}
-	if news.Number <= origin.last {
+	if news.Number <= origin.lastNumber {
 		return false
 	}
-	if origin.last > 0 {
-		n.missed += news.Number - origin.last - 1
+	if origin.lastNumber > 0 {
+		n.missedUpdates += news.Number - origin.lastNumber - 1
 	}
-	origin.last = news.Number
+	origin.lastNumber = news.Number
 	return true
 }
 
-func (n *Node) takeLeaving(m *member, news *wire.RelayNews) (changed bool) {
+func (n *Node) mergeLeaving(m *member, news *wire.RelayNews) (changed bool) {
 	changed = news.Leaving && !m.leaving
 	m.leaving = m.leaving || news.Leaving
 	return changed
 }
 
-func (n *Node) takeNeighbours(m *member, news *wire.RelayNews) (changed bool) {
+func (n *Node) mergeNeighbours(m *member, news *wire.RelayNews) (changed bool) {
 	if len(news.Neighbours) == 0 || slices.Equal(m.neighbours, news.Neighbours) {
 		return false
 	}
@@ -146,16 +146,16 @@
 
 // Greeting is what a peer is told first over a new link.
 func (n *Node) Greeting() wire.RelayNews {
-	return wire.RelayNews{Members: n.Alive(), Neighbours: n.out.links, Leaving: n.leaving}
+	return wire.RelayNews{Members: n.Reachable(), Neighbours: n.out.sentLinks, Leaving: n.leaving}
 }
 
-// takeAsk notes what a peer wants, and returns the feed whose state it lacks.
-func (n *Node) takeAsk(m *member, feed Feed, changed *bool) Feed {
-	if feed == FeedUnchanged || feed == m.wants {
+// setOutFeed notes what a peer wants, and returns the feed whose state it lacks.
+func (n *Node) setOutFeed(m *member, feed Feed, changed *bool) Feed {
+	if feed == FeedUnchanged || feed == m.outFeed {
 		return FeedUnchanged
 	}
-	more := feed > m.wants && feed > FeedNone
-	m.wants = feed
+	more := feed > m.outFeed && feed > FeedNone
+	m.outFeed = feed
 	*changed = true
 	if more {
 		return feed
@@ -163,41 +163,41 @@
 	return FeedUnchanged
 }
 
-// hold keeps news to be passed on, if there is anybody to pass them on to.
-func (n *Node) hold(from *member, news *wire.RelayNews, age time.Duration, now monotime.Instant) {
-	passed := *news
-	passed.HeldMS = int(age / time.Millisecond)
-	passed.SentMS, passed.ConfigVersion, passed.Confirmed, passed.Digest = 0, 0, 0, 0
+// queueForRelay keeps news to be passed on, if there is anybody to pass them on to.
+func (n *Node) queueForRelay(from *member, news *wire.RelayNews, age time.Duration, now monotime.Instant) {
+	relayed := *news
+	relayed.HeldMS = int(age / time.Millisecond)
+	relayed.SentMS, relayed.ConfigVersion, relayed.Confirmed, relayed.Digest = 0, 0, 0, 0
 	switch {
-	case from.wants == FeedAll:
-		n.out.group = append(n.out.group, held{passed, now})
-	case n.feeds(FeedAll):
-		n.out.others = append(n.out.others, held{passed, now})
+	case from.outFeed == FeedAll:
+		n.out.group = append(n.out.group, pendingUpdate{relayed, now})
+	case n.hasPeerWithFeed(FeedAll):
+		n.out.others = append(n.out.others, pendingUpdate{relayed, now})
 	}
 }
 
-// feeds reports whether a peer wants that feed.
-func (n *Node) feeds(feed Feed) bool {
+// hasPeerWithFeed reports whether a peer wants that feed.
+func (n *Node) hasPeerWithFeed(feed Feed) bool {
 	for _, m := range n.list {
-		if m.linked && m.wants == feed {
+		if m.linked && m.outFeed == feed {
 			return true
 		}
 	}
 	return false
 }
 
-// State returns what a peer that has just asked for a feed lacks of the instances in
+// FeedState returns what a peer that has just asked for a feed lacks of the instances in
 // it: each one's links, and room for the runs of it that are known, which the caller
 // fills in as of now.
-func (n *Node) State(to string, feed Feed) []wire.RelayNews {
-	own := wire.RelayNews{Origin: n.self.Incarnation, Number: n.out.number, Whole: true, Neighbours: n.out.links, Leaving: n.leaving}
+func (n *Node) FeedState(to string, feed Feed) []wire.RelayNews {
+	own := wire.RelayNews{Origin: n.self.Incarnation, Number: n.out.lastNumber, Whole: true, Neighbours: n.out.sentLinks, Leaving: n.leaving}
 	out := []wire.RelayNews{own}
 	for _, m := range n.list {
-		inGroup := m.linked && m.wants == FeedAll
-		if !m.alive || m.ID == to || feed == FeedGroup && !inGroup {
+		inGroup := m.linked && m.outFeed == FeedAll
+		if !m.reachable || m.ID == to || feed == FeedGroup && !inGroup {
 			continue
 		}
-		out = append(out, wire.RelayNews{Origin: m.Incarnation, Number: m.last, Whole: true, Neighbours: m.neighbours, Leaving: m.leaving})
+		out = append(out, wire.RelayNews{Origin: m.Incarnation, Number: m.lastNumber, Whole: true, Neighbours: m.neighbours, Leaving: m.leaving})
 	}
 	return out
 }
--- a/internal/overlay/network_test.go
+++ b/internal/overlay/network_test.go
@@ -14,15 +14,15 @@
 
 // Times of the network that the tests play.
 const (
-	inDataCentre  = 300 * time.Microsecond
-	between       = 1200 * time.Microsecond
-	dialTime      = 3 * time.Millisecond
-	dialTimeout   = 300 * time.Millisecond
-	dialInterval  = 200 * time.Millisecond
-	linkSilence   = 700 * time.Millisecond
-	ticking       = 100 * time.Millisecond
-	refreshDelay  = 10 * time.Millisecond
-	clockMostSkew = int64(time.Hour)
+	delayInDataCentre       = 300 * time.Microsecond
+	delayBetweenDataCentres = 1200 * time.Microsecond
+	dialTime                = 3 * time.Millisecond
+	dialTimeout             = 300 * time.Millisecond
+	dialInterval            = 200 * time.Millisecond
+	linkTimeout             = 700 * time.Millisecond
+	tickInterval            = 100 * time.Millisecond
+	refreshDelay            = 10 * time.Millisecond
+	maxClockSkew            = int64(time.Hour)
 )
 
 // network plays instances, the links between them and what goes wrong.
@@ -37,9 +37,9 @@
 	cut func(from, to string) bool
 	// slow is what a message takes beyond the usual.
 	slow func(from, to string) time.Duration
-	// heard has when each instance heard of each run.
-	heard map[runKey]map[string]monotime.Instant
-	begun map[runKey]monotime.Instant
+	// deliveredAt has when each instance deliveredAt of each run.
+	deliveredAt map[runKey]map[string]monotime.Instant
+	begunAt     map[runKey]monotime.Instant
 }
 
 type runKey struct {
@@ -48,40 +48,40 @@
 }
 
 type instance struct {
-	net     *network
-	member  wire.RelayMember
-	node    *Node
-	skew    int64 // of its steady clock
-	up      bool
-	frozen  bool
-	links   map[string]*pipe
-	dialing map[string]bool
-	armed   bool
-	stale   bool // a refresh is due
-	pending wire.RelayNews
-	since   monotime.Instant
-	runs    int
-	flushes int
+	net            *network
+	member         wire.RelayMember
+	node           *Node
+	skew           int64 // of its steady clock
+	up             bool
+	frozen         bool
+	links          map[string]*linkEnd
+	dialing        map[string]bool
+	flushScheduled bool
+	refreshDue     bool // a refresh is due
+	pending        wire.RelayNews
+	since          monotime.Instant
+	runs           int
+	flushes        int
 	// messages handled, in and out, and runs known of others.
-	messages int
-	known    map[runKey]bool
-	lost     map[string]int
+	messages     int
+	recordedRuns map[runKey]bool
+	lost         map[string]int
 }
 
-// pipe is one end of a link.
-type pipe struct {
-	to      string
-	dialer  bool
-	open    bool
-	arrives monotime.Instant // of the last message sent, so that none overtakes it
-	heardAt monotime.Instant
+// linkEnd is one end of a link.
+type linkEnd struct {
+	to          string
+	dialer      bool
+	open        bool
+	lastArrival monotime.Instant // of the last message sent, so that none overtakes it
+	receivedAt  monotime.Instant
 }
 
 func newNetwork(t *testing.T, dataCentres, size int, strong func(n int) bool) *network {
 	net := &network{
 		t: t, random: rand.New(rand.NewPCG(1, 2)), nodes: make(map[string]*instance),
 		cut: func(string, string) bool { return false }, slow: func(string, string) time.Duration { return 0 },
-		heard: make(map[runKey]map[string]monotime.Instant), begun: make(map[runKey]monotime.Instant),
+		deliveredAt: make(map[runKey]map[string]monotime.Instant), begunAt: make(map[runKey]monotime.Instant),
 	}
 	net.loop.Run(time.Hour)
 	for n := range size {
@@ -105,14 +105,14 @@
 func (i *instance) start() {
 	i.runs += 1000
 	i.member.Incarnation = fmt.Sprintf("%s/%d", i.member.ID, i.runs)
-	i.skew = i.net.random.Int64N(clockMostSkew)
+	i.skew = i.net.random.Int64N(maxClockSkew)
 	i.node = New(i.member, i.net.seeds, i.clock())
-	i.up, i.frozen, i.armed, i.stale = true, false, false, false
+	i.up, i.frozen, i.flushScheduled, i.refreshDue = true, false, false, false
 	i.pending, i.since = wire.RelayNews{}, 0
-	i.links, i.dialing = make(map[string]*pipe), make(map[string]bool)
-	i.known, i.lost = make(map[runKey]bool), make(map[string]int)
+	i.links, i.dialing = make(map[string]*linkEnd), make(map[string]bool)
+	i.recordedRuns, i.lost = make(map[runKey]bool), make(map[string]int)
 	incarnation := i.member.Incarnation
-	i.every(ticking, incarnation, i.tick)
+	i.every(tickInterval, incarnation, i.tick)
 }
 
 // every calls do while the process lives and is not frozen.
@@ -133,12 +133,12 @@
 
 func (i *instance) tick() {
 	for _, to := range slices.Sorted(mapKeys(i.links)) {
-		if p := i.links[to]; p.open && i.net.now().Sub(p.heardAt) > linkSilence {
+		if p := i.links[to]; p.open && i.net.now().Sub(p.receivedAt) > linkTimeout {
 			i.close(p)
 		}
 	}
 	i.refresh()
-	for _, id := range i.node.Surplus(i.clock()) {
+	for _, id := range i.node.SurplusLinks(i.clock()) {
 		if p := i.links[id]; p != nil && p.dialer {
 			i.net.breakLink(i, i.net.nodes[id])
 		}
@@ -147,7 +147,7 @@
 	for _, to := range slices.Sorted(mapKeys(i.links)) {
 		i.transmit(to, nil)
 	}
-	if i.node.Due(i.clock()) {
+	if i.node.StatusDue(i.clock()) {
 		i.flush()
 	}
 }
@@ -162,12 +162,12 @@
 	}
 }
 
-// refreshSoon gathers changes for a moment, as a process does.
-func (i *instance) refreshSoon() {
-	if i.stale {
+// scheduleRefresh gathers changes for a moment, as a process does.
+func (i *instance) scheduleRefresh() {
+	if i.refreshDue {
 		return
 	}
-	i.stale = true
+	i.refreshDue = true
 	incarnation := i.member.Incarnation
 	i.net.loop.After(refreshDelay, func() {
 		if i.up && i.member.Incarnation == incarnation {
@@ -177,30 +177,30 @@
 }
 
 func (i *instance) refresh() {
-	i.stale = false
+	i.refreshDue = false
 	effects := i.node.Refresh(i.clock())
 	for _, id := range effects.Lost {
 		i.lost[id]++
 		i.forget(id)
 	}
-	for _, ask := range effects.Asks {
+	for _, ask := range effects.FeedRequests {
 		i.transmit(ask.To, []wire.RelayNews{{Feed: int(ask.Feed)}})
 	}
-	if effects.MembersFrom != "" {
-		i.transmit(effects.MembersFrom, []wire.RelayNews{{MembersWanted: true}})
+	if effects.RequestMembersFrom != "" {
+		i.transmit(effects.RequestMembersFrom, []wire.RelayNews{{MembersWanted: true}})
 	}
-	for _, target := range i.node.Wanted(i.clock()) {
+	for _, target := range i.node.LinkTargets(i.clock()) {
 		i.dial(target.Address)
 	}
 	if i.node.LinksChanged() {
-		i.arm()
+		i.scheduleFlush()
 	}
 }
 
 func (i *instance) forget(id string) {
-	for key := range i.known {
+	for key := range i.recordedRuns {
 		if key.instance == id {
-			delete(i.known, key)
+			delete(i.recordedRuns, key)
 		}
 	}
 }
@@ -237,12 +237,12 @@
 	}
 	for _, pair := range [][2]*instance{{dialer, acceptor}, {acceptor, dialer}} {
 		a, b := pair[0], pair[1]
-		a.links[b.member.ID] = &pipe{to: b.member.ID, dialer: a == dialer, open: true, heardAt: net.now()}
+		a.links[b.member.ID] = &linkEnd{to: b.member.ID, dialer: a == dialer, open: true, receivedAt: net.now()}
 		a.node.LinkUp(b.member, a.clock())
 	}
 	for _, pair := range [][2]*instance{{dialer, acceptor}, {acceptor, dialer}} {
 		pair[0].transmit(pair[1].member.ID, []wire.RelayNews{pair[0].node.Greeting()})
-		pair[0].refreshSoon()
+		pair[0].scheduleRefresh()
 	}
 }
 
@@ -255,86 +255,86 @@
 	}
 }
 
-func (i *instance) close(p *pipe) {
+func (i *instance) close(p *linkEnd) {
 	p.open = false
 	delete(i.links, p.to)
 	i.node.LinkDown(p.to, i.clock())
-	i.refreshSoon()
+	i.scheduleRefresh()
 }
 
 // transmit sends a message over a link; nil news are a sign of life.
-func (i *instance) transmit(to string, news []wire.RelayNews) {
+func (i *instance) transmit(to string, updates []wire.RelayNews) {
 	p := i.links[to]
 	if p == nil || !p.open {
 		return
 	}
 	other := i.net.nodes[to]
 	back := other.links[i.member.ID]
-	if news != nil {
+	if updates != nil {
 		i.messages++
 	}
-	took := between
+	delay := delayBetweenDataCentres
 	if other.member.DataCentre == i.member.DataCentre {
-		took = inDataCentre
+		delay = delayInDataCentre
 	}
-	took += i.net.slow(i.member.ID, to)
-	p.arrives = max(p.arrives, i.net.now().Add(took))
-	i.net.loop.At(p.arrives, func() { other.receive(back, i.member.ID, news) })
+	delay += i.net.slow(i.member.ID, to)
+	p.lastArrival = max(p.lastArrival, i.net.now().Add(delay))
+	i.net.loop.At(p.lastArrival, func() { other.receive(back, i.member.ID, updates) })
 }
 
-func (i *instance) receive(p *pipe, from string, news []wire.RelayNews) {
+func (i *instance) receive(p *linkEnd, from string, updates []wire.RelayNews) {
 	if p == nil || !p.open || i.links[from] != p || !i.up || i.net.cut(from, i.member.ID) {
 		return
 	}
 	if i.frozen {
-		i.net.loop.After(ticking, func() { i.receive(p, from, news) })
+		i.net.loop.After(tickInterval, func() { i.receive(p, from, updates) })
 		return
 	}
-	p.heardAt = i.net.now()
-	if news == nil {
+	p.receivedAt = i.net.now()
+	if updates == nil {
 		return
 	}
 	i.messages++
 	changed := false
-	for n := range news {
-		changed = i.take(from, &news[n]) || changed
+	for n := range updates {
+		changed = i.applyUpdate(from, &updates[n]) || changed
 	}
-	if i.node.Holds() {
-		i.arm()
+	if i.node.HasPending() {
+		i.scheduleFlush()
 	}
 	if changed {
-		i.refreshSoon()
+		i.scheduleRefresh()
 	}
 }
 
-func (i *instance) take(from string, news *wire.RelayNews) bool {
-	receipt, ok := i.node.Receive(from, news, i.clock())
+func (i *instance) applyUpdate(from string, update *wire.RelayNews) bool {
+	receipt, ok := i.node.Receive(from, update, i.clock())
 	if !ok {
 		return receipt.Changed
 	}
-	if news.Whole {
+	if update.Whole {
 		i.forget(receipt.Origin)
 	}
-	for _, r := range news.Begun {
-		i.hear(runKey{receipt.Origin, r.Number})
+	for _, r := range update.Begun {
+		i.recordRun(runKey{receipt.Origin, r.Number})
 	}
-	for _, number := range news.Ended {
-		delete(i.known, runKey{receipt.Origin, number})
+	for _, number := range update.Ended {
+		delete(i.recordedRuns, runKey{receipt.Origin, number})
 	}
-	if receipt.State != FeedUnchanged {
-		i.sendState(from, receipt.State)
+	if receipt.RequestedFeed != FeedUnchanged {
+		i.sendState(from, receipt.RequestedFeed)
 	}
-	if news.MembersWanted {
-		i.transmit(from, []wire.RelayNews{{Members: i.node.Alive()}})
+	if update.MembersWanted {
+		i.transmit(from, []wire.RelayNews{{Members: i.node.Reachable()}})
 	}
 	return receipt.Changed
 }
 
 func (i *instance) sendState(to string, feed Feed) {
-	state := i.node.State(to, feed)
+	state := i.node.FeedState(to, feed)
 	for n := range state {
 		id, _ := i.node.Instance(state[n].Origin)
-		for key := range i.known {
+		for key := range i.recordedRuns {
 			if key.instance == id {
 				state[n].Begun = append(state[n].Begun, wire.RelayRun{Number: key.number})
 			}
@@ -343,19 +343,19 @@
 	i.transmit(to, state)
 }
 
-func (i *instance) hear(key runKey) {
-	i.known[key] = true
-	if i.net.heard[key][i.member.ID] == 0 {
-		i.net.heard[key][i.member.ID] = i.net.now()
+func (i *instance) recordRun(key runKey) {
+	i.recordedRuns[key] = true
+	if i.net.deliveredAt[key][i.member.ID] == 0 {
+		i.net.deliveredAt[key][i.member.ID] = i.net.now()
 	}
 }
 
-func (i *instance) arm() {
-	if i.armed {
+func (i *instance) scheduleFlush() {
+	if i.flushScheduled {
 		return
 	}
-	i.armed = true
-	i.flushAfter(i.node.Gather(), i.flushes)
+	i.flushScheduled = true
+	i.flushAfter(i.node.BatchDelay(), i.flushes)
 }
 
 // flushAfter sends what was gathered later, unless something else sent it before.
@@ -365,7 +365,7 @@
 		switch {
 		case !i.up || i.member.Incarnation != incarnation || i.flushes != flushes:
 		case i.frozen:
-			i.flushAfter(ticking, flushes)
+			i.flushAfter(tickInterval, flushes)
 		default:
 			i.flush()
 		}
@@ -374,11 +374,11 @@
 
 func (i *instance) flush() {
 	own, since := i.pending, i.since
-	i.pending, i.since, i.armed = wire.RelayNews{}, 0, false
+	i.pending, i.since, i.flushScheduled = wire.RelayNews{}, 0, false
 	i.flushes++
 	for _, frame := range i.node.Flush(own, since, false, i.clock()) {
 		for _, to := range frame.To {
-			i.transmit(to, slices.Clone(frame.News))
+			i.transmit(to, slices.Clone(frame.Updates))
 		}
 	}
 }
@@ -387,26 +387,26 @@
 func (i *instance) begin(lasts time.Duration) runKey {
 	i.runs++
 	key := runKey{i.member.ID, i.runs}
-	i.net.begun[key] = i.net.now()
-	i.net.heard[key] = make(map[string]monotime.Instant)
-	i.known[key] = true
-	i.note(func(p *wire.RelayNews) { p.Begun = append(p.Begun, wire.RelayRun{Number: key.number}) })
+	i.net.begunAt[key] = i.net.now()
+	i.net.deliveredAt[key] = make(map[string]monotime.Instant)
+	i.recordedRuns[key] = true
+	i.queueOwn(func(p *wire.RelayNews) { p.Begun = append(p.Begun, wire.RelayRun{Number: key.number}) })
 	incarnation := i.member.Incarnation
 	i.net.loop.After(lasts, func() {
 		if i.up && i.member.Incarnation == incarnation {
-			delete(i.known, key)
-			i.note(func(p *wire.RelayNews) { p.Ended = append(p.Ended, key.number) })
+			delete(i.recordedRuns, key)
+			i.queueOwn(func(p *wire.RelayNews) { p.Ended = append(p.Ended, key.number) })
 		}
 	})
 	return key
 }
 
-func (i *instance) note(change func(*wire.RelayNews)) {
+func (i *instance) queueOwn(change func(*wire.RelayNews)) {
 	change(&i.pending)
 	if i.since == 0 {
 		i.since = i.clock()
 	}
-	i.arm()
+	i.scheduleFlush()
 }
 
 // kill ends a process; its peers see their links reset.
@@ -418,7 +418,7 @@
 			other.close(p)
 		}
 	}
-	i.links = make(map[string]*pipe)
+	i.links = make(map[string]*linkEnd)
 }
 
 // startAll starts all instances within 300 ms and lets them find each other.
@@ -449,19 +449,19 @@
 // order; a run of which fewer heard counts as hour.
 func (net *network) delays(runs []runKey) []time.Duration {
 	var out []time.Duration
-	living := 0
+	running := 0
 	for _, i := range net.nodes {
 		if i.up {
-			living++
+			running++
 		}
 	}
 	for _, key := range runs {
 		var at []time.Duration
-		for _, heard := range net.heard[key] {
-			at = append(at, heard.Sub(net.begun[key]))
+		for _, deliveredAt := range net.deliveredAt[key] {
+			at = append(at, deliveredAt.Sub(net.begunAt[key]))
 		}
 		slices.Sort(at)
-		need := (living-1)*9/10 - 1
+		need := (running-1)*9/10 - 1
 		if need >= len(at) {
 			out = append(out, time.Hour)
 			continue
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -44,16 +44,16 @@
 )
 
 const (
-	// meshMost is the largest fleet in which all are linked to each other: a message
+	// maxMeshSize is the largest fleet in which all are linked to each other: a message
 	// to 15 peers costs less than three hops take.
-	meshMost = 16
-	// MemberLife is how long an instance that is not reached is still known: the
+	maxMeshSize = 16
+	// MemberTTL is how long an instance that is not reached is still known: the
 	// longest restart of a machine and some more.
-	MemberLife = time.Minute
-	// detachedAfter is how long an instance without any link goes on believing in the
+	MemberTTL = time.Minute
+	// detachedGrace is how long an instance without any link goes on believing in the
 	// others. Both of its hubs may be killed at once; it has new ones within some
 	// hundred milliseconds, and would forget all that runs on the servers otherwise.
-	detachedAfter = time.Second
+	detachedGrace = time.Second
 )
 
 // Node is what one instance knows of the others and of the ways to them.
@@ -67,15 +67,15 @@
 
 	leaving bool
 	// mesh, hub: what this instance was at the last Refresh.
-	mesh, hub  bool
-	primary    string // the hub subscribed to, of an instance that is none
-	detachedAt monotime.Instant
-	unknown    bool // an incarnation was heard of that is no member's
-	askedAt    monotime.Instant
+	mesh, hub          bool
+	primary            string // the hub subscribed to, of an instance that is none
+	detachedSince      monotime.Instant
+	unknownOrigin      bool // an incarnation was heard of that is no member's
+	membersRequestedAt monotime.Instant
 
-	out       outbox
-	staleness staleness
-	missed    int // news that never came
+	out           outbox
+	staleness     staleness
+	missedUpdates int // news that never came
 }
 
 // member is another instance.
@@ -83,34 +83,34 @@
 	wire.RelayMember
 	linked  bool
 	leaving bool
-	// alive: it can be reached over the links that are known of.
-	alive bool
+	// reachable: it can be reached over the links that are known of.
+	reachable bool
 	// hub as of the last Refresh. It stays when the member is lost.
 	hub    bool
 	lostAt monotime.Instant
-	// heardAt is when something last came over its link.
-	heardAt monotime.Instant
-	// wants is what it asked of this instance, asked what this one asked of it.
-	wants, asked Feed
+	// receivedAt is when something last came over its link.
+	receivedAt monotime.Instant
+	// outFeed is what it inFeed of this instance, inFeed what this one inFeed of it.
+	outFeed, inFeed Feed
 	// neighbours are the incarnations that it says it is linked to.
 	neighbours []string
-	// last is the number of its last news that was taken, and whole that of the last
+	// lastNumber is the number of its lastNumber news that was taken, and nextStateNumber that of the lastNumber
 	// state that was, plus one.
-	last, whole int
-	clock       linkClock
+	lastNumber, nextStateNumber int
+	clock                       linkClock
 	// hash orders members of the same strength, and affinity those that this instance
 	// may subscribe to; least first.
 	hash     uint64
-	affinity float64
-	// wantedAt is since when a link is wanted in vain, avoidUntil when it is tried
-	// first again, and surplusAt since when a link is not needed; 0 for neither.
-	wantedAt, avoidUntil, surplusAt monotime.Instant
+	hubScore float64
+	// dialingSince is since when a link is wanted in vain, avoidUntil when it is tried
+	// first again, and surplusSince since when a link is not needed; 0 for neither.
+	dialingSince, avoidUntil, surplusSince monotime.Instant
 }
 
 // New returns the Node of an instance that knows nobody.
 func New(self wire.RelayMember, seeds []string, now monotime.Instant) *Node {
 	return &Node{
-		self: self, seeds: seeds, mesh: true, detachedAt: now,
+		self: self, seeds: seeds, mesh: true, detachedSince: now,
 		members: make(map[string]*member), incarnations: make(map[string]*member),
 	}
 }
@@ -123,17 +123,17 @@
 
 // LinkUp notes an open link. It reports whether the peer's former process is gone,
 // of which nothing holds any more.
-func (n *Node) LinkUp(told wire.RelayMember, now monotime.Instant) (replaced bool) {
-	m := n.members[told.ID]
-	if m == nil || m.Incarnation != told.Incarnation {
+func (n *Node) LinkUp(peer wire.RelayMember, now monotime.Instant) (replaced bool) {
+	m := n.members[peer.ID]
+	if m == nil || m.Incarnation != peer.Incarnation {
 		replaced = m != nil
-		m = n.put(told)
+		m = n.replaceMember(peer)
 	}
-	m.linked, m.alive, m.heardAt, m.clock = true, true, now, linkClock{}
-	m.wants, m.asked = FeedNone, FeedUnchanged
-	m.wantedAt, m.avoidUntil, m.surplusAt = 0, 0, 0
-	n.detachedAt = 0
-	n.out.announce = append(n.out.announce, told)
+	m.linked, m.reachable, m.receivedAt, m.clock = true, true, now, linkClock{}
+	m.outFeed, m.inFeed = FeedNone, FeedUnchanged
+	m.dialingSince, m.avoidUntil, m.surplusSince = 0, 0, 0
+	n.detachedSince = 0
+	n.out.newPeers = append(n.out.newPeers, peer)
 	return replaced
 }
 
@@ -144,28 +144,28 @@
 		return
 	}
 	m.linked = false
-	m.wants, m.asked = FeedNone, FeedUnchanged
+	m.outFeed, m.inFeed = FeedNone, FeedUnchanged
 	if len(n.Linked()) == 0 {
-		n.detachedAt = now
+		n.detachedSince = now
 	}
 }
 
 // Leave notes that this instance is leaving: it is no hub for others any more.
 func (n *Node) Leave() { n.leaving = true }
 
-// put makes told the member of its id, in place of another process's.
-func (n *Node) put(told wire.RelayMember) *member {
-	n.remove(told.ID)
-	m := &member{RelayMember: told, hash: hash(told.ID)}
-	m.affinity = affinity(n.self.ID, m)
-	n.members[told.ID] = m
-	n.incarnations[told.Incarnation] = m
+// replaceMember makes told the member of its id, in place of another process's.
+func (n *Node) replaceMember(peer wire.RelayMember) *member {
+	n.removeMember(peer.ID)
+	m := &member{RelayMember: peer, hash: hash(peer.ID)}
+	m.hubScore = hubScore(n.self.ID, m)
+	n.members[peer.ID] = m
+	n.incarnations[peer.Incarnation] = m
 	n.list = append(n.list, m)
 	slices.SortFunc(n.list, func(a, b *member) int { return strings.Compare(a.ID, b.ID) })
 	return m
 }
 
-func (n *Node) remove(id string) {
+func (n *Node) removeMember(id string) {
 	old := n.members[id]
 	if old == nil {
 		return
@@ -175,16 +175,16 @@
 	n.list = slices.DeleteFunc(n.list, func(m *member) bool { return m == old })
 }
 
-// learn takes the members that a peer tells of. A process is not replaced while it can
+// mergeMembers takes the members that a peer tells of. A process is not replaced while it can
 // be reached: old news of an earlier one may still be on the way.
-func (n *Node) learn(told []wire.RelayMember, now monotime.Instant) (changed bool) {
-	for _, t := range told {
+func (n *Node) mergeMembers(members []wire.RelayMember, now monotime.Instant) (changed bool) {
+	for _, t := range members {
 		if t.ID == n.self.ID || t.ID == "" || t.Incarnation == "" {
 			continue
 		}
 		m := n.members[t.ID]
-		if m == nil || m.Incarnation != t.Incarnation && !m.alive && !m.linked {
-			n.put(t).lostAt = now
+		if m == nil || m.Incarnation != t.Incarnation && !m.reachable && !m.linked {
+			n.replaceMember(t).lostAt = now
 			changed = true
 		}
 	}
@@ -202,11 +202,11 @@
 	return out
 }
 
-// Alive returns this instance and those that can be reached.
-func (n *Node) Alive() []wire.RelayMember {
+// Reachable returns this instance and those that can be reached.
+func (n *Node) Reachable() []wire.RelayMember {
 	out := []wire.RelayMember{n.self}
 	for _, m := range n.list {
-		if m.alive {
+		if m.reachable {
 			out = append(out, m.RelayMember)
 		}
 	}
@@ -217,7 +217,7 @@
 func (n *Node) Staying() []wire.RelayMember {
 	var out []wire.RelayMember
 	for _, m := range n.list {
-		if m.alive && !m.leaving {
+		if m.reachable && !m.leaving {
 			out = append(out, m.RelayMember)
 		}
 	}
@@ -229,8 +229,8 @@
 // fewer than half of the known ones, this instance is likely cut off from the others,
 // which go on sending what is theirs; so the lost ones still count.
 func (n *Node) Sharers() []string {
-	reached := n.Alive()
-	if 2*len(reached) >= n.Known() {
+	reached := n.Reachable()
+	if 2*len(reached) >= n.MemberCount() {
 		return memberIDs(reached)
 	}
 	all := []wire.RelayMember{n.self}
@@ -249,12 +249,12 @@
 	return out
 }
 
-// Known returns the number of instances that can be reached or could be lately, this
+// MemberCount returns the number of instances that can be reached or could be lately, this
 // one among them.
-func (n *Node) Known() int { return 1 + len(n.members) }
+func (n *Node) MemberCount() int { return 1 + len(n.members) }
 
-// Missed returns how many news of other instances never came.
-func (n *Node) Missed() int { return n.missed }
+// MissedUpdates returns how many news of other instances never came.
+func (n *Node) MissedUpdates() int { return n.missedUpdates }
 
 // Role describes what the instance does for the others, for logs.
 func (n *Node) Role() string {
@@ -277,7 +277,7 @@
 	self := &member{RelayMember: n.self, hash: hash(n.self.ID), hub: n.hub}
 	of = 1
 	for _, m := range n.list {
-		if !m.alive {
+		if !m.reachable {
 			continue
 		}
 		of++
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -18,10 +18,10 @@
 // they know, so a choice has to be known to nearly all of them before an engine has
 // made many steps, whatever the size of the fleet. What each handles must not grow
 // with the size, or a large fleet would do nothing else.
-func TestAChoiceIsKnownSoonAtAnySize(t *testing.T) {
+func TestUpdateDelayAndMessageRateAreBoundedAtAnySize(t *testing.T) {
 	for _, c := range []struct {
 		size, dataCentres int
-		most              time.Duration
+		maxDelay          time.Duration
 		messages          float64 // a second, of an instance on the average
 	}{
 		{8, 3, 25 * time.Millisecond, 700},
@@ -50,8 +50,8 @@
 		mean := float64(total) / float64(c.size) / seconds
 		t.Logf("%d instances: known to nine in ten after %v in the median, %v for 99 in 100; messages a second: mean %.0f, busiest %.0f",
 			c.size, quantileOf(delays, 0.5), quantileOf(delays, 0.99), mean, float64(busiest)/seconds)
-		if got := quantileOf(delays, 0.9); got > c.most {
-			t.Errorf("%d instances: nine in ten choices are known after %v, want %v", c.size, got, c.most)
+		if got := quantileOf(delays, 0.9); got > c.maxDelay {
+			t.Errorf("%d instances: nine in ten choices are known after %v, want %v", c.size, got, c.maxDelay)
 		}
 		if mean > c.messages {
 			t.Errorf("%d instances: %.0f messages a second, want at most %.0f", c.size, mean, c.messages)
@@ -59,35 +59,35 @@
 	}
 }
 
-// allAgree checks that each instance that lives can be reached from each other one, and
+// checkReachability checks that each instance that lives can be reached from each other one, and
 // none that does not live is believed in.
-func allAgree(t *testing.T, net *network) {
+func checkReachability(t *testing.T, net *network) {
 	t.Helper()
 	for _, id := range net.order {
 		i := net.nodes[id]
 		if !i.up || i.frozen {
 			continue
 		}
-		alive := map[string]bool{}
-		for _, m := range i.node.Alive() {
-			alive[m.ID] = true
+		reachable := map[string]bool{}
+		for _, m := range i.node.Reachable() {
+			reachable[m.ID] = true
 		}
 		for _, other := range net.order {
-			if o := net.nodes[other]; alive[other] != (o.up && !o.frozen) {
-				t.Errorf("%s (%s) takes %s for alive: %v", id, i.node.Role(), other, alive[other])
+			if o := net.nodes[other]; reachable[other] != (o.up && !o.frozen) {
+				t.Errorf("%s (%s) takes %s for alive: %v", id, i.node.Role(), other, reachable[other])
 				return
 			}
 		}
 	}
 }
 
-// settled checks that after the last run ended nobody believes in any.
-func settled(t *testing.T, net *network) {
+// checkNoEndedRuns checks that after the last run ended nobody believes in any.
+func checkNoEndedRuns(t *testing.T, net *network) {
 	t.Helper()
 	net.loop.Run(4 * time.Second)
 	for _, id := range net.order {
-		if i := net.nodes[id]; i.up && !i.frozen && len(i.known) > 0 {
-			t.Errorf("%s still believes in %d runs that ended", id, len(i.known))
+		if i := net.nodes[id]; i.up && !i.frozen && len(i.recordedRuns) > 0 {
+			t.Errorf("%s still believes in %d runs that ended", id, len(i.recordedRuns))
 			return
 		}
 	}
@@ -95,7 +95,7 @@
 
 // All processes of a fleet start within 300 ms and know three addresses, one of which
 // is dead. Callers are sent to instances that others know, so each has to find all.
-func TestAFleetThatStartsFindsItself(t *testing.T) {
+func TestStartingFleetBecomesFullyReachable(t *testing.T) {
 	for _, size := range []int{3, 16, 17, 60, 95} {
 		if size > largestFleet {
 			continue
@@ -107,14 +107,14 @@
 			net.order = net.order[1:]
 		}
 		net.startAll(1500 * time.Millisecond)
-		allAgree(t, net)
+		checkReachability(t, net)
 	}
 }
 
 // Of many instances with load, all hubs of a data centre are killed at once. Callers of
 // the others are placed by what is known, so its instances have to hear again in well
 // under a second, and nothing may be believed of runs that ended meanwhile.
-func TestHubsThatAreKilledAreReplaced(t *testing.T) {
+func TestKilledHubsAreReplaced(t *testing.T) {
 	net := newNetwork(t, 5, largeFleet, everySixth)
 	net.startAll(5 * time.Second)
 	net.load(time.Second, 4)
@@ -128,13 +128,13 @@
 	if got := quantileOf(delays, 0.9); got > 40*time.Millisecond {
 		t.Errorf("half a second later choices are known after %v", got)
 	}
-	allAgree(t, net)
-	settled(t, net)
+	checkReachability(t, net)
+	checkNoEndedRuns(t, net)
 }
 
 // More than half of all processes are killed at once and start again 2 s later, with
 // other incarnations. The rest goes on hearing of each other, and in the end all do.
-func TestAFleetOfWhichHalfIsKilledFindsItselfAgain(t *testing.T) {
+func TestFleetRecoversAfterHalfIsKilled(t *testing.T) {
 	net := newNetwork(t, 5, largeFleet, everySixth)
 	net.startAll(5 * time.Second)
 	net.load(time.Second, 4)
@@ -149,7 +149,7 @@
 	if got := quantileOf(net.delays(net.load(1300*time.Millisecond, 4)), 0.9); got > 50*time.Millisecond {
 		t.Errorf("among those left choices are known after %v", got)
 	}
-	allAgree(t, net)
+	checkReachability(t, net)
 	for _, i := range killed {
 		i.start()
 	}
@@ -157,14 +157,14 @@
 	if got := quantileOf(net.delays(net.load(2*time.Second, 4)), 0.9); got > 50*time.Millisecond {
 		t.Errorf("after the restart choices are known after %v", got)
 	}
-	allAgree(t, net)
-	settled(t, net)
+	checkReachability(t, net)
+	checkNoEndedRuns(t, net)
 }
 
 // A hub freezes for three seconds: its links stay open and nothing comes over them. Its
 // subscribers change to another hub before the links count as silent, so their callers
 // are placed well; when it wakes, nothing that it still tells counts.
-func TestAFrozenHubIsLeftByItsSubscribers(t *testing.T) {
+func TestSubscribersLeaveFrozenHub(t *testing.T) {
 	net := newNetwork(t, 5, largeFleet, everySixth)
 	net.startAll(5 * time.Second)
 	var hub *instance
@@ -179,16 +179,16 @@
 	if got := quantileOf(net.delays(net.load(2500*time.Millisecond, 4)), 0.9); got > 50*time.Millisecond {
 		t.Errorf("choices are known after %v while a hub is frozen", got)
 	}
-	allAgree(t, net)
+	checkReachability(t, net)
 	hub.frozen = false
 	net.load(2*time.Second, 4)
-	allAgree(t, net)
-	settled(t, net)
+	checkReachability(t, net)
+	checkNoEndedRuns(t, net)
 }
 
 // A data centre is cut off from the others for five seconds. Callers in each part are
 // served with what that part knows; afterwards all know all again.
-func TestADataCentreThatWasCutOffComesBack(t *testing.T) {
+func TestPartitionedDataCentreRejoins(t *testing.T) {
 	for _, size := range []int{40, largeFleet} {
 		net := newNetwork(t, 5, size, everySixth)
 		net.startAll(5 * time.Second)
@@ -200,23 +200,23 @@
 			if inside(id) {
 				want = size / 5
 			}
-			if got := len(net.nodes[id].node.Alive()); got != want {
+			if got := len(net.nodes[id].node.Reachable()); got != want {
 				t.Fatalf("%s reaches %d instances, want %d", id, got, want)
 			}
 		}
 		net.cut = func(string, string) bool { return false }
 		net.load(2*time.Second, 4)
-		allAgree(t, net)
+		checkReachability(t, net)
 		if got := quantileOf(net.delays(net.load(2*time.Second, 4)), 0.9); got > 40*time.Millisecond {
 			t.Errorf("choices are known after %v", got)
 		}
-		settled(t, net)
+		checkNoEndedRuns(t, net)
 	}
 }
 
 // Messages of one hub take 150 ms longer than usual. Those who hear over it know that
 // what they know is old, and place with that in mind; the others are not misled.
-func TestALinkThatLagsShowsAsStaleness(t *testing.T) {
+func TestSlowLinkRaisesStaleness(t *testing.T) {
 	net := newNetwork(t, 5, largeFleet, everySixth)
 	net.startAll(5 * time.Second)
 	net.load(3*time.Second, 4)
@@ -257,7 +257,7 @@
 // Of 28 instances of a data centre two are strong. They suffice, and the weak ones have
 // slow links; when the strong ones are gone, several weak ones share the work, so that
 // none has more subscribers than it can tell in time.
-func TestHubsAreStrongEnoughForTheirSubscribers(t *testing.T) {
+func TestHubsHaveCapacityForTheirSubscribers(t *testing.T) {
 	var members []*member
 	for n := range 28 {
 		m := &member{RelayMember: wire.RelayMember{ID: fmt.Sprint("i", n), DataCentre: "dc", Capacity: 192}, hash: hash(fmt.Sprint("i", n))}
@@ -266,11 +266,11 @@
 		}
 		members = append(members, m)
 	}
-	chosen := hubs(members)
+	chosen := chooseHubs(members)
 	if len(chosen) != 2 || !chosen[members[0]] || !chosen[members[1]] {
 		t.Errorf("%d hubs while two are strong", len(chosen))
 	}
-	weak := hubs(members[2:])
+	weak := chooseHubs(members[2:])
 	if len(weak) < 5 || len(weak) > 8 {
 		t.Errorf("%d hubs among 26 weak instances", len(weak))
 	}
@@ -278,7 +278,7 @@
 	for n := range 1000 {
 		best := members[0]
 		for _, m := range []*member{members[0], members[5]} {
-			if affinity(fmt.Sprint("s", n), m) < affinity(fmt.Sprint("s", n), best) {
+			if hubScore(fmt.Sprint("s", n), m) < hubScore(fmt.Sprint("s", n), best) {
 				best = m
 			}
 		}
@@ -291,15 +291,15 @@
 
 // A process that was replaced still has news on the way, over a longer path. What it
 // told must not bring it back in place of its successor.
-func TestAnEarlierProcessIsNotBelievedIn(t *testing.T) {
+func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	n := New(wire.RelayMember{ID: "me", Incarnation: "me/1"}, nil, 1)
 	n.LinkUp(wire.RelayMember{ID: "a", Incarnation: "a/2"}, 2)
 	n.Refresh(3)
-	told := &wire.RelayNews{Members: []wire.RelayMember{{ID: "a", Incarnation: "a/1"}, {ID: "b", Incarnation: "b/1"}}}
-	if receipt, ok := n.Receive("a", told, 4); !ok || !receipt.Changed {
+	update := &wire.RelayNews{Members: []wire.RelayMember{{ID: "a", Incarnation: "a/1"}, {ID: "b", Incarnation: "b/1"}}}
+	if receipt, ok := n.Receive("a", update, 4); !ok || !receipt.Changed {
 		t.Errorf("%v %+v", ok, receipt)
 	}
-	if _, known := n.Instance("a/1"); known {
+	if _, recorded := n.Instance("a/1"); recorded {
 		t.Error("the earlier process is a member")
 	}
 	if _, known := n.Instance("b/1"); !known {
@@ -312,20 +312,20 @@
 
 // News of one origin come over two links, as after a change of hubs. Each counts once,
 // and one that comes late does not count at all: the run that it begins may be over.
-func TestNewsCountOnceAndInOrder(t *testing.T) {
+func TestUpdatesAreAppliedOnceAndInOrder(t *testing.T) {
 	n := New(wire.RelayMember{ID: "me", Incarnation: "me/1"}, nil, 1)
 	n.LinkUp(wire.RelayMember{ID: "a", Incarnation: "a/1"}, 2)
 	n.LinkUp(wire.RelayMember{ID: "b", Incarnation: "b/1"}, 2)
 	for _, step := range []struct {
-		from   string
-		number int
-		taken  bool
+		from     string
+		number   int
+		accepted bool
 	}{{"a", 1, true}, {"b", 1, false}, {"b", 2, true}, {"b", 4, true}, {"a", 3, false}, {"a", 4, false}, {"a", 5, true}} {
-		if _, ok := n.Receive(step.from, &wire.RelayNews{Origin: "a/1", Number: step.number}, 3); ok != step.taken {
+		if _, ok := n.Receive(step.from, &wire.RelayNews{Origin: "a/1", Number: step.number}, 3); ok != step.accepted {
 			t.Errorf("number %d from %s taken: %v", step.number, step.from, ok)
 		}
 	}
-	if n.Missed() != 1 {
-		t.Errorf("%d missed, want 1", n.Missed())
+	if n.MissedUpdates() != 1 {
+		t.Errorf("%d missed, want 1", n.MissedUpdates())
 	}
 }
--- a/internal/overlay/reach.go
+++ b/internal/overlay/refresh.go
@@ -7,8 +7,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// Ask is a feed that a peer is to be asked for.
-type Ask struct {
+// FeedRequest is a feed that a peer is to be asked for.
+type FeedRequest struct {
 	To   string
 	Feed Feed
 }
@@ -17,56 +17,56 @@
 type Effects struct {
 	// Lost are instances that can't be reached any more.
 	Lost []string
-	// Asks are to be sent, each over its link.
-	Asks []Ask
-	// MembersFrom is a peer to be asked for all members, or empty.
-	MembersFrom string
+	// FeedRequests are to be sent, each over its link.
+	FeedRequests []FeedRequest
+	// RequestMembersFrom is a peer to be asked for all members, or empty.
+	RequestMembersFrom string
 }
 
-// membersInterval is the least time between questions for all members.
-const membersInterval = 400 * time.Millisecond
+// membersRequestInterval is the least time between questions for all members.
+const membersRequestInterval = 400 * time.Millisecond
 
 // Refresh works out who can be reached, who is a hub and which feeds are wanted. It is
 // due after each change that LinkUp, LinkDown or Receive report, and regularly.
 func (n *Node) Refresh(now monotime.Instant) Effects {
 	var out Effects
-	out.Lost = n.updateAlive(now)
+	out.Lost = n.updateReachable(now)
 	for _, m := range slices.Clone(n.list) {
-		if !m.alive && !m.linked && now.Sub(m.lostAt) > MemberLife {
-			n.remove(m.ID)
+		if !m.reachable && !m.linked && now.Sub(m.lostAt) > MemberTTL {
+			n.removeMember(m.ID)
 		}
 	}
 	n.updateHubs()
 	n.choosePrimary(now)
-	out.Asks = n.updateAsks()
-	if n.unknown && now.Sub(n.askedAt) >= membersInterval {
-		n.unknown, n.askedAt = false, now
-		out.MembersFrom = n.anyLink()
+	out.FeedRequests = n.updateFeedRequests()
+	if n.unknownOrigin && now.Sub(n.membersRequestedAt) >= membersRequestInterval {
+		n.unknownOrigin, n.membersRequestedAt = false, now
+		out.RequestMembersFrom = n.anyLinkedPeer()
 	}
 	return out
 }
 
-// updateAlive marks the members that can be reached and returns those that no longer
+// updateReachable marks the members that can be reached and returns those that no longer
 // can. A member is reached over links of this instance and over those that reached
 // members say they have, so it is lost only when all who were linked to it say so,
 // or can't be reached themselves.
-func (n *Node) updateAlive(now monotime.Instant) (lost []string) {
-	if n.detachedAt != 0 && now.Sub(n.detachedAt) < detachedAfter {
+func (n *Node) updateReachable(now monotime.Instant) (lost []string) {
+	if n.detachedSince != 0 && now.Sub(n.detachedSince) < detachedGrace {
 		return nil
 	}
-	reached := n.reached()
+	reached := n.reachableMembers()
 	for _, m := range n.list {
-		alive := reached[m]
-		if m.alive && !alive {
+		reachable := reached[m]
+		if m.reachable && !reachable {
 			m.lostAt = now
 			lost = append(lost, m.ID)
 		}
-		m.alive = alive
+		m.reachable = reachable
 	}
 	return lost
 }
 
-func (n *Node) reached() map[*member]bool {
+func (n *Node) reachableMembers() map[*member]bool {
 	reached := make(map[*member]bool, len(n.members))
 	var queue []*member
 	for _, m := range n.list {
@@ -81,7 +81,7 @@
 		for _, incarnation := range m.neighbours {
 			next := n.incarnations[incarnation]
 			if next == nil {
-				n.unknown = n.unknown || incarnation != n.self.Incarnation
+				n.unknownOrigin = n.unknownOrigin || incarnation != n.self.Incarnation
 				continue
 			}
 			if !reached[next] {
@@ -101,24 +101,24 @@
 		staying = append(staying, self)
 	}
 	for _, m := range n.list {
-		if m.alive && !m.leaving {
+		if m.reachable && !m.leaving {
 			staying = append(staying, m)
 		}
 	}
-	n.mesh = len(staying) <= meshMost
-	chosen := hubs(staying)
+	n.mesh = len(staying) <= maxMeshSize
+	chosen := chooseHubs(staying)
 	n.hub = chosen[self]
 	for _, m := range n.list {
-		if m.alive {
+		if m.reachable {
 			m.hub = chosen[m]
 		}
 	}
 }
 
-// primarySilence is how long a hub may send nothing to a subscriber that has another
+// primaryTimeout is how long a hub may send nothing to a subscriber that has another
 // one to go to. Hubs send each keepAlive; three in a row do not come when a hub is
 // frozen, cut off or has no processor time, and its subscribers choose blindly.
-const primarySilence = 300 * time.Millisecond
+const primaryTimeout = 300 * time.Millisecond
 
 // choosePrimary subscribes to the first hub in order that sends.
 func (n *Node) choosePrimary(now monotime.Instant) {
@@ -126,13 +126,13 @@
 		n.primary = ""
 		return
 	}
-	sends := func(m *member) bool { return m.linked && now.Sub(m.heardAt) < primarySilence }
-	if m := n.members[n.primary]; m != nil && m.linked && !sends(m) {
-		m.avoidUntil = now.Add(avoidTime)
+	responsive := func(m *member) bool { return m.linked && now.Sub(m.receivedAt) < primaryTimeout }
+	if m := n.members[n.primary]; m != nil && m.linked && !responsive(m) {
+		m.avoidUntil = now.Add(avoidDuration)
 	}
 	n.primary = ""
-	candidates := n.candidates(now)
-	for _, usable := range []func(*member) bool{sends, func(m *member) bool { return m.linked }} {
+	candidates := n.primaryCandidates(now)
+	for _, usable := range []func(*member) bool{responsive, func(m *member) bool { return m.linked }} {
 		if i := slices.IndexFunc(candidates, usable); i >= 0 {
 			n.primary = candidates[i].ID
 			return
@@ -140,8 +140,8 @@
 	}
 }
 
-// updateAsks returns the feeds that are to be asked for.
-func (n *Node) updateAsks() (asks []Ask) {
+// updateFeedRequests returns the feeds that are to be asked for.
+func (n *Node) updateFeedRequests() (requests []FeedRequest) {
 	for _, m := range n.list {
 		if !m.linked {
 			continue
@@ -150,19 +150,19 @@
 		switch {
 		case m.ID == n.primary:
 			feed = FeedAll
-		case n.mesh, n.hub && m.hub, m.wants == FeedAll:
+		case n.mesh, n.hub && m.hub, m.outFeed == FeedAll:
 			feed = FeedGroup
 		}
-		if m.asked != feed {
-			m.asked = feed
-			asks = append(asks, Ask{To: m.ID, Feed: feed})
+		if m.inFeed != feed {
+			m.inFeed = feed
+			requests = append(requests, FeedRequest{To: m.ID, Feed: feed})
 		}
 	}
-	return asks
+	return requests
 }
 
-// anyLink returns a peer with a link, the primary if there is one.
-func (n *Node) anyLink() string {
+// anyLinkedPeer returns a peer with a link, the primary if there is one.
+func (n *Node) anyLinkedPeer() string {
 	if n.primary != "" {
 		return n.primary
 	}
