--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -9,8 +9,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// Core is the membership of one instance. It is not safe for concurrent use;
-// the Views it returns are.
+// Core is the membership state machine of one instance. It is not safe for concurrent
+// use; the Views it returns are.
 type Core struct {
 	self     Member
 	seeds    []string
@@ -36,7 +36,7 @@
 	seq           int
 	confirmSeq    int
 	confirmed     bool
-	bucketDigests []int // digests of the buckets, nil when out of date
+	bucketDigests []int // nil when out of date
 	graphDirty    bool
 	viewDirty     bool
 	view          *View
@@ -44,8 +44,8 @@
 	stats         Stats
 }
 
-// New returns the core of the member self. Seeds are peer addresses to start
-// from while neither the platform nor a peer has named anybody.
+// New returns the core of the member self. Seeds are peer addresses to start from while
+// neither the platform nor a peer has named any member.
 func New(self Member, seeds []string, seed uint64) *Core {
 	c := &Core{
 		self:       self,
@@ -70,19 +70,19 @@
 	return c.stats
 }
 
-// LastReceived returns when any peer was heard last, zero for never.
+// LastReceived returns when a message last arrived from any peer, zero for never.
 func (c *Core) LastReceived() monotime.Instant {
 	return c.lastReceived
 }
 
-// Neighbours returns the members that this one keeps heartbeats with, sorted.
+// Neighbours returns the members with which this one exchanges heartbeats, sorted.
 func (c *Core) Neighbours() []string {
 	c.refreshGraph()
 	return slices.Clone(c.neighbours)
 }
 
-// LinkTargets returns the peers that links should be kept to: the neighbours, a
-// peer that is being probed, and the seeds while nobody is linked.
+// LinkTargets returns the peers to keep links to: the neighbours, a peer that is being
+// probed, and the seeds while no peer is linked.
 func (c *Core) LinkTargets() []Target {
 	c.refreshGraph()
 	out := make([]Target, 0, len(c.neighbours)+1)
@@ -111,8 +111,8 @@
 	return false
 }
 
-// Tick does what is due. The shell calls it each TickInterval; a gap of
-// PauseLimit or more counts as a pause of the process.
+// Tick performs the periodic work. The shell calls it each TickInterval; a gap of
+// PauseThreshold or more counts as a pause of the process.
 func (c *Core) Tick(now monotime.Instant, eff Effects) {
 	c.detectPause(now, eff)
 	c.lastTick = now
@@ -123,15 +123,15 @@
 	c.chooseProbe(now)
 }
 
-// detectPause makes every event look at the gap since the last tick: a process
-// that wakes may read old messages from its sockets before its timers fire.
+// detectPause checks the time since the last tick before every event: a process that
+// resumes may read old messages from its sockets before its timers fire.
 func (c *Core) detectPause(now monotime.Instant, eff Effects) {
 	if gap := now.Sub(c.lastTick); c.lastTick != 0 && gap >= PauseThreshold {
 		c.OnPaused(now, gap, eff)
 	}
 }
 
-// OnLinkUp tells that a link to a peer is open.
+// OnLinkUp records that a link to a peer is open.
 func (c *Core) OnLinkUp(now monotime.Instant, id string, eff Effects) {
 	c.detectPause(now, eff)
 	ct := c.contact(id)
@@ -150,11 +150,11 @@
 	}
 }
 
-// shouldSync reports whether tables are to be compared with a peer on a new
-// link. Links opened on demand, for a slot or a permit, go to members that the
-// graph already keeps current; comparing on each of them costs more than the
-// heartbeats once an instance talks to most of the fleet. A peer that was not
-// live here comes from another part of the fleet, and tables are compared.
+// shouldSync reports whether to compare tables with a peer on a new link. Links opened on
+// demand, for a slot or a permit, go to members that the graph already keeps up to date.
+// Comparing tables on each of them costs more than the heartbeats once an instance is
+// linked to most of the fleet. A peer that was not live here comes from another part of
+// the fleet, so tables are compared.
 func (c *Core) shouldSync(id string, ct *contact) bool {
 	if ct.neighbour || !c.confirmed || c.probe.ID == id {
 		return true
@@ -163,7 +163,7 @@
 	return e == nil || !e.State.present()
 }
 
-// OnLinkDown tells that no link to a peer is open any more.
+// OnLinkDown records that no link to a peer is open any more.
 func (c *Core) OnLinkDown(now monotime.Instant, id string) {
 	ct := c.contacts[id]
 	if ct == nil {
@@ -176,11 +176,11 @@
 	}
 }
 
-// OnPaused tells that the process did not run for gap. What it knew may be
-// wrong, and what lies in its sockets was sent before it woke: it trusts its
-// view again only once a peer has answered a ping sent after waking, having
-// compared tables first. Silence during the pause was its own, so it restarts
-// the clocks by which it judges others.
+// OnPaused handles a pause of the process for gap. Its view may be outdated, and the
+// messages in its sockets were sent before it resumed. The view is confirmed again only
+// when a peer has answered a ping sent after resuming, before which tables are compared.
+// The absence of messages during the pause was its own doing, so the timeouts of other
+// members restart.
 func (c *Core) OnPaused(now monotime.Instant, gap time.Duration, eff Effects) {
 	c.stats.Pauses++
 	c.lastTick = now
@@ -236,7 +236,7 @@
 	}
 }
 
-// View returns what is believed now.
+// View returns the current view of the fleet.
 func (c *Core) View() *View {
 	if !c.viewDirty {
 		return c.view
@@ -275,7 +275,7 @@
 	}
 }
 
-// mayStillRun reports whether a dead member may run beyond a partition.
+// mayStillRun reports whether a dead member may be running beyond a partition.
 func (e *entry) mayStillRun() bool {
 	return e.State == Dead && !e.left && !e.unlisted
 }
--- a/internal/membership/detect.go
+++ b/internal/membership/detect.go
@@ -24,7 +24,7 @@
 	}})
 }
 
-// OnPong takes the answer to a heartbeat.
+// OnPong handles the answer to a heartbeat.
 func (c *Core) OnPong(now monotime.Instant, from string, pong *wire.Pong, eff Effects) {
 	c.detectPause(now, eff)
 	c.receivedFrom(now, from)
@@ -38,14 +38,14 @@
 		}
 		return
 	}
-	// One difference may be news under way; a lasting one is lost news.
+	// A single mismatch may be an update in transit; a lasting one is a lost update.
 	ct.mismatches++
 	if ct.mismatches >= mismatchesForSync && now.Sub(ct.syncedAt) >= syncBackoff {
 		c.sendSync(now, from, ct, eff)
 	}
 }
 
-// contact returns the record of a peer, made when needed.
+// contact returns the record of a peer, and creates it if necessary.
 func (c *Core) contact(id string) *contact {
 	ct := c.contacts[id]
 	if ct == nil {
@@ -79,8 +79,7 @@
 	}
 }
 
-// detect raises a suspicion of each neighbour that has been out of contact for
-// too long.
+// detect suspects each neighbour that has been out of contact for too long.
 func (c *Core) detect(now monotime.Instant, eff Effects) {
 	for _, id := range slices.Clone(c.neighbours) {
 		ct := c.contacts[id]
@@ -98,7 +97,7 @@
 	}
 }
 
-// contactLimit returns when a neighbour that stays as it is becomes suspect.
+// contactLimit returns when a neighbour becomes suspect unless its contact changes.
 func (ct *contact) contactLimit() monotime.Instant {
 	if ct.up {
 		return ct.receivedAt.Add(HeartbeatTimeout)
@@ -109,11 +108,11 @@
 	return ct.requiredSince.Add(DialTimeout)
 }
 
-// maySuspect limits how often one member suspects another that refutes each
-// time. With a path that is cut or flaps between just these two, the fleet
-// would otherwise pass a suspicion and a refutation on every few seconds. The
-// other neighbours still notice a real death, so a pause here hides none;
-// with no other member there is nobody else to notice, and no limit.
+// maySuspect limits how often one member suspects another that refutes each time. If the
+// path between just these two is cut or flaps, the fleet would otherwise relay a
+// suspicion and a refutation every few seconds. The other neighbours still detect a real
+// death, so the limit hides none. With no other member there is nobody else to detect it,
+// and the limit does not apply.
 func (c *Core) maySuspect(now monotime.Instant, ct *contact) bool {
 	if ct.suspectedAt == 0 || len(c.neighbours) < 2 {
 		return !ct.suspected || now.Sub(ct.suspectedAt) >= suspectBackoff
@@ -132,8 +131,8 @@
 	c.push([]wire.MemberUpdate{toWire(m)}, "", eff)
 }
 
-// postpone leaves a listed instance that does not answer out of the graph for
-// a while: it may not have started yet, or the list may be old.
+// postpone removes a listed instance that does not answer from the graph for a while: it
+// may not have started yet, or the list may be outdated.
 func (c *Core) postpone(now monotime.Instant, id string) {
 	for _, cand := range c.candidates {
 		if cand.id == id {
@@ -144,16 +143,16 @@
 	}
 }
 
-// heartbeat sends the pings that are due. The member with the lower ID pings;
-// the other one does so only when it hears nothing.
+// heartbeat sends the pings that are due. The member with the lower ID pings; the other
+// one pings only if nothing arrives.
 func (c *Core) heartbeat(now monotime.Instant, eff Effects) {
 	for _, id := range c.neighbours {
 		ct := c.contacts[id]
 		if !ct.up || now.Sub(ct.pingedAt) < PingInterval {
 			continue
 		}
-		quiet := now.Sub(ct.receivedAt) >= PingInterval+PingInterval/2
-		if c.self.ID < id || quiet || !c.confirmed {
+		overdue := now.Sub(ct.receivedAt) >= PingInterval+PingInterval/2
+		if c.self.ID < id || overdue || !c.confirmed {
 			c.ping(now, id, ct, eff)
 		}
 	}
@@ -170,8 +169,8 @@
 	}})
 }
 
-// chooseProbe picks now and then one member that is out of reach but may run,
-// so that parts of the fleet that were cut off from each other meet again.
+// chooseProbe periodically picks one member that is unreachable but may be running, so
+// that partitioned parts of the fleet merge again.
 func (c *Core) chooseProbe(now monotime.Instant) {
 	if c.probe.Address != "" && now >= c.probeEnd {
 		c.probe = Target{}
--- a/internal/membership/graph.go
+++ b/internal/membership/graph.go
@@ -12,7 +12,7 @@
 	return xxhash.Sum64String(s)
 }
 
-// ringHashes places an ID on each ring.
+// ringHashes returns the position of an ID on each ring.
 func ringHashes(id string) [Rings]uint64 {
 	var out [Rings]uint64
 	for r := range out {
@@ -21,16 +21,16 @@
 	return out
 }
 
-// node is a place on the rings.
+// node is an ID with its positions on the rings.
 type node struct {
 	id    string
 	rings [Rings]uint64
 }
 
-// graph keeps the nodes next to self on each ring.
+// graph holds the successor and the predecessor of self on each ring.
 type graph struct {
 	self       node
-	next, prev [Rings]node // empty ids while nobody else is there
+	next, prev [Rings]node // empty ids while no other node is there
 }
 
 // add puts a node on the rings and reports whether it became a neighbour.
@@ -50,7 +50,7 @@
 	return changed
 }
 
-// neighbours returns the successors and predecessors without repeats, sorted.
+// neighbours returns the successors and predecessors, sorted and without duplicates.
 func (g *graph) neighbours() []string {
 	out := make([]string, 0, 2*Rings)
 	for r := range Rings {
@@ -62,7 +62,7 @@
 	return slices.Compact(out)
 }
 
-// refreshGraph computes the neighbours anew after a node went off the rings.
+// refreshGraph recomputes the neighbours after a node has left the rings.
 func (c *Core) refreshGraph() {
 	if !c.graphDirty {
 		return
@@ -82,13 +82,13 @@
 	c.neighbours = c.graph.neighbours()
 }
 
-// onRings reports whether the member takes part in the graph. Suspects do, so
-// that a suspicion that is refuted changes no links.
+// onRings reports whether the member takes part in the graph. Suspects do, so a refuted
+// suspicion changes no links.
 func (e *entry) onRings() bool {
 	return e.ID != "" && e.State.present() && e.PeerAddress != ""
 }
 
-// updateGraph makes the graph follow a row that is about to become m.
+// updateGraph updates the graph for a row that is about to become m.
 func (c *Core) updateGraph(e *entry, m Member) {
 	was := e.onRings()
 	is := m.State.present() && m.PeerAddress != ""
@@ -104,12 +104,12 @@
 	}
 }
 
-// clockwise is the distance from a to b around a ring.
+// clockwise returns the distance from a to b around a ring.
 func clockwise(a, b uint64) uint64 {
 	return b - a
 }
 
-// refreshContacts makes the contacts follow the neighbours.
+// refreshContacts updates the contacts to match the neighbours.
 func (c *Core) refreshContacts(now monotime.Instant) {
 	c.retryCandidates(now)
 	c.refreshGraph()
@@ -129,8 +129,7 @@
 	}
 }
 
-// retryCandidates puts listed instances back on the rings when their wait is
-// over.
+// retryCandidates puts listed instances back on the rings when their backoff has ended.
 func (c *Core) retryCandidates(now monotime.Instant) {
 	for _, cand := range c.candidates {
 		if cand.retry != 0 && now >= cand.retry {
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -8,8 +8,9 @@
 	"basilrudder/internal/schema/platformapi"
 )
 
-// OnInstanceList takes the platform's list. It names whom to look for and who
-// is still meant to run. It never decides that a member lives or died: it lags.
+// OnInstanceList applies the platform's list. It determines which members to contact and
+// which are still meant to run. It never decides that a member is alive or dead, because
+// the list lags.
 func (c *Core) OnInstanceList(now monotime.Instant, list platformapi.InstanceList) {
 	if c.listed && list.Version < c.listVersion {
 		return
@@ -17,7 +18,7 @@
 	c.listVersion = list.Version
 	c.listed = true
 	c.candidates = c.mergeCandidates(list.Instances)
-	// An empty list is a fault of the platform and no reason to forget anybody.
+	// An empty list is a fault of the platform; no member is dropped because of it.
 	if len(list.Instances) > 0 {
 		c.markListed(now, list.Instances)
 	}
@@ -28,7 +29,7 @@
 	c.viewDirty = true
 }
 
-// alone reports that no other member is known.
+// alone reports whether no other member is recorded.
 func (c *Core) alone() bool {
 	return !slices.ContainsFunc(c.entries, func(e *entry) bool { return e.State != Gone && !e.unlisted })
 }
@@ -66,8 +67,8 @@
 		case listedAsLive:
 			e.listedLive, e.listedLeaving, e.unlisted = true, false, false
 		case listedAsLeaving:
-			// Only a change seen during this incarnation counts: an ID that
-			// was listed as leaving all along may speak of the process before.
+			// Only a change during this incarnation counts: an ID that was listed as
+			// leaving from the start may refer to the previous process.
 			e.listedLeaving = e.listedLive
 		}
 	}
@@ -80,8 +81,8 @@
 	return listedAsLeaving
 }
 
-// removeCandidate removes a listed instance that peers have told of and returns
-// how it was listed.
+// removeCandidate removes a listed instance that a peer has reported and returns how it
+// was listed.
 func (c *Core) removeCandidate(id string) listing {
 	i := slices.IndexFunc(c.candidates, func(cand *candidate) bool { return cand.id == id })
 	if i < 0 {
@@ -92,7 +93,7 @@
 	return listing
 }
 
-// countLiveCandidates counts listed live instances that no peer has told of.
+// countLiveCandidates counts listed live instances that no peer has reported.
 func (c *Core) countLiveCandidates() int {
 	n := 0
 	for _, cand := range c.candidates {
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -10,17 +10,17 @@
 )
 
 func TestWrongInstanceListRemovesNoMember(t *testing.T) {
-	// The platform's list is empty, names only strangers, calls everybody
-	// leaving, or goes back to an old version. Peers know better: nobody may
-	// fall out. Strangers count as instances that may run elsewhere.
+	// The platform's list is empty, names only unknown instances, lists all as leaving,
+	// or goes back to an old version. Peers have better information, so no member may be
+	// dropped. Unknown instances count as ones that may run elsewhere.
 	w := newNetwork(t, 8)
 	w.settle()
-	strangers := []string{"old-1", "old-2"}
+	unknownIDs := []string{"old-1", "old-2"}
 	leaving := w.list(4, w.ids)
 	for i := range leaving.Instances {
 		leaving.Instances[i].State = platformapi.InstanceStateLeaving
 	}
-	lists := []platformapi.InstanceList{{Version: 2}, w.list(3, strangers), w.list(1, nil)}
+	lists := []platformapi.InstanceList{{Version: 2}, w.list(3, unknownIDs), w.list(1, nil)}
 	for _, list := range lists {
 		for _, id := range w.ids {
 			w.procs[id].core.OnInstanceList(w.Now(), list)
@@ -28,18 +28,18 @@
 		w.always(30*time.Second, "all stay", func() bool { return w.sees(w.ids, w.ids) })
 	}
 	if got := w.view("dc1-000").Known; got != 10 {
-		t.Errorf("Known = %d, want 8 and 2 strangers", got)
+		t.Errorf("Known = %d, want 8 members and 2 unknown instances", got)
 	}
 	w.procs["dc1-000"].core.OnInstanceList(w.Now(), leaving)
 	if v := w.view("dc1-000"); len(v.Live) != 1 || len(v.Leaving) != 7 {
-		t.Errorf("%d live, %d leaving: members that were listed live and now leave must leave", len(v.Live), len(v.Leaving))
+		t.Errorf("%d live, %d leaving; want 1 and 7, as members first listed live and now as leaving", len(v.Live), len(v.Leaving))
 	}
 }
 
 func TestReplacedFleetConvergesWithStaleList(t *testing.T) {
-	// Every instance but one is replaced by others with new ids while the
-	// platform shows the old list to everybody. The newcomers find the fleet
-	// through the one that stayed; those that left are not counted.
+	// All instances but one are replaced by others with new ids while the platform shows
+	// the old list to all. The new ones find the fleet through the one that stayed, and
+	// those that left are not counted.
 	w := newNetwork(t, 8)
 	w.settle()
 	stayed := w.ids[7]
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,29 +10,29 @@
 )
 
 func TestSimultaneousStartConverges(t *testing.T) {
-	// All instances are replaced at the same moment and nobody knows anything
-	// but the platform's list. Each dials its ring neighbours and passes on
-	// what it learns, so that all see all without a full mesh of links.
+	// All instances are replaced at once and have only the platform's list. Each dials
+	// its ring neighbours and relays what it receives, so all discover all without a full
+	// mesh of links.
 	for _, n := range []int{8, 64} {
 		w := newNetwork(t, n)
 		took := w.settle()
-		t.Logf("%d members saw each other after %v", n, took)
+		t.Logf("%d members discovered each other after %v", n, took)
 		w.Run(time.Second)
 		for _, id := range w.ids {
 			if !w.view(id).Confirmed {
 				t.Errorf("%s is not confirmed", id)
 			}
 			if got := len(w.procs[id].core.Neighbours()); got > 2*Rings {
-				t.Errorf("%s has %d neighbours", id, got)
+				t.Errorf("%s has %d neighbours, more than two per ring", id, got)
 			}
 		}
 	}
 }
 
 func TestSimultaneousRestartConverges(t *testing.T) {
-	// A settled fleet is killed and started again under the same ids, with
-	// clocks that make the new epochs smaller than the old ones for a third.
-	// Nobody remembers the old processes, so the new ones are all there is.
+	// A settled fleet is killed and started again under the same ids, with clocks that
+	// make the new epochs smaller than the old ones for a third. No process remembers the
+	// old ones, so the fleet must converge on the new ones.
 	w := newNetwork(t, 48)
 	w.settle()
 	for _, id := range w.ids {
@@ -41,12 +41,12 @@
 	for i, id := range w.ids {
 		w.startWith(id, 1, 1_764_000_000+uint64(i%3)-1)
 	}
-	t.Logf("48 restarted members saw each other after %v", w.settle())
+	t.Logf("48 restarted members discovered each other after %v", w.settle())
 }
 
 func TestCrashIsDetected(t *testing.T) {
-	// A process is killed. Its host closes its links, the neighbours cannot
-	// replace them and suspect it, nobody refutes, and everyone drops it.
+	// A process is killed. Its host closes its links, the neighbours cannot replace them
+	// and suspect it, nobody refutes, and all members drop it.
 	for _, n := range []int{8, 64} {
 		w := newNetwork(t, n)
 		w.settle()
@@ -58,45 +58,45 @@
 			t.Errorf("took %v", took)
 		}
 		if got := w.view("dc2-001").Known; got != n {
-			t.Errorf("Known = %d, want %d: the list still names the dead one", got, n)
+			t.Errorf("Known = %d, want %d: the list still names the dead member", got, n)
 		}
 	}
 }
 
 func TestLostHostIsDetected(t *testing.T) {
-	// A host loses power. Nothing closes its links; they fall silent.
+	// A host loses power. Nothing closes its links, so only missing heartbeats show it.
 	w := newNetwork(t, 64)
 	w.settle()
 	w.Run(5 * time.Second)
 	w.loseHost("dc1-000")
 	took := w.settle()
-	t.Logf("64 members dropped a silent process after %v", took)
+	t.Logf("64 members dropped a lost process after %v", took)
 	if took > HeartbeatTimeout+SuspicionTimeout+2*time.Second {
 		t.Errorf("took %v", took)
 	}
 }
 
 func TestRestartWithLowerEpochReplacesOldProcess(t *testing.T) {
-	// A process crashes and is started again at once under its id, on a host
-	// whose clock is behind. Peers hold news of the old process with a higher
-	// epoch; the new one hears of it, outbids it and is the one that counts.
+	// A process crashes and restarts at once under its id, on a host whose clock is
+	// behind. Peers hold updates about the old process with a higher epoch. The new one
+	// receives them, raises its epoch above them and replaces the old one.
 	w := newNetwork(t, 16)
 	w.settle()
 	w.kill("dc1-000")
 	w.startWith("dc1-000", 1, 5)
-	t.Logf("the new process was known everywhere after %v", w.settle())
+	t.Logf("all members recorded the new process after %v", w.settle())
 	w.always(10*time.Second, "the new process stays", func() bool { return w.sees(w.ids, w.ids) })
 }
 
 func TestLeavingIsAnnounced(t *testing.T) {
-	// A process gets SIGTERM. It must drop out of what takes new work at once,
-	// stay reachable while it finishes, and not be waited for afterwards.
+	// A process gets SIGTERM. It must take no new work at once, stay reachable while it
+	// finishes, and not be assumed to run afterwards.
 	w := newNetwork(t, 64)
 	w.settle()
 	leaver := "dc3-020"
 	others := without(w.ids, leaver)
 	w.procs[leaver].core.Leave(w.Now(), &sender{w, leaver})
-	took := w.until(time.Second, "everyone knows", func() bool { return w.sees(others, others) })
+	took := w.until(time.Second, "all record it as leaving", func() bool { return w.sees(others, others) })
 	t.Logf("a leaving member took no more work after %v", took)
 	w.always(30*time.Second, "it stays reachable", func() bool {
 		m, found := w.view("dc1-000").Find(leaver)
@@ -105,7 +105,7 @@
 	w.procs[leaver].core.Goodbye(w.Now(), &sender{w, leaver})
 	w.Run(10 * time.Millisecond)
 	w.kill(leaver)
-	w.until(time.Second, "everyone drops it", func() bool {
+	w.until(time.Second, "its end is recorded", func() bool {
 		_, found := w.view("dc1-000").Find(leaver)
 		return !found
 	})
@@ -118,8 +118,8 @@
 }
 
 func TestCrashWhileLeaving(t *testing.T) {
-	// A leaving process is killed before it could say goodbye. It has left all
-	// the same: nobody counts it as running beyond a partition.
+	// A leaving process is killed before it announced its end. It still counts as having
+	// left: no member counts it as running beyond a partition.
 	w := newNetwork(t, 8)
 	w.settle()
 	w.procs["dc1-000"].core.Leave(w.Now(), &sender{w, "dc1-000"})
@@ -132,10 +132,10 @@
 }
 
 func TestResumedProcessIgnoresOldPongs(t *testing.T) {
-	// A process is stopped for a minute. Meanwhile the others drop it and a
-	// part of the fleet is cut off. When it wakes its sockets are full of old
-	// answers, which must not confirm its view; only a peer that answers a new
-	// ping does. It then refutes its death.
+	// A process is stopped for a minute. Meanwhile the others drop it and a part of the
+	// fleet is cut off. When it resumes its sockets are full of old answers, which must
+	// not confirm its view; only the answer to a new ping does. It then refutes its
+	// death.
 	w := newNetwork(t, 16)
 	w.settle()
 	w.Run(5 * time.Second)
@@ -155,19 +155,19 @@
 		t.Error("old answers in the socket confirmed the view")
 	}
 	w.until(3*time.Second, "a peer confirms the view", func() bool { return w.view(sleeper).Confirmed })
-	t.Logf("the woken process: %d of %d live", len(w.view(sleeper).Live), w.view(sleeper).Known)
-	w.until(15*time.Second, "its part is whole again", func() bool { return w.sees(near, near) })
+	t.Logf("the resumed process: %d of %d live", len(w.view(sleeper).Live), w.view(sleeper).Known)
+	w.until(15*time.Second, "its part agrees again", func() bool { return w.sees(near, near) })
 	if got := w.view(sleeper).Known; got != 16 {
 		t.Errorf("Known = %d, want 16", got)
 	}
 	w.cut = func(string, string) bool { return false }
-	t.Logf("both parts were one after %v", w.settle())
+	t.Logf("both parts merged after %v", w.settle())
 }
 
 func TestAsymmetricCutDropsNoMember(t *testing.T) {
-	// What one member sends reaches another, but nothing comes back. Their
-	// link falls silent and one suspects the other; the rest of the fleet
-	// reaches both, so both refute and stay. The suspicions must get rare.
+	// Messages from one member reach another, but nothing comes back. Their link times
+	// out and one suspects the other. The rest of the fleet reaches both, so both refute
+	// and stay. The suspicions must become rare.
 	w := newNetwork(t, 16)
 	w.settle()
 	a := "dc1-000"
@@ -185,9 +185,9 @@
 }
 
 func TestFlappingPathDropsNoMember(t *testing.T) {
-	// The path between two members fails for 5 s out of every 10. Each time a
-	// link is lost and a suspicion may be raised; nobody may be dropped and
-	// the suspicions must get rare.
+	// The path between two members fails for 5 s out of every 10. Each time a link is
+	// lost and a suspicion may be raised; no member may be dropped and the suspicions
+	// must become rare.
 	w := newNetwork(t, 16)
 	w.settle()
 	a := "dc1-000"
@@ -203,8 +203,8 @@
 }
 
 func TestDataCentreLost(t *testing.T) {
-	// A third of the fleet vanishes without a word. The rest must agree on who
-	// is left, stay connected, and still count the lost ones.
+	// A third of the fleet is lost without notice. The rest must agree on the remaining
+	// members, stay connected, and still count the lost ones.
 	w := newNetwork(t, 60)
 	w.settle()
 	w.Run(5 * time.Second)
@@ -221,9 +221,9 @@
 }
 
 func TestPartitionedRegionsMerge(t *testing.T) {
-	// Two regions lose each other for an hour. Each part must work with its
-	// own members and know of the others; when the path is back nobody may
-	// fall out of anybody's own part on the way to one fleet.
+	// Two regions are partitioned for an hour. Each part must work with its own members
+	// and still count the others. When the path is restored, no member may drop members
+	// of its own part while the two merge.
 	w := newNetwork(t, 9)
 	w.settle()
 	w.Run(5 * time.Second)
@@ -242,13 +242,13 @@
 		}
 	}
 	w.cut = func(string, string) bool { return false }
-	took = w.until(30*time.Second, "one fleet", func() bool {
+	took = w.until(30*time.Second, "the parts merge", func() bool {
 		if !contains(w.view(near[0]), near) || !contains(w.view(other[0]), other) {
 			t.Fatal("a part lost its own members")
 		}
 		return w.sees(w.ids, w.ids)
 	})
-	t.Logf("one fleet again %v after the path was back", took)
+	t.Logf("the parts merged %v after the path was restored", took)
 }
 
 func contains(v *View, ids []string) bool {
@@ -265,8 +265,8 @@
 }
 
 func TestLostUpdatesAreRepairedBySync(t *testing.T) {
-	// One frame in five is lost while members crash and come back. Pushed news
-	// goes missing here and there; comparing tables must find what differs.
+	// One frame in five is lost while members crash and restart. Some pushed updates are
+	// lost; comparing tables must find the differences.
 	w := newNetwork(t, 32)
 	w.settle()
 	n := 0
@@ -287,8 +287,8 @@
 }
 
 func TestTwoProcessesWithOneIDRefuteSlowly(t *testing.T) {
-	// Operators start two processes with the same id. Both claim it and outbid
-	// each other. The claims must not come faster than one in some seconds.
+	// Operators start two processes with the same id. Both claim it and raise the epoch
+	// in turn. A member must not refute more than once in some seconds.
 	core := New(Member{ID: "a", Incarnation: "1", PeerAddress: "a", Epoch: 10}, nil, 1)
 	now := newNetwork(t, 0).Now()
 	for range 100 {
@@ -306,8 +306,8 @@
 func (discard) SendPeer(string, *wire.Envelope) {}
 
 func TestTableIsBounded(t *testing.T) {
-	// A faulty peer tells of endless members. The table stays bounded, dead
-	// rows make room first, and the rest of the news is dropped and counted.
+	// A faulty peer reports endless members. The table stays bounded, dead rows are
+	// evicted first, and further updates are dropped and counted.
 	core := New(Member{ID: "self", PeerAddress: "self"}, nil, 1)
 	now := newNetwork(t, 0).Now()
 	for i := range MaxMembers + 100 {
--- a/internal/membership/network_test.go
+++ b/internal/membership/network_test.go
@@ -17,7 +17,7 @@
 
 const (
 	linkDelay     = 2 * time.Millisecond
-	linkTimeout   = 3500 * time.Millisecond // what the link layer tolerates
+	linkTimeout   = 3500 * time.Millisecond // of the link layer
 	frameOverhead = 4
 )
 
@@ -34,15 +34,15 @@
 	paused   bool
 	dead     bool
 	inbox    []func()
-	peers    map[string]bool // linked
+	peers    map[string]bool // with a link
 	bytes    int
 	frames   int
 	restarts int
 }
 
-// network runs cores in virtual time. Links open when one side wants them,
-// and close when no side does or when they are silent; a killed process
-// closes its links at once, a lost host or a cut path does not.
+// network runs cores in virtual time. Links open when one side requires them, and close
+// when neither does or when they time out. A killed process closes its links at once, a
+// lost host or a cut path does not.
 type network struct {
 	vtime.Loop
 	t      testing.TB
@@ -50,7 +50,7 @@
 	procs  map[string]*process
 	links  map[linkKey]*link
 	cut    func(from, to string) bool
-	drop   func() bool // loses single frames
+	drop   func() bool // reports whether to lose a frame
 	listed []string
 }
 
@@ -144,7 +144,7 @@
 	})
 }
 
-// deliver runs f now, or when a paused process resumes: until then it lies in
+// deliver runs f now, or when a paused process resumes: until then the message stays in
 // the socket.
 func (w *network) deliver(id string, p *process, f func()) {
 	switch {
@@ -177,7 +177,7 @@
 	}
 }
 
-// connect does the work of the link layer for one process after its tick.
+// connect simulates the link layer for one process after its tick.
 func (w *network) connect(id string, p *process) {
 	required := map[string]bool{}
 	for _, target := range p.core.LinkTargets() {
@@ -192,7 +192,7 @@
 		}
 		unused := !required[other] && !slices.ContainsFunc(w.procs[other].core.LinkTargets(), func(t Target) bool { return t.ID == id })
 		if !unused && !w.cut(other, id) && !w.procs[other].paused && !w.procs[other].dead {
-			continue // the link layer's own sign of life
+			continue // the link layer's own keep-alive
 		}
 		if unused || w.Now().Sub(receivedAt) >= linkTimeout {
 			w.closeLink(id, other)
@@ -236,12 +236,12 @@
 	return w.Now().Sub(begin)
 }
 
-// always fails when the condition does not hold at some time within d.
+// always fails if the condition does not hold at any step within d.
 func (w *network) always(d time.Duration, what string, holds func() bool) {
 	w.t.Helper()
 	for end := w.Now().Add(d); w.Now() < end; w.Run(50 * time.Millisecond) {
 		if !holds() {
-			w.t.Fatalf("did not always hold: %s", what)
+			w.t.Fatalf("condition violated: %s", what)
 		}
 	}
 }
@@ -281,7 +281,7 @@
 
 func (w *network) view(id string) *View { return w.procs[id].core.View() }
 
-// running lists the processes that run, in order.
+// running returns the processes that run, in order.
 func (w *network) running() []string {
 	var out []string
 	for _, id := range w.ids {
@@ -292,7 +292,7 @@
 	return out
 }
 
-// sees reports whether the observers hold exactly the ids for live and alive.
+// sees reports whether the observers record exactly the ids as live and alive.
 func (w *network) sees(observers, ids []string) bool {
 	for _, o := range observers {
 		live := w.view(o).Live
@@ -310,7 +310,7 @@
 
 func (w *network) settle() time.Duration {
 	w.t.Helper()
-	return w.until(30*time.Second, "every process sees every process", func() bool {
+	return w.until(30*time.Second, "all processes agree on the members", func() bool {
 		return w.sees(w.running(), w.running())
 	})
 }
--- a/internal/membership/newlink_test.go
+++ b/internal/membership/newlink_test.go
@@ -7,15 +7,15 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// recorder keeps what a core sends.
+// recorder records what a core sends.
 type recorder struct{ sent []*wire.Envelope }
 
 func (r *recorder) SendPeer(_ string, env *wire.Envelope) { r.sent = append(r.sent, env) }
 
-// An instance under load opens a link to most of the fleet, for slots and
-// permits. Comparing tables on each cost it more than all heartbeats. A link to
-// a member whose link had been given up still compares: the member may come
-// from another part of the fleet, with news that no neighbour has.
+// An instance under load opens links to most of the fleet, for slots and permits.
+// Comparing tables on each of them costs more than all heartbeats. A link to a member
+// recorded as dead still compares: the member may come from another part of the fleet and
+// hold updates that no neighbour has.
 func TestNewLinkComparesTablesOnlyWhenTheyMayDiffer(t *testing.T) {
 	w := newNetwork(t, 32)
 	w.settle()
@@ -28,7 +28,7 @@
 	var sent recorder
 	core.OnLinkUp(w.Now(), far, &sent)
 	if len(sent.sent) > 0 {
-		t.Errorf("a link to a live member that is no neighbour brought %d envelopes", len(sent.sent))
+		t.Errorf("a link to a live member that is not a neighbour sent %d envelopes, want none", len(sent.sent))
 	}
 	core.OnLinkDown(w.Now(), far)
 
@@ -36,6 +36,6 @@
 	w.settle()
 	core.OnLinkUp(w.Now(), far, &sent)
 	if len(sent.sent) != 1 || sent.sent[0].MemberSync == nil {
-		t.Errorf("a link to a member taken for dead brought %d envelopes, want a comparison", len(sent.sent))
+		t.Errorf("a link to a member recorded as dead sent %d envelopes, want one comparison of tables", len(sent.sent))
 	}
 }
--- a/internal/membership/norace_test.go
+++ b/internal/membership/norace_test.go
@@ -2,5 +2,5 @@
 
 package membership
 
-// largestFleet is the size of the target.
+// largestFleet is the target size of a fleet.
 const largestFleet = 360
--- a/internal/membership/race_test.go
+++ b/internal/membership/race_test.go
@@ -2,6 +2,6 @@
 
 package membership
 
-// largestFleet bounds fleets under the race detector, which finds nothing more
-// in a larger one: a core has no goroutines. CI runs the tests without it too.
+// largestFleet bounds fleets under the race detector, which finds nothing more in a
+// larger one: a core has no goroutines. CI also runs the tests without it.
 const largestFleet = 64
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -1,12 +1,11 @@
-// Package membership decides who is in the fleet. Each member keeps links to
-// a few neighbours only: its successor and predecessor on several rings, each
-// ordered by another hash of the member ids. Heartbeats run on these links,
-// news spreads over them, and so the cost per member does not grow with the
-// fleet.
+// Package membership maintains the list of fleet members. Each member keeps links to a
+// few neighbours only: its successor and predecessor on several rings, each ordered by a
+// different hash of the member IDs. Heartbeats and updates travel over these links, so
+// the cost per member does not grow with the fleet.
 //
-// The package is pure: the shell feeds it ticks and messages, and sends what
-// it hands to Effects. All beliefs are soft state. A wrong belief costs quality
-// (who owns a group, which shares apply) and never the at-most-once promise.
+// The package does no I/O: the shell passes in ticks and messages, and sends what the
+// core hands to Effects. All state is soft. A wrong view costs quality (who owns a group,
+// which shares apply) and never breaks the at-most-once guarantee.
 package membership
 
 import (
@@ -19,66 +18,101 @@
 
 // Timing of the protocol.
 const (
-	// TickInterval is how often the shell should call Tick.
+	// TickInterval is how often the shell should call Tick. It must be well below
+	// PauseThreshold, or delayed ticks count as pauses.
 	TickInterval = 250 * time.Millisecond
-	// PingInterval is the time between heartbeats on a link.
+	// PingInterval is the time between heartbeats on a link. A longer one leaves fewer
+	// heartbeats within HeartbeatTimeout; a shorter one adds traffic on each link.
 	PingInterval = time.Second
-	// HeartbeatTimeout is how long a neighbour may be silent before it is suspected.
+	// HeartbeatTimeout is how long a linked neighbour may send nothing before it is
+	// suspected. At PingInterval or below, a single late heartbeat raises a suspicion.
 	HeartbeatTimeout = 3 * time.Second
-	// LostLinkGrace is how long a neighbour may be without a link once it had
-	// one; links are replaced within milliseconds when the process lives.
+	// LostLinkGrace is how long a neighbour whose link was lost may stay without one.
+	// Links are replaced within milliseconds while the process runs; a longer grace only
+	// delays the detection of a crash.
 	LostLinkGrace = time.Second
-	// DialTimeout is how long a first link to a neighbour may take.
+	// DialTimeout is how long the first link to a neighbour may take. A shorter one
+	// suspects running members that are slow to accept a link.
 	DialTimeout = 3 * time.Second
-	// SuspicionTimeout is how long a suspected member has to refute. News crosses
-	// 360 members in well under a second.
+	// SuspicionTimeout is how long a suspected member has to refute. Updates cross 360
+	// members in well under a second; a shorter timeout than the way there and back
+	// declares running members dead.
 	SuspicionTimeout = 2 * time.Second
-	// PauseThreshold is the gap between ticks that counts as a pause.
+	// PauseThreshold is the gap between ticks that counts as a pause. It must be below
+	// HeartbeatTimeout, or a process that resumes suspects its neighbours for its own
+	// pause.
 	PauseThreshold = 2 * time.Second
-	// ProbeInterval is the time between tries to reach a member that is listed
-	// or was alive but is not reachable, so that parts of the fleet find each
-	// other again.
+	// ProbeInterval is the mean time between attempts to reach a member that is listed or
+	// was alive but is unreachable. It bounds how long partitioned parts of the fleet
+	// take to find each other again.
 	ProbeInterval = 5 * time.Second
 
-	probeTimeout        = 4 * time.Second
-	candidateBackoff    = 15 * time.Second
-	suspectBackoff      = 10 * time.Second
-	maxSuspectBackoff   = 60 * time.Second
+	// probeTimeout is how long a probe dials one member. A longer one spends more of the
+	// time on members that are down; a shorter one may give up on a slow link.
+	probeTimeout = 4 * time.Second
+	// candidateBackoff is the first wait, doubled up to maxSuspectBackoff, for which a
+	// listed instance that does not answer stays out of the graph. A shorter one changes
+	// neighbours more often for instances that do not run.
+	candidateBackoff = 15 * time.Second
+	// suspectBackoff is the first time between two suspicions of the same member, doubled
+	// up to maxSuspectBackoff. With shorter ones a path that flaps sends a suspicion and
+	// a refutation through the fleet every few seconds.
+	suspectBackoff    = 10 * time.Second
+	maxSuspectBackoff = 60 * time.Second
+	// suspectBackoffReset is the time after a suspicion at which the backoff starts over.
+	// At maxSuspectBackoff or below, the backoff would be reset between suspicions.
 	suspectBackoffReset = 5 * time.Minute
-	conflictBackoff     = 5 * time.Second
-	syncBackoff         = 2 * time.Second
-	tombstoneTTL        = 2 * time.Hour
-	unlistedGrace       = time.Minute
+	// conflictBackoff is the minimum time between refutations of another process with the
+	// same ID. With a shorter one the two flood the fleet with updates.
+	conflictBackoff = 5 * time.Second
+	// syncBackoff is the minimum time between two comparisons of tables with a peer
+	// because of mismatches. A shorter one repeats them while updates are in transit.
+	syncBackoff = 2 * time.Second
+	// tombstoneTTL is how long a dead or gone member is kept. It bounds how long members
+	// beyond a partition are counted and probed without being listed; a longer one fills
+	// the table with replaced members.
+	tombstoneTTL = 2 * time.Hour
+	// unlistedGrace is how long a dead member that the platform does not list still
+	// counts as running. The list lags, so a shorter one may leave out one that runs.
+	unlistedGrace = time.Minute
 )
 
 // Sizes of the protocol.
 const (
-	// Rings is the number of rings; a member has at most 2*Rings neighbours.
+	// Rings is the number of rings; a member has at most 2*Rings neighbours. Fewer rings
+	// leave fewer paths for updates when members fail, more rings cost more heartbeats.
 	Rings = 3
-	// MaxMembers bounds the table, tombstones included.
+	// MaxMembers bounds the table, tombstones included. Updates about further members are
+	// dropped when no tombstone can be evicted.
 	MaxMembers = 4096
-	// SyncBuckets is the number of digests that two tables are compared by.
+	// SyncBuckets is the number of digests by which two tables are compared. Peers must
+	// use the same number: a sync with another one is ignored.
 	SyncBuckets = 32
 
+	// maxUpdatesPerFrame bounds the updates in a frame; longer lists are split. A larger
+	// frame occupies the link for longer, smaller ones add overhead.
 	maxUpdatesPerFrame = 64
-	mismatchesForSync  = 2
+	// mismatchesForSync is the number of consecutive digest mismatches that starts a
+	// comparison of tables. With 1, every update in transit starts one; each more delays
+	// the repair of a lost update by a heartbeat.
+	mismatchesForSync = 2
 )
 
-// State is what is believed of a member. Later states win over earlier ones
-// of the same epoch.
+// State is the recorded state of a member. Later states supersede earlier ones of the
+// same epoch.
 type State uint8
 
 // States.
 const (
 	// Alive members answer heartbeats.
 	Alive State = iota
-	// Leaving members finish what they hold and take nothing new.
+	// Leaving members finish their work and take no new work.
 	Leaving
-	// Suspect members were silent towards a neighbour and may still refute.
+	// Suspect members failed to answer a neighbour and may still refute.
 	Suspect
 	// Dead members did not refute in time.
 	Dead
-	// Gone members left and said so.
+	// Gone members announced their end.
 	Gone
 )
 
@@ -100,8 +134,8 @@
 	return s <= Suspect
 }
 
-// rank orders the states of one epoch. Alive and Leaving never share an epoch
-// at their source, so they need no order.
+// rank orders the states of one epoch. Alive and Leaving never share an epoch at their
+// source, so they need no order.
 func (s State) rank() int {
 	return max(0, int(s)-int(Leaving))
 }
@@ -112,29 +146,29 @@
 	ID string
 	// Incarnation of its process.
 	Incarnation string
-	// DataCentre the instance stands in.
+	// DataCentre that the instance is located in.
 	DataCentre string
 	// CallerAddress is host and port for callers.
 	CallerAddress string
 	// PeerAddress is host and port for peers.
 	PeerAddress string
-	// State believed.
+	// State as recorded.
 	State State
-	// Epoch orders news of one ID. Only the member itself raises it. A process
-	// may start from the seconds of its wall clock: that orders incarnations
-	// where clocks agree, and refutation corrects it where they do not.
+	// Epoch orders updates about one ID. Only the member itself raises it. A process may
+	// start from the seconds of its wall clock: that orders incarnations where clocks
+	// agree, and refutation corrects the order where they do not.
 	Epoch uint64
 }
 
 // Target is a peer to keep a link to.
 type Target struct {
-	// ID of the instance; empty for a seed of which only the address is known.
+	// ID of the instance; empty for a seed, of which only the address is known.
 	ID string
 	// Address is host and port for peers.
 	Address string
 }
 
-// View is what a member believes of the fleet at one time. It is immutable.
+// View is a member's view of the fleet at one time. It is immutable.
 type View struct {
 	// Version grows with each change.
 	Version uint64
@@ -142,13 +176,13 @@
 	Self Member
 	// Live holds the members that take work, suspects and Self included, by ID.
 	Live []Member
-	// Leaving holds the members that finish what they hold, by ID.
+	// Leaving holds the members that finish their work, by ID.
 	Leaving []Member
-	// Missing holds the members that fell silent and may still run, paused or
-	// in another part of the fleet, by ID.
+	// Missing holds the members that became unresponsive and may still run, paused or in
+	// another part of the fleet, by ID.
 	Missing []Member
-	// Known counts the live members and those that are out of reach but
-	// believed to run in another part of the fleet.
+	// Known counts the live members and those that are unreachable but assumed to run in
+	// another part of the fleet.
 	Known int
 	// Confirmed is false from a start or a pause until a peer has answered.
 	Confirmed bool
@@ -165,7 +199,8 @@
 	return Member{}, false
 }
 
-// FindMissing returns the member if that incarnation fell silent and may still run.
+// FindMissing returns the member if that incarnation became unresponsive and may still
+// run.
 func (v *View) FindMissing(id, incarnation string) (Member, bool) {
 	i, found := slices.BinarySearchFunc(v.Missing, id, compareID)
 	if !found || v.Missing[i].Incarnation != incarnation {
@@ -184,10 +219,10 @@
 	return 0
 }
 
-// Effects is what the core asks of its shell.
+// Effects receives the actions that the core requests of its shell.
 type Effects interface {
-	// SendPeer queues an envelope on the link to a member. It must not block;
-	// an envelope without a link is lost, and later syncs make up for it.
+	// SendPeer queues an envelope on the link to a member. It must not block. An envelope
+	// without a link is dropped; later syncs repair the loss.
 	SendPeer(to string, env *wire.Envelope)
 }
 
@@ -195,19 +230,19 @@
 type Stats struct {
 	// Suspected counts neighbours that this member itself suspected.
 	Suspected uint64
-	// Refuted counts news of its own end that this member refuted.
+	// Refuted counts updates about itself that this member refuted.
 	Refuted uint64
-	// Died counts members that it took for dead.
+	// Died counts members that it declared dead.
 	Died uint64
-	// Accepted and Repeated count updates that were and were not news.
+	// Accepted and Repeated count updates that did and did not change the table.
 	Accepted, Repeated uint64
-	// Syncs counts comparisons of tables it started.
+	// Syncs counts comparisons of tables that it started.
 	Syncs uint64
 	// Pauses counts pauses of its own process.
 	Pauses uint64
-	// Conflicts counts news of another live process with its ID.
+	// Conflicts counts updates about another running process with its ID.
 	Conflicts uint64
-	// Overflows counts news dropped because the table was full.
+	// Overflows counts updates dropped because the table was full.
 	Overflows uint64
 }
 
@@ -218,19 +253,19 @@
 	bucket int
 	digest uint32
 	since  monotime.Instant
-	// left is sticky for an incarnation: a leaving member that falls silent
-	// has left, and is not waited for on the far side of a partition.
+	// left is sticky for an incarnation: a leaving member that becomes unresponsive has
+	// left, and is not assumed to run on the far side of a partition.
 	left bool
-	// listing is what the platform's last list says of the ID.
+	// listing is how the platform's last list names the ID.
 	listing listing
-	// listedLive and listedLeaving say what the platform listed while this
-	// incarnation was known.
+	// listedLive and listedLeaving are set by what the platform listed while this
+	// incarnation was recorded.
 	listedLive, listedLeaving bool
-	// unlisted is set when the platform stopped listing a dead member.
+	// unlisted is set if the platform no longer lists a dead member.
 	unlisted bool
 }
 
-// listing is the platform's word on an ID.
+// listing is how the platform lists an ID.
 type listing uint8
 
 const (
@@ -239,7 +274,7 @@
 	listedAsLeaving
 )
 
-// contact is the direct experience with one peer.
+// contact is the state of this member's own contact with one peer.
 type contact struct {
 	up            bool
 	neighbour     bool
@@ -249,13 +284,13 @@
 	pingedAt      monotime.Instant
 	syncedAt      monotime.Instant
 	mismatches    int
-	// suspected is set once a suspicion was raised, until the peer is heard again.
+	// suspected is set when a suspicion is raised, and cleared when the peer sends again.
 	suspected   bool
 	suspectedAt monotime.Instant
 	backoff     time.Duration
 }
 
-// candidate is a listed instance of which no peer has told.
+// candidate is a listed instance that no peer has reported.
 type candidate struct {
 	id      string
 	address string
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// OnMembers takes news from a peer and passes on what was new, once.
+// OnMembers applies updates from a peer and relays each that changed the table, once.
 func (c *Core) OnMembers(now monotime.Instant, from string, updates []wire.MemberUpdate, eff Effects) {
 	c.detectPause(now, eff)
 	c.receivedFrom(now, from)
@@ -31,9 +31,9 @@
 		}
 		c.stats.Repeated++
 		if e := c.find(m.ID); m.ID == from && e != nil && differs(e.Member, m) {
-			// The subject itself tells something old, for instance that it
-			// lives although it is held for dead: it must learn what it has
-			// to refute.
+			// The subject's update is outdated; for instance it reports itself alive
+			// although it is recorded as dead here. It needs the recorded state to refute
+			// it.
 			corrections = append(corrections, toWire(e.Member))
 		}
 	}
@@ -44,12 +44,12 @@
 	}
 }
 
-// differs reports whether two members stand for different news.
+// differs reports whether two members represent different updates.
 func differs(a, b Member) bool {
 	return a.State != b.State || a.Epoch != b.Epoch || a.Incarnation != b.Incarnation
 }
 
-// onSelfUpdate judges news of this member's own ID and reports whether its
+// onSelfUpdate handles an update about this member's own ID and reports whether its
 // answer must be pushed.
 func (c *Core) onSelfUpdate(now monotime.Instant, m Member) bool {
 	same := m.Incarnation == c.self.Incarnation
@@ -61,9 +61,9 @@
 	}
 	if !same && m.State.present() {
 		c.stats.Conflicts++
-		// Two running processes with one ID would outbid each other at the
-		// speed of the network; a slow pace keeps the fleet usable until
-		// the operators end one of them.
+		// Two running processes with one ID would raise the epoch in turn at the speed of
+		// the network. The limit keeps the fleet usable until the operators end one of
+		// them.
 		if c.epochRaisedAt != 0 && now.Sub(c.epochRaisedAt) < conflictBackoff {
 			return false
 		}
@@ -74,7 +74,7 @@
 	return true
 }
 
-// newer reports whether news m outranks what entry e holds.
+// newer reports whether update m supersedes entry e.
 func newer(m Member, e *entry) bool {
 	if m.Epoch != e.Epoch {
 		return m.Epoch > e.Epoch
@@ -85,8 +85,7 @@
 	return m.State.rank() > e.State.rank()
 }
 
-// merge takes one piece of news of another member and returns its row when
-// the table changed.
+// merge applies one update about another member and returns its row if the table changed.
 func (c *Core) merge(now monotime.Instant, m Member) *entry {
 	e := c.find(m.ID)
 	if e == nil {
@@ -96,9 +95,9 @@
 		return nil
 	}
 	if m.State == Dead && e.State.present() {
-		// Another part of the fleet may hold a member for dead that this
-		// part works with. It gets the time to refute here too, so that a
-		// healing partition does not empty the views of both parts.
+		// Another part of the fleet may have declared dead a member that this part works
+		// with. The member gets the time to refute here too; without it a healing
+		// partition would empty the views of both parts.
 		m.State = Suspect
 		if e.State == Suspect && e.Epoch == m.Epoch && e.Incarnation == m.Incarnation {
 			return nil
@@ -114,7 +113,7 @@
 	return e
 }
 
-// insert adds a row for a member that was not known.
+// insert adds a row for a member that has none.
 func (c *Core) insert(now monotime.Instant, m Member) *entry {
 	if m.State == Suspect || m.State.present() && m.PeerAddress == "" {
 		return nil
@@ -149,7 +148,7 @@
 	return true
 }
 
-// set changes a row.
+// set replaces the contents of a row.
 func (c *Core) set(now monotime.Instant, e *entry, m Member) {
 	c.updateGraph(e, m)
 	if m.State == Alive {
@@ -163,7 +162,7 @@
 	c.viewDirty = true
 }
 
-// push sends news to the linked neighbours, except to the one it came from.
+// push sends updates to the linked neighbours, except to the one they came from.
 func (c *Core) push(updates []wire.MemberUpdate, from string, eff Effects) {
 	if len(updates) == 0 {
 		return
@@ -186,7 +185,7 @@
 	}
 }
 
-// sendSync tells a peer of this member and compares tables with it.
+// sendSync sends a peer this member's own update and starts a comparison of tables.
 func (c *Core) sendSync(now monotime.Instant, to string, ct *contact, eff Effects) {
 	c.stats.Syncs++
 	ct.syncedAt = now
@@ -197,8 +196,8 @@
 	})
 }
 
-// OnSync answers a comparison of tables with the rows of each bucket that
-// differs. The asker then answers the answer, so that both sides learn.
+// OnSync answers a comparison of tables with the rows of each bucket that differs. The
+// requester then answers the reply, so both sides receive the differences.
 func (c *Core) OnSync(now monotime.Instant, from string, sync *wire.MemberSync, eff Effects) {
 	c.detectPause(now, eff)
 	c.receivedFrom(now, from)
@@ -221,9 +220,9 @@
 	}
 }
 
-// buckets returns the digests of the table, not to be changed. Tombstones are
-// left out: members forget them at different times. Dead against alive still
-// differs.
+// buckets returns the digests of the table, which must not be modified. Tombstones are
+// left out, because members drop them at different times. A member that is dead here and
+// alive there still makes a difference.
 func (c *Core) buckets() []int {
 	if c.bucketDigests != nil {
 		return c.bucketDigests
@@ -263,7 +262,7 @@
 	return int(hash64(id) % SyncBuckets)
 }
 
-// expire ends suspicions that were not refuted and forgets old tombstones.
+// expire ends suspicions that were not refuted and removes expired tombstones.
 func (c *Core) expire(now monotime.Instant) {
 	for _, e := range c.entries {
 		if e.State == Suspect && now.Sub(e.since) >= SuspicionTimeout {
--- a/internal/overlay/feed.go
+++ b/internal/overlay/feed.go
@@ -9,147 +9,150 @@
 )
 
 const (
-	// keepAlive is the longest time in which a hub sends nothing to a subscriber or to
-	// another hub. It also tells what is in force each time: an instance that does not
-	// read the store hears over two hubs that its version is the newest, and would read
-	// the store itself if that took longer than some hundred milliseconds.
+	// keepAlive is the longest time for which a hub sends nothing to a subscriber or
+	// another hub. Keep-alives also carry the configuration version in force: an instance
+	// that does not read the store receives over two hubs the confirmation that its
+	// version is the newest, and would read the store itself if that took longer than a
+	// few hundred milliseconds.
 	keepAlive = 100 * time.Millisecond
-	// statusInterval is the longest time in which a peer is not told what this
-	// instance has in force, so that one whose watch of the store went silent notices.
+	// statusInterval is the longest time between two reports to a peer of the
+	// configuration in force here. They let a peer whose watch of the store stopped
+	// responding detect it; with a longer interval it detects that later.
 	statusInterval = 500 * time.Millisecond
-	// linksInterval is how often a hub repeats whom it is linked to although nothing
-	// changed, for instances that missed a change.
+	// linksInterval is how often a hub repeats its links although they have not changed,
+	// for instances that missed a change. It bounds how long they use outdated links.
 	linksInterval = 5 * time.Second
 )
 
-// Frame is what is to be sent to some peers.
+// Frame is a list of updates to send to some peers.
 type Frame struct {
 	To      []string
 	Updates []wire.RelayNews
 }
 
-// pendingUpdate is news to be passed on, and since when it is pendingUpdate here.
+// pendingUpdate is an update to relay and the time at which it was received.
 type pendingUpdate struct {
 	update     wire.RelayNews
 	receivedAt monotime.Instant
 }
 
-// outbox is what this instance is going to tell.
+// outbox holds what this instance is going to send.
 type outbox struct {
-	lastNumber int // of its own news
-	// group is news of subscribers, others what came from elsewhere.
+	lastNumber int // of its own updates
+	// group holds updates from subscribers, others those received from elsewhere.
 	group, others []pendingUpdate
-	// newPeers are peers whose links are new.
+	// newPeers are the peers whose links are new.
 	newPeers []wire.RelayMember
-	// sentLinks is what the others were last told of the sentLinks, and when.
+	// sentLinks are the links last sent to the other instances, at linksSentAt.
 	sentLinks   []string
 	linksSentAt monotime.Instant
-	// statusSentAt and feedsSentAt are when all peers, and those that want news, were last told
-	// what is in force.
+	// statusSentAt and feedsSentAt are when the configuration in force was last sent to
+	// all peers, and to those that requested a feed.
 	statusSentAt, feedsSentAt monotime.Instant
 }
 
-// Receipt tells what to do with news that were taken.
+// Receipt describes an accepted update and what to do after it.
 type Receipt struct {
-	// Origin is the instance that the news are of.
+	// Origin is the instance that the update is about.
 	Origin string
-	// Direct says that they came over a link to it.
+	// Direct is set if the update came over a link to its origin.
 	Direct bool
-	// Age is how long before they came what they tell of happened.
+	// Age is the time from the event that the update reports to its arrival.
 	Age time.Duration
-	// Changed asks for a Refresh.
+	// Changed requests a call of Refresh.
 	Changed bool
-	// RequestedFeed is the feed whose state the peer is to be sent, since it has just asked for
-	// it; or FeedUnchanged.
+	// RequestedFeed is the feed whose state must be sent to the peer, which has just
+	// requested it, or FeedUnchanged.
 	RequestedFeed Feed
 }
 
-// Receive takes news from a link. It reports false for those that are to be ignored,
-// because they came before or because their origin is not known.
-func (n *Node) Receive(from string, news *wire.RelayNews, now monotime.Instant) (Receipt, bool) {
+// Receive applies an update from a link. It reports false for an update to ignore,
+// because it was received before or its origin is unknown.
+func (n *Node) Receive(from string, update *wire.RelayNews, now monotime.Instant) (Receipt, bool) {
 	m := n.members[from]
 	if m == nil || !m.linked {
 		return Receipt{}, false
 	}
 	m.receivedAt = now
-	if news.SentMS > 0 {
-		m.clock.observe(int64(news.SentMS), now)
-	}
-	out := Receipt{Origin: from, Direct: true, Age: m.clock.excessDelay + milliseconds(news.HeldMS)}
-	if news.Origin == "" {
-		out.Changed = n.mergeMembers(news.Members, now)
-		out.Changed = n.mergeLeaving(m, news) || out.Changed
-		out.Changed = n.mergeNeighbours(m, news) || out.Changed
-		out.RequestedFeed = n.setOutFeed(m, Feed(news.Feed), &out.Changed)
+	if update.SentMS > 0 {
+		m.clock.observe(int64(update.SentMS), now)
+	}
+	out := Receipt{Origin: from, Direct: true, Age: m.clock.excessDelay + milliseconds(update.HeldMS)}
+	if update.Origin == "" {
+		out.Changed = n.mergeMembers(update.Members, now)
+		out.Changed = n.mergeLeaving(m, update) || out.Changed
+		out.Changed = n.mergeNeighbours(m, update) || out.Changed
+		out.RequestedFeed = n.setOutFeed(m, Feed(update.Feed), &out.Changed)
 		return out, true
 	}
-	origin := n.incarnations[news.Origin]
+	origin := n.incarnations[update.Origin]
 	if origin == nil {
-		// What came is lost; the members that the peer tells then make the next count.
-		out.Changed = news.Origin != n.self.Incarnation
+		// The update is lost. Once the peer has sent its members, the next one counts.
+		out.Changed = update.Origin != n.self.Incarnation
 		n.unknownOrigin = n.unknownOrigin || out.Changed
 		return out, false
 	}
-	if !n.advance(origin, news) {
+	if !n.advance(origin, update) {
 		return out, false
 	}
 	out.Origin, out.Direct = origin.ID, origin == m
-	out.Changed = n.mergeMembers(news.Members, now)
-	out.Changed = n.mergeLeaving(origin, news) || out.Changed
+	out.Changed = n.mergeMembers(update.Members, now)
+	out.Changed = n.mergeLeaving(origin, update) || out.Changed
 	if !origin.linked {
-		// One with a link tells its neighbours over that, and what others passed on may
-		// be older.
-		out.Changed = n.mergeNeighbours(origin, news) || out.Changed
+		// An origin with a link sends its neighbours over that link; relayed ones may be
+		// older.
+		out.Changed = n.mergeNeighbours(origin, update) || out.Changed
 	}
-	if len(news.Begun) > 0 && !news.Whole {
+	if len(update.Begun) > 0 && !update.Whole {
 		n.staleness.observe(out.Age, now)
 	}
-	n.queueForRelay(m, news, out.Age, now)
+	n.queueForRelay(m, update, out.Age, now)
 	return out, true
 }
 
-// advance reports whether the news of an origin are newer than those taken. The state
-// of an origin counts once for each number. It is passed on like news: when a hub is
-// lost, so are news that it had not sent yet, and ends among them would leave runs
-// in the minds of all others.
-func (n *Node) advance(origin *member, news *wire.RelayNews) bool {
-	if news.Whole {
-		if news.Number < origin.lastNumber || news.Number < origin.nextStateNumber {
+// advance reports whether an update is newer than those accepted from its origin. A full
+// state is accepted once for each number. It is relayed like any update: a lost hub loses
+// the updates that it had not sent yet, and if ends of runs were among them, all other
+// instances would keep recording those runs.
+func (n *Node) advance(origin *member, update *wire.RelayNews) bool {
+	if update.Whole {
+		if update.Number < origin.lastNumber || update.Number < origin.nextStateNumber {
 			return false
 		}
-		origin.lastNumber, origin.nextStateNumber = news.Number, news.Number+1
+		origin.lastNumber, origin.nextStateNumber = update.Number, update.Number+1
 		return true
 	}
-	if news.Number <= origin.lastNumber {
+	if update.Number <= origin.lastNumber {
 		return false
 	}
 	if origin.lastNumber > 0 {
-		n.missedUpdates += news.Number - origin.lastNumber - 1
+		n.missedUpdates += update.Number - origin.lastNumber - 1
 	}
-	origin.lastNumber = news.Number
+	origin.lastNumber = update.Number
 	return true
 }
 
-func (n *Node) mergeLeaving(m *member, news *wire.RelayNews) (changed bool) {
-	changed = news.Leaving && !m.leaving
-	m.leaving = m.leaving || news.Leaving
+func (n *Node) mergeLeaving(m *member, update *wire.RelayNews) (changed bool) {
+	changed = update.Leaving && !m.leaving
+	m.leaving = m.leaving || update.Leaving
 	return changed
 }
 
-func (n *Node) mergeNeighbours(m *member, news *wire.RelayNews) (changed bool) {
-	if len(news.Neighbours) == 0 || slices.Equal(m.neighbours, news.Neighbours) {
+func (n *Node) mergeNeighbours(m *member, update *wire.RelayNews) (changed bool) {
+	if len(update.Neighbours) == 0 || slices.Equal(m.neighbours, update.Neighbours) {
 		return false
 	}
-	m.neighbours = news.Neighbours
+	m.neighbours = update.Neighbours
 	return true
 }
 
-// Greeting is what a peer is told first over a new link.
+// Greeting returns the first message to a peer over a new link.
 func (n *Node) Greeting() wire.RelayNews {
 	return wire.RelayNews{Members: n.Reachable(), Neighbours: n.out.sentLinks, Leaving: n.leaving}
 }
 
-// setOutFeed notes what a peer wants, and returns the feed whose state it lacks.
+// setOutFeed records the feed that a peer requests, and returns the feed whose state the
+// peer lacks.
 func (n *Node) setOutFeed(m *member, feed Feed, changed *bool) Feed {
 	if feed == FeedUnchanged || feed == m.outFeed {
 		return FeedUnchanged
@@ -163,9 +166,9 @@
 	return FeedUnchanged
 }
 
-// queueForRelay keeps news to be passed on, if there is anybody to pass them on to.
-func (n *Node) queueForRelay(from *member, news *wire.RelayNews, age time.Duration, now monotime.Instant) {
-	relayed := *news
+// queueForRelay keeps an update for relaying if any peer is to receive it.
+func (n *Node) queueForRelay(from *member, update *wire.RelayNews, age time.Duration, now monotime.Instant) {
+	relayed := *update
 	relayed.HeldMS = int(age / time.Millisecond)
 	relayed.SentMS, relayed.ConfigVersion, relayed.Confirmed, relayed.Digest = 0, 0, 0, 0
 	switch {
@@ -176,7 +179,7 @@
 	}
 }
 
-// hasPeerWithFeed reports whether a peer wants that feed.
+// hasPeerWithFeed reports whether a linked peer requested that feed.
 func (n *Node) hasPeerWithFeed(feed Feed) bool {
 	for _, m := range n.list {
 		if m.linked && m.outFeed == feed {
@@ -186,9 +189,9 @@
 	return false
 }
 
-// FeedState returns what a peer that has just asked for a feed lacks of the instances in
-// it: each one's links, and room for the runs of it that are known, which the caller
-// fills in as of now.
+// FeedState returns the state of the instances in a feed, for a peer that has just
+// requested it: the links of each instance, and an entry into which the caller fills the
+// instance's recorded runs as of now.
 func (n *Node) FeedState(to string, feed Feed) []wire.RelayNews {
 	own := wire.RelayNews{Origin: n.self.Incarnation, Number: n.out.lastNumber, Whole: true, Neighbours: n.out.sentLinks, Leaving: n.leaving}
 	out := []wire.RelayNews{own}
@@ -202,8 +205,8 @@
 	return out
 }
 
-// Instance returns the id of the instance of an incarnation; false when it is not
-// known.
+// Instance returns the id of the instance of an incarnation, and false if there is no
+// such member.
 func (n *Node) Instance(incarnation string) (id string, ok bool) {
 	if incarnation == n.self.Incarnation {
 		return n.self.ID, true
--- a/internal/overlay/flush.go
+++ b/internal/overlay/flush.go
@@ -8,20 +8,21 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// HasPending reports whether there is anything to pass on.
+// HasPending reports whether there is anything to relay.
 func (n *Node) HasPending() bool { return len(n.out.group)+len(n.out.others)+len(n.out.newPeers) > 0 }
 
-// StatusDue reports whether something is to be sent although there is no news.
+// StatusDue reports whether a status or keep-alive must be sent although there are no
+// updates.
 func (n *Node) StatusDue(now monotime.Instant) bool {
 	return now.Sub(n.out.statusSentAt) >= statusInterval || n.relaysUpdates() && now.Sub(n.out.feedsSentAt) >= keepAlive
 }
 
-// relaysUpdates reports whether news of others reach some instance over this one.
+// relaysUpdates reports whether updates of others reach some instance through this one.
 func (n *Node) relaysUpdates() bool { return n.hub && !n.mesh || n.hasPeerWithFeed(FeedAll) }
 
-// Flush returns what is to be sent now: own news of what happened here, of which the
-// oldest is since some time, what was held, and to all peers now and then what is in
-// force here. urgent has all of them told now.
+// Flush returns what to send now: own updates, the oldest event of which happened at
+// since, pending updates of others, and periodically the configuration in force here. If
+// urgent is set, the latter goes to all peers now.
 func (n *Node) Flush(own wire.RelayNews, since monotime.Instant, urgent bool, now monotime.Instant) []Frame {
 	statusDue := urgent || now.Sub(n.out.statusSentAt) >= statusInterval
 	keepAliveDue := n.relaysUpdates() && now.Sub(n.out.feedsSentAt) >= keepAlive
@@ -30,8 +31,9 @@
 		header.ConfigVersion, header.Confirmed, header.Digest = own.ConfigVersion, own.Confirmed, own.Digest
 	}
 	hasOwn := n.finishOwn(&own, since, now)
-	// Peers hear of the links whatever they think this instance is: one that took it
-	// for no hub because of links that are gone would never hear that they are.
+	// All peers receive the links, whatever role they assign to this instance. A peer
+	// that takes it for no hub because of links that are gone would otherwise never
+	// receive the correction.
 	header.Neighbours = own.Neighbours
 	statusDue = statusDue || len(header.Neighbours) > 0
 	group := []wire.RelayNews{header}
@@ -50,8 +52,8 @@
 	return n.frames(group, all, statusDue, statusDue || keepAliveDue)
 }
 
-// frames returns what each peer is to be sent: those that want nothing the header
-// alone, and only when it tells what is in force, the others also when there is news.
+// frames returns what to send to each peer. Peers without a feed receive the header only,
+// and only if the status is due; the others also receive updates when there are any.
 func (n *Node) frames(group, all []wire.RelayNews, sendStatus, sendFeeds bool) (out []Frame) {
 	var statusOnly, groupPeers, subscribers []string
 	for _, m := range n.list {
@@ -84,7 +86,8 @@
 	return out
 }
 
-// finishOwn makes own the next numbered news of this instance, if it tells anything.
+// finishOwn makes own the next numbered update of this instance, and reports false if own
+// has no content.
 func (n *Node) finishOwn(own *wire.RelayNews, since, now monotime.Instant) bool {
 	own.ConfigVersion, own.Confirmed, own.Digest = 0, 0, 0
 	if !n.mesh {
@@ -104,13 +107,13 @@
 	return true
 }
 
-// advertisesLinks reports whether this instance tells the others whom it is linked to. One
-// that told once goes on, whatever it is now, so that nobody believes in links that are
-// gone: when a small data centre is cut off it is a mesh, and its instances would go
+// advertisesLinks reports whether this instance sends its links to the others. Once it
+// has done so it continues in any role, because the others must not keep links that are
+// gone: when a small data centre is cut off it becomes a mesh, and its instances would go
 // on naming those outside to callers.
 func (n *Node) advertisesLinks() bool { return n.hub && !n.mesh || n.out.linksSentAt != 0 }
 
-// linksDue returns the links that the others are to be told of, if they are.
+// linksDue returns the links if they are due to be sent to the others, or else nil.
 func (n *Node) linksDue(now monotime.Instant) []string {
 	if !n.advertisesLinks() {
 		return nil
@@ -134,7 +137,7 @@
 	return out
 }
 
-// LinksChanged reports whether the others are to be told of links soon.
+// LinksChanged reports whether changed links are due to be sent to the others.
 func (n *Node) LinksChanged() bool {
 	return n.advertisesLinks() && !slices.Equal(n.linkedIncarnations(), n.out.sentLinks)
 }
--- a/internal/overlay/links.go
+++ b/internal/overlay/links.go
@@ -9,30 +9,36 @@
 )
 
 const (
-	// hubLinks is the number of hubs that an instance keeps links to: one to
-	// subscribe to and one to change to.
+	// hubLinks is the number of hubs to which an instance keeps links: one to subscribe
+	// to and one to fail over to. With one, a lost hub leaves no link.
 	hubLinks = 2
-	// maxHubDials bounds the links that are tried at the same time for them.
+	// maxHubDials bounds the hub links that are dialled at the same time. A smaller bound
+	// delays failover while the preferred hubs are dead, a larger one opens more links
+	// than are needed.
 	maxHubDials = 4
-	// dialWindow is how long a link is tried before others go first, and avoidTime for
-	// how long they do: a handshake takes some milliseconds, and the hub may be dead.
+	// dialWindow is how long a hub is dialled before others are preferred, and
+	// avoidDuration for how long they are. A handshake takes some milliseconds and the
+	// hub may be dead: a longer window delays failover, a shorter one may skip a hub that
+	// is merely slow.
 	dialWindow    = 400 * time.Millisecond
 	avoidDuration = 2 * time.Second
-	// dialersPerLostMember is the number of hubs that try to reach a lost instance that was
-	// none itself. A process that starts again may know nobody but seeds that are down.
+	// dialersPerLostMember is the number of hubs that dial a lost instance which was not
+	// a hub. A process that restarts may have only seeds that are down; without these
+	// hubs no link to it would be opened.
 	dialersPerLostMember = 2
-	// surplusGrace is how long a link is kept that is not needed. Instances that start
-	// together take a moment to agree who is a hub.
+	// surplusGrace is how long a link that is not needed is kept. Instances that start
+	// together take a moment to agree on the hubs; a shorter time closes links that are
+	// needed again.
 	surplusGrace = 2 * time.Second
 )
 
-// Target is an instance to keep a link to; ID is empty when only its address is known.
+// Target is an instance to keep a link to; ID is empty if only its address is known.
 type Target struct {
 	ID, Address string
 }
 
-// LinkTargets returns the links to keep or to open: those that are needed, and those that
-// peers opened, which would count as unused otherwise.
+// LinkTargets returns the links to keep or to open: the needed ones, and those that peers
+// opened, which would count as unused otherwise.
 func (n *Node) LinkTargets(now monotime.Instant) []Target {
 	needed := n.neededLinks(now)
 	var out []Target
@@ -55,8 +61,8 @@
 	return out
 }
 
-// SurplusLinks returns the peers whose links have not been needed for a while, by this
-// instance or, as far as it asked, by the peer.
+// SurplusLinks returns the peers whose links have not been needed for a while, neither by
+// this instance nor by the peer, as far as feeds were requested.
 func (n *Node) SurplusLinks(now monotime.Instant) []string {
 	needed := n.neededLinks(now)
 	var out []string
@@ -73,7 +79,7 @@
 	return out
 }
 
-// trackDialing has others go first when a link is wanted in vain.
+// trackDialing gives other instances precedence when a needed link could not be opened.
 func (n *Node) trackDialing(m *member, needed bool, now monotime.Instant) {
 	switch {
 	case !needed || m.linked:
@@ -85,7 +91,7 @@
 	}
 }
 
-// neededLinks returns the members that this instance needs links to.
+// neededLinks returns the members to which this instance needs links.
 func (n *Node) neededLinks(now monotime.Instant) map[*member]bool {
 	out := make(map[*member]bool)
 	switch {
@@ -114,7 +120,7 @@
 	return out
 }
 
-// dialsLostMember reports whether this hub is one of those that try to reach a lost member.
+// dialsLostMember reports whether this hub is one of those that dial a lost member.
 func (n *Node) dialsLostMember(lost *member) bool {
 	closer := 0
 	own := hubScore(lost.ID, &member{RelayMember: n.self})
@@ -126,9 +132,9 @@
 	return closer < dialersPerLostMember
 }
 
-// primaryCandidates returns the members that this instance may subscribe to, in the order
-// in which it prefers them: hubs of its data centre, other hubs, and where there are
-// few of these other instances, in the hope that they know one.
+// primaryCandidates returns the members that this instance may subscribe to, in order of
+// preference: hubs of its data centre, other hubs, and, if hubs are few, other instances,
+// which may report more hubs.
 func (n *Node) primaryCandidates(now monotime.Instant) []*member {
 	var out, others []*member
 	for _, m := range n.list {
--- a/internal/overlay/network_test.go
+++ b/internal/overlay/network_test.go
@@ -12,7 +12,7 @@
 	"basilrudder/internal/vtime"
 )
 
-// Times of the network that the tests play.
+// Timing of the simulated network.
 const (
 	delayInDataCentre       = 300 * time.Microsecond
 	delayBetweenDataCentres = 1200 * time.Microsecond
@@ -25,7 +25,7 @@
 	maxClockSkew            = int64(time.Hour)
 )
 
-// network plays instances, the links between them and what goes wrong.
+// network simulates instances, the links between them and faults.
 type network struct {
 	t      *testing.T
 	loop   vtime.Loop
@@ -33,11 +33,11 @@
 	nodes  map[string]*instance
 	order  []string
 	seeds  []string
-	// cut reports whether nothing gets from one instance to another.
+	// cut reports whether messages from one instance to another are lost.
 	cut func(from, to string) bool
-	// slow is what a message takes beyond the usual.
+	// slow is the additional delay of a message.
 	slow func(from, to string) time.Duration
-	// deliveredAt has when each instance deliveredAt of each run.
+	// deliveredAt holds when each instance received each run.
 	deliveredAt map[runKey]map[string]monotime.Instant
 	begunAt     map[runKey]monotime.Instant
 }
@@ -51,7 +51,7 @@
 	net            *network
 	member         wire.RelayMember
 	node           *Node
-	skew           int64 // of its steady clock
+	skew           int64 // of its monotonic clock
 	up             bool
 	frozen         bool
 	links          map[string]*linkEnd
@@ -62,7 +62,8 @@
 	since          monotime.Instant
 	runs           int
 	flushes        int
-	// messages handled, in and out, and runs known of others.
+	// messages counts messages sent and received; recordedRuns holds the runs of others,
+	// and its own, that are recorded as running.
 	messages     int
 	recordedRuns map[runKey]bool
 	lost         map[string]int
@@ -73,7 +74,7 @@
 	to          string
 	dialer      bool
 	open        bool
-	lastArrival monotime.Instant // of the last message sent, so that none overtakes it
+	lastArrival monotime.Instant // of the last message sent, which later ones must not bypass
 	receivedAt  monotime.Instant
 }
 
@@ -101,7 +102,7 @@
 
 func (net *network) now() monotime.Instant { return net.loop.Now() }
 
-// start starts the process of an instance anew.
+// start starts the process of an instance with a new incarnation.
 func (i *instance) start() {
 	i.runs += 1000
 	i.member.Incarnation = fmt.Sprintf("%s/%d", i.member.ID, i.runs)
@@ -115,7 +116,7 @@
 	i.every(tickInterval, incarnation, i.tick)
 }
 
-// every calls do while the process lives and is not frozen.
+// every calls do every d while the process runs and is not frozen.
 func (i *instance) every(d time.Duration, incarnation string, do func()) {
 	i.net.loop.After(d, func() {
 		if !i.up || i.member.Incarnation != incarnation {
@@ -128,7 +129,7 @@
 	})
 }
 
-// clock is the instance's own steady clock.
+// clock is the instance's own monotonic clock.
 func (i *instance) clock() monotime.Instant { return i.net.now().Add(time.Duration(i.skew)) }
 
 func (i *instance) tick() {
@@ -143,7 +144,7 @@
 			i.net.breakLink(i, i.net.nodes[id])
 		}
 	}
-	// A sign of life on every link, as the links send it.
+	// A keep-alive on every link, as the link layer sends it.
 	for _, to := range slices.Sorted(mapKeys(i.links)) {
 		i.transmit(to, nil)
 	}
@@ -162,7 +163,7 @@
 	}
 }
 
-// scheduleRefresh gathers changes for a moment, as a process does.
+// scheduleRefresh combines changes within refreshDelay, as a real process does.
 func (i *instance) scheduleRefresh() {
 	if i.refreshDue {
 		return
@@ -262,7 +263,7 @@
 	i.scheduleRefresh()
 }
 
-// transmit sends a message over a link; nil news are a sign of life.
+// transmit sends a message over a link; nil updates are a keep-alive.
 func (i *instance) transmit(to string, updates []wire.RelayNews) {
 	p := i.links[to]
 	if p == nil || !p.open {
@@ -358,7 +359,7 @@
 	i.flushAfter(i.node.BatchDelay(), i.flushes)
 }
 
-// flushAfter sends what was gathered later, unless something else sent it before.
+// flushAfter sends the batch after d, unless another flush has sent it before.
 func (i *instance) flushAfter(d time.Duration, flushes int) {
 	incarnation := i.member.Incarnation
 	i.net.loop.After(d, func() {
@@ -383,7 +384,7 @@
 	}
 }
 
-// begin begins a run, which ends later.
+// begin begins a run, which ends after lasts.
 func (i *instance) begin(lasts time.Duration) runKey {
 	i.runs++
 	key := runKey{i.member.ID, i.runs}
@@ -409,7 +410,7 @@
 	i.scheduleFlush()
 }
 
-// kill ends a process; its peers see their links reset.
+// kill ends a process; its peers receive a reset on their links.
 func (i *instance) kill() {
 	i.up = false
 	for _, to := range slices.Sorted(mapKeys(i.links)) {
@@ -421,7 +422,8 @@
 	i.links = make(map[string]*linkEnd)
 }
 
-// startAll starts all instances within 300 ms and lets them find each other.
+// startAll starts all instances within 300 ms and runs until they had time to find each
+// other.
 func (net *network) startAll(settle time.Duration) {
 	for _, id := range net.order {
 		net.loop.After(time.Duration(net.random.Int64N(int64(300*time.Millisecond))), net.nodes[id].start)
@@ -429,7 +431,7 @@
 	net.loop.Run(settle)
 }
 
-// load has every instance that lives begin runs for a while, perSecond on the average.
+// load has every running instance begin perSecond runs on average for a while.
 func (net *network) load(length time.Duration, perSecond float64) []runKey {
 	var out []runKey
 	for _, id := range net.order {
@@ -445,8 +447,8 @@
 	return out
 }
 
-// delays returns after how long nine in ten of the others had heard of each run, in
-// order; a run of which fewer heard counts as hour.
+// delays returns, sorted, the time until nine in ten of the other instances received each
+// run; a run that fewer received counts as an hour.
 func (net *network) delays(runs []runKey) []time.Duration {
 	var out []time.Duration
 	running := 0
--- a/internal/overlay/norace_test.go
+++ b/internal/overlay/norace_test.go
@@ -2,8 +2,8 @@
 
 package overlay
 
-// largestFleet is the size of the target.
+// largestFleet is the target size of a fleet.
 const largestFleet = 360
 
-// largeFleet is the size of the fleets to which something happens.
+// largeFleet is the size of the fleets in tests that inject faults.
 const largeFleet = 95
--- a/internal/overlay/overlay.go
+++ b/internal/overlay/overlay.go
@@ -1,18 +1,20 @@
-// Package overlay decides which relaying instances are linked, and over which links
-// the news of each one reach all others.
+// Package overlay decides which instances are linked, and over which links the updates of
+// each one reach all others.
 //
-// In a small fleet every instance is linked to every other one and tells it
-// directly. In a larger one that would be a message for each pair of instances, so
+// In a small fleet every instance is linked to every other one and sends updates
+// directly. In a larger fleet that would take one message for each pair of instances, so
 // some instances of each data centre act as hubs. Hubs are linked to each other. Any
-// other instance is linked to two hubs and subscribes to one of them: it tells the hub
-// its news, and hears from it those of all others. A hub gathers what it hears for some
-// milliseconds and passes it on in one message, to the other hubs what its own
-// subscribers told, and to its subscribers everything. So news take three hops.
+// other instance is linked to two hubs and subscribes to one of them: it sends its
+// updates to that hub and receives the updates of all others from it. A hub batches what
+// it receives for some milliseconds. It sends the updates of its own subscribers to the
+// other hubs, and all updates to its subscribers, each in one message. An update
+// therefore takes three hops.
 //
-// Nothing is elected: each instance works out the hubs from the members that it
-// knows, and what a peer sends follows from what the receiver asked it for. While two
-// instances disagree on who is a hub, news take another way or come late; a receiver
-// takes each news of an origin once, by its number, so they never count twice.
+// There is no election: each instance computes the hubs from the members it has recorded,
+// and what a peer sends depends on the feed that the receiver requested. While two
+// instances disagree on who is a hub, updates take another path or arrive late. Updates
+// are numbered by their origin and a receiver applies each number once, so none is
+// counted twice.
 //
 // A Node is not safe for concurrent use, reads no clock and sends nothing itself.
 package overlay
@@ -28,54 +30,56 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Feed is what an instance wants of the news of a peer.
+// Feed is the set of updates that an instance requests from a peer.
 type Feed int
 
-// Feeds, as they stand in messages.
+// Feeds, as encoded in messages.
 const (
-	// FeedUnchanged: nothing is asked.
+	// FeedUnchanged: no request.
 	FeedUnchanged Feed = iota
-	// FeedNone: only what the peer says of itself now and then.
+	// FeedNone: only the peer's own status, sent periodically.
 	FeedNone
-	// FeedGroup: the news of the peer and of its subscribers.
+	// FeedGroup: the updates of the peer and of its subscribers.
 	FeedGroup
-	// FeedAll: all news that the peer hears. Who asks for it is a subscriber.
+	// FeedAll: all updates that the peer receives. An instance that requests it is a
+	// subscriber.
 	FeedAll
 )
 
 const (
-	// maxMeshSize is the largest fleet in which all are linked to each other: a message
-	// to 15 peers costs less than three hops take.
+	// maxMeshSize is the largest fleet in which all instances are linked to each other.
+	// Up to it, a message to 15 peers costs less than the delay of three hops.
 	maxMeshSize = 16
-	// MemberTTL is how long an instance that is not reached is still known: the
-	// longest restart of a machine and some more.
+	// MemberTTL is how long an unreachable instance is kept. It exceeds the longest
+	// restart of a machine; a shorter one would drop instances that are restarting.
 	MemberTTL = time.Minute
-	// detachedGrace is how long an instance without any link goes on believing in the
-	// others. Both of its hubs may be killed at once; it has new ones within some
-	// hundred milliseconds, and would forget all that runs on the servers otherwise.
+	// detachedGrace is how long an instance without any link goes on treating the others
+	// as reachable. Both of its hubs may be killed at once, and it has new ones within
+	// some hundred milliseconds; a shorter time would make it discard all recorded runs
+	// on the servers.
 	detachedGrace = time.Second
 )
 
-// Node is what one instance knows of the others and of the ways to them.
+// Node is one instance's state of the others and of the paths to them.
 type Node struct {
 	self    wire.RelayMember
 	seeds   []string
 	members map[string]*member // by instance id
-	list    []*member          // the same, in the order of their ids
-	// incarnations has the same members by the incarnation of their process.
+	list    []*member          // the same, sorted by id
+	// incarnations holds the same members by the incarnation of their process.
 	incarnations map[string]*member
 
 	leaving bool
-	// mesh, hub: what this instance was at the last Refresh.
+	// mesh and hub are the role of this instance as of the last Refresh.
 	mesh, hub          bool
-	primary            string // the hub subscribed to, of an instance that is none
+	primary            string // the hub that a subscriber subscribes to
 	detachedSince      monotime.Instant
-	unknownOrigin      bool // an incarnation was heard of that is no member's
+	unknownOrigin      bool // an incarnation that is no member's was received
 	membersRequestedAt monotime.Instant
 
 	out           outbox
 	staleness     staleness
-	missedUpdates int // news that never came
+	missedUpdates int // updates that never arrived
 }
 
 // member is another instance.
@@ -83,31 +87,33 @@
 	wire.RelayMember
 	linked  bool
 	leaving bool
-	// reachable: it can be reached over the links that are known of.
+	// reachable is set if a path over recorded links leads to the member.
 	reachable bool
-	// hub as of the last Refresh. It stays when the member is lost.
+	// hub is as of the last Refresh. It is kept when the member is lost.
 	hub    bool
 	lostAt monotime.Instant
-	// receivedAt is when something last came over its link.
+	// receivedAt is when something last came over the member's link.
 	receivedAt monotime.Instant
-	// outFeed is what it inFeed of this instance, inFeed what this one inFeed of it.
+	// outFeed is what the member requested from this instance, inFeed what this instance
+	// requested from it.
 	outFeed, inFeed Feed
-	// neighbours are the incarnations that it says it is linked to.
+	// neighbours are the incarnations of the peers that it reports links to.
 	neighbours []string
-	// lastNumber is the number of its lastNumber news that was taken, and nextStateNumber that of the lastNumber
-	// state that was, plus one.
+	// lastNumber is the number of its last accepted update, and nextStateNumber the
+	// lowest number at which a full state is accepted.
 	lastNumber, nextStateNumber int
 	clock                       linkClock
-	// hash orders members of the same strength, and affinity those that this instance
-	// may subscribe to; least first.
+	// hash orders members of equal capacity, and hubScore the hubs that this instance may
+	// subscribe to; lowest first.
 	hash     uint64
 	hubScore float64
-	// dialingSince is since when a link is wanted in vain, avoidUntil when it is tried
-	// first again, and surplusSince since when a link is not needed; 0 for neither.
+	// dialingSince is since when a needed link has been missing, avoidUntil the end of
+	// the time in which others are dialled first, and surplusSince when the link ceased
+	// to be needed. 0 means none.
 	dialingSince, avoidUntil, surplusSince monotime.Instant
 }
 
-// New returns the Node of an instance that knows nobody.
+// New returns the Node of an instance with no members.
 func New(self wire.RelayMember, seeds []string, now monotime.Instant) *Node {
 	return &Node{
 		self: self, seeds: seeds, mesh: true, detachedSince: now,
@@ -118,11 +124,11 @@
 // SetSeeds replaces the addresses to start from.
 func (n *Node) SetSeeds(seeds []string) { n.seeds = seeds }
 
-// Self returns what others are told of this instance.
+// Self returns how this instance describes itself to others.
 func (n *Node) Self() wire.RelayMember { return n.self }
 
-// LinkUp notes an open link. It reports whether the peer's former process is gone,
-// of which nothing holds any more.
+// LinkUp records an open link. It reports whether it replaced the peer's former process,
+// whose state must be discarded.
 func (n *Node) LinkUp(peer wire.RelayMember, now monotime.Instant) (replaced bool) {
 	m := n.members[peer.ID]
 	if m == nil || m.Incarnation != peer.Incarnation {
@@ -137,7 +143,7 @@
 	return replaced
 }
 
-// LinkDown notes that a link ended.
+// LinkDown records that a link ended.
 func (n *Node) LinkDown(id string, now monotime.Instant) {
 	m := n.members[id]
 	if m == nil || !m.linked {
@@ -150,10 +156,10 @@
 	}
 }
 
-// Leave notes that this instance is leaving: it is no hub for others any more.
+// Leave records that this instance is leaving: it no longer acts as a hub.
 func (n *Node) Leave() { n.leaving = true }
 
-// replaceMember makes told the member of its id, in place of another process's.
+// replaceMember makes peer the member of its id, in place of another process's.
 func (n *Node) replaceMember(peer wire.RelayMember) *member {
 	n.removeMember(peer.ID)
 	m := &member{RelayMember: peer, hash: hash(peer.ID)}
@@ -175,8 +181,8 @@
 	n.list = slices.DeleteFunc(n.list, func(m *member) bool { return m == old })
 }
 
-// mergeMembers takes the members that a peer tells of. A process is not replaced while it can
-// be reached: old news of an earlier one may still be on the way.
+// mergeMembers adds the members that a peer reports. A process is not replaced while it
+// is reachable: outdated updates of an earlier one may still arrive.
 func (n *Node) mergeMembers(members []wire.RelayMember, now monotime.Instant) (changed bool) {
 	for _, t := range members {
 		if t.ID == n.self.ID || t.ID == "" || t.Incarnation == "" {
@@ -191,7 +197,7 @@
 	return changed
 }
 
-// Linked returns the ids of the peers with a link, in order.
+// Linked returns the ids of the peers with a link, sorted.
 func (n *Node) Linked() []string {
 	var out []string
 	for _, m := range n.list {
@@ -202,7 +208,7 @@
 	return out
 }
 
-// Reachable returns this instance and those that can be reached.
+// Reachable returns this instance and the reachable members.
 func (n *Node) Reachable() []wire.RelayMember {
 	out := []wire.RelayMember{n.self}
 	for _, m := range n.list {
@@ -213,7 +219,7 @@
 	return out
 }
 
-// Staying returns the other instances that can be reached and do not leave.
+// Staying returns the other instances that are reachable and not leaving.
 func (n *Node) Staying() []wire.RelayMember {
 	var out []wire.RelayMember
 	for _, m := range n.list {
@@ -224,10 +230,10 @@
 	return out
 }
 
-// Sharers returns the ids of the instances, in order and this one among them, that a
-// limit of the whole fleet is shared out to: those that can be reached. When those are
-// fewer than half of the known ones, this instance is likely cut off from the others,
-// which go on sending what is theirs; so the lost ones still count.
+// Sharers returns the sorted ids of the instances, this one included, among which a limit
+// of the whole fleet is divided: the reachable ones. If those are fewer than half of the
+// recorded ones, this instance is probably cut off from the others, which go on using
+// their shares; in that case the unreachable ones count as well.
 func (n *Node) Sharers() []string {
 	reached := n.Reachable()
 	if 2*len(reached) >= n.MemberCount() {
@@ -249,14 +255,14 @@
 	return out
 }
 
-// MemberCount returns the number of instances that can be reached or could be lately, this
-// one among them.
+// MemberCount returns the number of instances that are reachable or were recently,
+// including this one.
 func (n *Node) MemberCount() int { return 1 + len(n.members) }
 
-// MissedUpdates returns how many news of other instances never came.
+// MissedUpdates returns how many updates of other instances never arrived.
 func (n *Node) MissedUpdates() int { return n.missedUpdates }
 
-// Role describes what the instance does for the others, for logs.
+// Role names what the instance does for the others, for logs.
 func (n *Node) Role() string {
 	switch {
 	case n.mesh:
@@ -268,11 +274,11 @@
 	}
 }
 
-// Primary returns the hub that this instance subscribes to, if any.
+// Primary returns the hub that this instance subscribes to, or the empty string.
 func (n *Node) Primary() string { return n.primary }
 
-// Rank returns this instance's place in an order of the reachable ones on which all
-// agree, hubs first, and how many they are.
+// Rank returns this instance's place in an order of the reachable instances that all
+// agree on, hubs first, and the number of instances in it.
 func (n *Node) Rank() (place, of int) {
 	self := &member{RelayMember: n.self, hash: hash(n.self.ID), hub: n.hub}
 	of = 1
--- a/internal/overlay/overlay_test.go
+++ b/internal/overlay/overlay_test.go
@@ -14,15 +14,15 @@
 
 func everySixth(n int) bool { return n%6 == 0 }
 
-// A request is placed by one of many instances. The others place theirs with what
-// they know, so a choice has to be known to nearly all of them before an engine has
-// made many steps, whatever the size of the fleet. What each handles must not grow
-// with the size, or a large fleet would do nothing else.
+// Instances place requests based on the placements received from others. A placement must
+// reach nearly all of them before an engine has made many steps, at any fleet size. The
+// messages per instance must not grow with the size, or a large fleet would be busy with
+// them alone.
 func TestUpdateDelayAndMessageRateAreBoundedAtAnySize(t *testing.T) {
 	for _, c := range []struct {
 		size, dataCentres int
 		maxDelay          time.Duration
-		messages          float64 // a second, of an instance on the average
+		messages          float64 // per second and instance, on average
 	}{
 		{8, 3, 25 * time.Millisecond, 700},
 		{60, 3, 40 * time.Millisecond, 400},
@@ -48,19 +48,19 @@
 		}
 		seconds := (length + time.Second).Seconds()
 		mean := float64(total) / float64(c.size) / seconds
-		t.Logf("%d instances: known to nine in ten after %v in the median, %v for 99 in 100; messages a second: mean %.0f, busiest %.0f",
+		t.Logf("%d instances: nine in ten received a run after %v in the median, %v for 99 in 100; messages per second: mean %.0f, busiest %.0f",
 			c.size, quantileOf(delays, 0.5), quantileOf(delays, 0.99), mean, float64(busiest)/seconds)
 		if got := quantileOf(delays, 0.9); got > c.maxDelay {
-			t.Errorf("%d instances: nine in ten choices are known after %v, want %v", c.size, got, c.maxDelay)
+			t.Errorf("%d instances: nine in ten runs took up to %v to reach the others, want at most %v", c.size, got, c.maxDelay)
 		}
 		if mean > c.messages {
-			t.Errorf("%d instances: %.0f messages a second, want at most %.0f", c.size, mean, c.messages)
+			t.Errorf("%d instances: %.0f messages per second and instance, want at most %.0f", c.size, mean, c.messages)
 		}
 	}
 }
 
-// checkReachability checks that each instance that lives can be reached from each other one, and
-// none that does not live is believed in.
+// checkReachability checks that each running instance reaches each other running one, and
+// none treats one that is down as reachable.
 func checkReachability(t *testing.T, net *network) {
 	t.Helper()
 	for _, id := range net.order {
@@ -74,27 +74,28 @@
 		}
 		for _, other := range net.order {
 			if o := net.nodes[other]; reachable[other] != (o.up && !o.frozen) {
-				t.Errorf("%s (%s) takes %s for alive: %v", id, i.node.Role(), other, reachable[other])
+				t.Errorf("%s (%s) treats %s as reachable: %v", id, i.node.Role(), other, reachable[other])
 				return
 			}
 		}
 	}
 }
 
-// checkNoEndedRuns checks that after the last run ended nobody believes in any.
+// checkNoEndedRuns checks that no instance records a run after the last run has ended.
 func checkNoEndedRuns(t *testing.T, net *network) {
 	t.Helper()
 	net.loop.Run(4 * time.Second)
 	for _, id := range net.order {
 		if i := net.nodes[id]; i.up && !i.frozen && len(i.recordedRuns) > 0 {
-			t.Errorf("%s still believes in %d runs that ended", id, len(i.recordedRuns))
+			t.Errorf("%s still records %d runs that ended", id, len(i.recordedRuns))
 			return
 		}
 	}
 }
 
-// All processes of a fleet start within 300 ms and know three addresses, one of which
-// is dead. Callers are sent to instances that others know, so each has to find all.
+// All processes of a fleet start within 300 ms with three seeds, one of which is dead.
+// Callers are directed to instances that others have discovered, so each instance has to
+// discover all.
 func TestStartingFleetBecomesFullyReachable(t *testing.T) {
 	for _, size := range []int{3, 16, 17, 60, 95} {
 		if size > largestFleet {
@@ -111,9 +112,9 @@
 	}
 }
 
-// Of many instances with load, all hubs of a data centre are killed at once. Callers of
-// the others are placed by what is known, so its instances have to hear again in well
-// under a second, and nothing may be believed of runs that ended meanwhile.
+// All hubs of a data centre are killed at once under load. Its instances place requests
+// by the updates they receive, so updates have to resume well within a second, and no run
+// that ended meanwhile may stay recorded.
 func TestKilledHubsAreReplaced(t *testing.T) {
 	net := newNetwork(t, 5, largeFleet, everySixth)
 	net.startAll(5 * time.Second)
@@ -126,14 +127,14 @@
 	net.load(500*time.Millisecond, 4)
 	delays := net.delays(net.load(2*time.Second, 4))
 	if got := quantileOf(delays, 0.9); got > 40*time.Millisecond {
-		t.Errorf("half a second later choices are known after %v", got)
+		t.Errorf("half a second after the hubs were killed, updates take %v", got)
 	}
 	checkReachability(t, net)
 	checkNoEndedRuns(t, net)
 }
 
-// More than half of all processes are killed at once and start again 2 s later, with
-// other incarnations. The rest goes on hearing of each other, and in the end all do.
+// More than half of all processes are killed at once and restart 2 s later with other
+// incarnations. The rest continues to receive updates, and in the end all instances do.
 func TestFleetRecoversAfterHalfIsKilled(t *testing.T) {
 	net := newNetwork(t, 5, largeFleet, everySixth)
 	net.startAll(5 * time.Second)
@@ -147,7 +148,7 @@
 	}
 	net.load(700*time.Millisecond, 4)
 	if got := quantileOf(net.delays(net.load(1300*time.Millisecond, 4)), 0.9); got > 50*time.Millisecond {
-		t.Errorf("among those left choices are known after %v", got)
+		t.Errorf("updates among the remaining instances take %v", got)
 	}
 	checkReachability(t, net)
 	for _, i := range killed {
@@ -155,15 +156,15 @@
 	}
 	net.load(time.Second, 4)
 	if got := quantileOf(net.delays(net.load(2*time.Second, 4)), 0.9); got > 50*time.Millisecond {
-		t.Errorf("after the restart choices are known after %v", got)
+		t.Errorf("updates after the restart take %v", got)
 	}
 	checkReachability(t, net)
 	checkNoEndedRuns(t, net)
 }
 
 // A hub freezes for three seconds: its links stay open and nothing comes over them. Its
-// subscribers change to another hub before the links count as silent, so their callers
-// are placed well; when it wakes, nothing that it still tells counts.
+// subscribers move to another hub before the links time out, so their placements stay
+// current. When the hub resumes, its old updates are ignored.
 func TestSubscribersLeaveFrozenHub(t *testing.T) {
 	net := newNetwork(t, 5, largeFleet, everySixth)
 	net.startAll(5 * time.Second)
@@ -177,7 +178,7 @@
 	hub.frozen = true
 	net.load(500*time.Millisecond, 4)
 	if got := quantileOf(net.delays(net.load(2500*time.Millisecond, 4)), 0.9); got > 50*time.Millisecond {
-		t.Errorf("choices are known after %v while a hub is frozen", got)
+		t.Errorf("updates take %v while a hub is frozen", got)
 	}
 	checkReachability(t, net)
 	hub.frozen = false
@@ -186,8 +187,8 @@
 	checkNoEndedRuns(t, net)
 }
 
-// A data centre is cut off from the others for five seconds. Callers in each part are
-// served with what that part knows; afterwards all know all again.
+// A data centre is cut off from the others for five seconds. Each part keeps only its own
+// instances as reachable; afterwards all instances reach each other.
 func TestPartitionedDataCentreRejoins(t *testing.T) {
 	for _, size := range []int{40, largeFleet} {
 		net := newNetwork(t, 5, size, everySixth)
@@ -208,14 +209,14 @@
 		net.load(2*time.Second, 4)
 		checkReachability(t, net)
 		if got := quantileOf(net.delays(net.load(2*time.Second, 4)), 0.9); got > 40*time.Millisecond {
-			t.Errorf("choices are known after %v", got)
+			t.Errorf("updates take %v", got)
 		}
 		checkNoEndedRuns(t, net)
 	}
 }
 
-// Messages of one hub take 150 ms longer than usual. Those who hear over it know that
-// what they know is old, and place with that in mind; the others are not misled.
+// Messages from one hub take 150 ms longer than usual. Its subscriber must report that
+// its state is that old; instances on other hubs must not.
 func TestSlowLinkRaisesStaleness(t *testing.T) {
 	net := newNetwork(t, 5, largeFleet, everySixth)
 	net.startAll(5 * time.Second)
@@ -232,7 +233,7 @@
 	}
 	before := subscriber.node.Staleness(subscriber.clock())
 	if before < 10*time.Millisecond || before > 45*time.Millisecond {
-		t.Errorf("staleness %v while nothing is wrong", before)
+		t.Errorf("staleness %v without faults", before)
 	}
 	net.slow = func(from, to string) time.Duration {
 		if from == hub.member.ID && to == subscriber.member.ID {
@@ -242,21 +243,21 @@
 	}
 	net.load(3*time.Second, 4)
 	if got := subscriber.node.Staleness(subscriber.clock()); got < 130*time.Millisecond {
-		t.Errorf("staleness %v over a link that lags by 150 ms", got)
+		t.Errorf("staleness %v over a link delayed by 150 ms", got)
 	}
 	if got := other.node.Staleness(other.clock()); got > 60*time.Millisecond {
-		t.Errorf("staleness %v of an instance that hears over another hub", got)
+		t.Errorf("staleness %v of an instance that subscribes to another hub", got)
 	}
 	net.slow = func(string, string) time.Duration { return 0 }
 	net.load(3*time.Second, 4)
 	if got := subscriber.node.Staleness(subscriber.clock()); got > 45*time.Millisecond {
-		t.Errorf("staleness %v afterwards", got)
+		t.Errorf("staleness %v after the delay ended", got)
 	}
 }
 
-// Of 28 instances of a data centre two are strong. They suffice, and the weak ones have
-// slow links; when the strong ones are gone, several weak ones share the work, so that
-// none has more subscribers than it can tell in time.
+// Of 28 instances of a data centre two have high capacity and suffice as hubs; the others
+// have slow links. When the two are gone, several weak ones share the work, so that none
+// has more subscribers than it can serve in time.
 func TestHubsHaveCapacityForTheirSubscribers(t *testing.T) {
 	var members []*member
 	for n := range 28 {
@@ -268,7 +269,7 @@
 	}
 	chosen := chooseHubs(members)
 	if len(chosen) != 2 || !chosen[members[0]] || !chosen[members[1]] {
-		t.Errorf("%d hubs while two are strong", len(chosen))
+		t.Errorf("%d hubs, want the two strong instances", len(chosen))
 	}
 	weak := chooseHubs(members[2:])
 	if len(weak) < 5 || len(weak) > 8 {
@@ -285,33 +286,34 @@
 		subscribers[best.ID]++
 	}
 	if share := float64(subscribers["i0"]) / 1000; share < 0.75 || share > 0.86 {
-		t.Errorf("a hub four times as strong as the other has %.2f of the subscribers", share)
+		t.Errorf("a hub with four times the capacity of the other has %.2f of the subscribers", share)
 	}
 }
 
-// A process that was replaced still has news on the way, over a longer path. What it
-// told must not bring it back in place of its successor.
+// Updates about a replaced process may still arrive over a longer path. They must not
+// reinstate it in place of its successor.
 func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	n := New(wire.RelayMember{ID: "me", Incarnation: "me/1"}, nil, 1)
 	n.LinkUp(wire.RelayMember{ID: "a", Incarnation: "a/2"}, 2)
 	n.Refresh(3)
 	update := &wire.RelayNews{Members: []wire.RelayMember{{ID: "a", Incarnation: "a/1"}, {ID: "b", Incarnation: "b/1"}}}
 	if receipt, ok := n.Receive("a", update, 4); !ok || !receipt.Changed {
-		t.Errorf("%v %+v", ok, receipt)
+		t.Errorf("the members update was not applied: %v %+v", ok, receipt)
 	}
 	if _, recorded := n.Instance("a/1"); recorded {
-		t.Error("the earlier process is a member")
+		t.Error("the earlier process is still a member")
 	}
 	if _, known := n.Instance("b/1"); !known {
-		t.Error("a new member is not known")
+		t.Error("a new member was not added")
 	}
 	if _, ok := n.Receive("a", &wire.RelayNews{Origin: "a/1", Number: 7}, 5); ok {
-		t.Error("news of the earlier process count")
+		t.Error("an update of the earlier process was accepted")
 	}
 }
 
-// News of one origin come over two links, as after a change of hubs. Each counts once,
-// and one that comes late does not count at all: the run that it begins may be over.
+// Updates of one origin arrive over two links, as after a change of hubs. Each counts
+// once, and an update that arrives after a later one is ignored: a run that it begins may
+// be over.
 func TestUpdatesAreAppliedOnceAndInOrder(t *testing.T) {
 	n := New(wire.RelayMember{ID: "me", Incarnation: "me/1"}, nil, 1)
 	n.LinkUp(wire.RelayMember{ID: "a", Incarnation: "a/1"}, 2)
@@ -322,10 +324,10 @@
 		accepted bool
 	}{{"a", 1, true}, {"b", 1, false}, {"b", 2, true}, {"b", 4, true}, {"a", 3, false}, {"a", 4, false}, {"a", 5, true}} {
 		if _, ok := n.Receive(step.from, &wire.RelayNews{Origin: "a/1", Number: step.number}, 3); ok != step.accepted {
-			t.Errorf("number %d from %s taken: %v", step.number, step.from, ok)
+			t.Errorf("update %d from %s: accepted = %v", step.number, step.from, ok)
 		}
 	}
 	if n.MissedUpdates() != 1 {
-		t.Errorf("%d missed, want 1", n.MissedUpdates())
+		t.Errorf("%d missed updates, want 1", n.MissedUpdates())
 	}
 }
--- a/internal/overlay/race_test.go
+++ b/internal/overlay/race_test.go
@@ -2,9 +2,9 @@
 
 package overlay
 
-// largestFleet bounds fleets under the race detector, which finds nothing more
-// in a larger one: a Node has no goroutines. CI runs the tests without it too.
+// largestFleet bounds fleets under the race detector, which finds nothing more in a
+// larger one: a Node has no goroutines. CI also runs the tests without it.
 const largestFleet = 60
 
-// largeFleet is the size of the fleets to which something happens.
+// largeFleet is the size of the fleets in tests that inject faults.
 const largeFleet = 40
--- a/internal/overlay/refresh.go
+++ b/internal/overlay/refresh.go
@@ -7,27 +7,29 @@
 	"basilrudder/internal/monotime"
 )
 
-// FeedRequest is a feed that a peer is to be asked for.
+// FeedRequest is a feed to request from a peer.
 type FeedRequest struct {
 	To   string
 	Feed Feed
 }
 
-// Effects are what is to be done after a change of what is known.
+// Effects are the actions due after a change of the members or links.
 type Effects struct {
-	// Lost are instances that can't be reached any more.
+	// Lost are instances that are no longer reachable.
 	Lost []string
-	// FeedRequests are to be sent, each over its link.
+	// FeedRequests are to be sent, each over its peer's link.
 	FeedRequests []FeedRequest
-	// RequestMembersFrom is a peer to be asked for all members, or empty.
+	// RequestMembersFrom is a peer to request all members from, or empty.
 	RequestMembersFrom string
 }
 
-// membersRequestInterval is the least time between questions for all members.
+// membersRequestInterval is the minimum time between requests for all members. Without it
+// every message about an unknown member would trigger one; a longer time delays the
+// discovery of members.
 const membersRequestInterval = 400 * time.Millisecond
 
-// Refresh works out who can be reached, who is a hub and which feeds are wanted. It is
-// due after each change that LinkUp, LinkDown or Receive report, and regularly.
+// Refresh computes who is reachable, who is a hub and which feeds are needed. It must be
+// called after each change that LinkUp, LinkDown or Receive reports, and periodically.
 func (n *Node) Refresh(now monotime.Instant) Effects {
 	var out Effects
 	out.Lost = n.updateReachable(now)
@@ -46,10 +48,10 @@
 	return out
 }
 
-// updateReachable marks the members that can be reached and returns those that no longer
-// can. A member is reached over links of this instance and over those that reached
-// members say they have, so it is lost only when all who were linked to it say so,
-// or can't be reached themselves.
+// updateReachable marks the reachable members and returns those that no longer are. Paths
+// run over this instance's own links and over those that reachable members report. A
+// member is therefore lost only if all peers once linked to it report the link gone or
+// are unreachable themselves.
 func (n *Node) updateReachable(now monotime.Instant) (lost []string) {
 	if n.detachedSince != 0 && now.Sub(n.detachedSince) < detachedGrace {
 		return nil
@@ -93,7 +95,7 @@
 	return reached
 }
 
-// updateHubs works out the hubs among those that stay.
+// updateHubs computes the hubs among the members that are reachable and not leaving.
 func (n *Node) updateHubs() {
 	self := &member{RelayMember: n.self, hash: hash(n.self.ID)}
 	var staying []*member
@@ -115,12 +117,15 @@
 	}
 }
 
-// primaryTimeout is how long a hub may send nothing to a subscriber that has another
-// one to go to. Hubs send each keepAlive; three in a row do not come when a hub is
-// frozen, cut off or has no processor time, and its subscribers choose blindly.
+// primaryTimeout is how long a hub may send nothing before a subscriber moves to another
+// linked hub. Hubs send every keepAlive, so three messages in a row are missing: the hub
+// is frozen, cut off or without processor time, and its subscribers place requests on
+// outdated state. A longer timeout extends that, a shorter one makes them leave hubs that
+// are merely late.
 const primaryTimeout = 300 * time.Millisecond
 
-// choosePrimary subscribes to the first hub in order that sends.
+// choosePrimary subscribes to the best candidate that sends, or else to the best linked
+// one.
 func (n *Node) choosePrimary(now monotime.Instant) {
 	if n.mesh || n.hub {
 		n.primary = ""
@@ -140,7 +145,8 @@
 	}
 }
 
-// updateFeedRequests returns the feeds that are to be asked for.
+// updateFeedRequests returns requests for the feeds that differ from those last
+// requested.
 func (n *Node) updateFeedRequests() (requests []FeedRequest) {
 	for _, m := range n.list {
 		if !m.linked {
@@ -161,7 +167,7 @@
 	return requests
 }
 
-// anyLinkedPeer returns a peer with a link, the primary if there is one.
+// anyLinkedPeer returns a peer with a link, preferably the primary hub.
 func (n *Node) anyLinkedPeer() string {
 	if n.primary != "" {
 		return n.primary
