--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -182,11 +182,11 @@
 
 func (s *sim) tellEvidence() {
 	for _, from := range s.instances {
-		told := from.board.Evidence()
+		told := from.board.PaceStatistics()
 		for _, to := range s.instances {
 			if to != from {
 				for name, e := range told {
-					to.board.Hear(from.name, name, e)
+					to.board.MergePaceStatistics(from.name, name, e)
 				}
 			}
 		}
@@ -195,7 +195,7 @@
 
 // newBoard returns the Board of an instance, which knows nothing of the engines.
 func (s *sim) newBoard() *placement.Board {
-	b := placement.NewBoard(pace.Neutral, "here")
+	b := placement.NewBoard(pace.DefaultPrior, "here")
 	b.SetPeers(s.scenario.Instances-1, s.scenario.NewsDelay)
 	b.Seed(s.random.Uint64())
 	return b
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -118,7 +118,7 @@
 		return
 	}
 	e.stepping = true
-	took := e.kind.Pace.Plain(len(e.runs))
+	took := e.kind.Pace.DecodeStep(len(e.runs))
 	budget := pace.Chunk
 	for _, r := range e.toRead() {
 		if budget == 0 {
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -86,8 +86,8 @@
 	now := i.sim.now()
 	id := placement.RunID{Instance: i.name, Number: r.number}
 	if r.call.firstAt == 0 {
-		i.board.OwnFirst(id, now)
-		i.tell(func(to *placement.Board, now monotime.Instant) { to.First(id, now) })
+		i.board.OwnFirstEvent(id, now)
+		i.tell(func(to *placement.Board, now monotime.Instant) { to.FirstEvent(id, now) })
 	}
 	i.board.Events(id, 1, now)
 	r.call.event(now)
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -143,7 +143,7 @@
 // noteServer tells the model of servers and the limiter of one that changed.
 func (f *fleet) noteServer(state *wire.RelayServer, now monotime.Instant) {
 	if state.Gone {
-		f.board.Forget(state.ID)
+		f.board.RemoveServer(state.ID)
 		f.throttle.Forget(state.ID)
 		return
 	}
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -54,7 +54,7 @@
 	var lists errgroup.Group
 	lists.SetLimit(listsAtOnce)
 	for _, s := range g.ownEngines() {
-		if g.fleet.board.CacheLearned(s.ID) {
+		if g.fleet.board.CacheReported(s.ID) {
 			continue
 		}
 		lists.Go(func() error {
@@ -100,7 +100,7 @@
 	if len(parts) == 0 {
 		return
 	}
-	g.fleet.board.Learn(s.ID, parts, monotime.Now())
+	g.fleet.board.RecordCachedParts(s.ID, parts, monotime.Now())
 	told := parts[max(0, len(parts)-partsTold(g.fleet.serverCount())):]
 	g.fleet.news.caches(wire.RelayCache{Server: s.ID, Parts: encodeParts(told)})
 }
@@ -121,14 +121,14 @@
 		p.warm.Store(true)
 	}
 	for _, cache := range news.Caches {
-		p.fleet.board.Learn(cache.Server, decodeParts(cache.Parts), now)
+		p.fleet.board.RecordCachedParts(cache.Server, decodeParts(cache.Parts), now)
 	}
 }
 
 // caches returns what engines are believed to keep.
 func (f *fleet) caches() []wire.RelayCache {
 	var out []wire.RelayCache
-	for id, parts := range f.board.Kept(partsTold(f.serverCount())) {
+	for id, parts := range f.board.CachedParts(partsTold(f.serverCount())) {
 		out = append(out, wire.RelayCache{Server: id, Parts: encodeParts(parts)})
 	}
 	return out
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -127,7 +127,7 @@
 	g.fleet = &fleet{
 		self:     s.Instance.ID,
 		log:      cfg.Log,
-		board:    placement.NewBoard(pace.Neutral, s.Instance.DataCentre),
+		board:    placement.NewBoard(pace.DefaultPrior, s.Instance.DataCentre),
 		budget:   newBudget(s.Retries.Ratio, s.Retries.Burst, seconds(s.Retries.WindowS)),
 		registry: servers.New(),
 		news:     newNewsroom(),
@@ -137,7 +137,7 @@
 	}
 	g.fleet.crashes = newCrashBook(g.fleet.news, cfg.Log)
 	g.fleet.neverHeard()
-	g.fleet.board.SetNoise(choiceNoise(0, 1))
+	g.fleet.board.SetCostJitter(choiceNoise(0, 1))
 	g.feed = &feed{
 		source: cfg.Source, fleet: g.fleet, log: cfg.Log,
 		wait: milliseconds(s.Store.WatchMS), slack: milliseconds(s.Store.TimeoutMS),
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -96,7 +96,7 @@
 func newFleet() (*fleet, *feed, *fakeSource) {
 	source := &fakeSource{}
 	f := &fleet{
-		self: "me", log: zap.NewNop(), board: placement.NewBoard(pace.Neutral, "here"),
+		self: "me", log: zap.NewNop(), board: placement.NewBoard(pace.DefaultPrior, "here"),
 		budget: newBudget(0.2, 56, 10*time.Second), members: func() int { return 8 },
 		registry: servers.New(), news: newNewsroom(),
 		throttle: throttle.New("me", monotime.Now()),
@@ -502,7 +502,7 @@
 		for k := range 40 {
 			kept = append(kept, placement.Part{ID: fmt.Sprint(id, "-", k), Tokens: 1000})
 		}
-		f.board.Learn(id, kept, monotime.Now())
+		f.board.RecordCachedParts(id, kept, monotime.Now())
 	}
 	told := 0
 	for _, cache := range f.caches() {
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -287,7 +287,7 @@
 			t.Error("at a peer:", taken)
 		}
 		f.Heard("b", servers.Notice{Pause: time.Second}, now, monotime.Now())
-		if refused, _ := placedOn(f, 50*time.Millisecond); refused != placement.AllBounded {
+		if refused, _ := placedOn(f, 50*time.Millisecond); refused != placement.AllLimited {
 			t.Error("with nobody left:", refused)
 		}
 		time.Sleep(200 * time.Millisecond)
--- a/internal/gateway/noise_test.go
+++ b/internal/gateway/noise_test.go
@@ -18,7 +18,7 @@
 	sent := make(map[string]int)
 	for range 60 {
 		f, _, _ := newFleet()
-		f.board.SetNoise(choiceNoise(0, 1))
+		f.board.SetCostJitter(choiceNoise(0, 1))
 		f.adopt(&routing.Config{Version: 1, Services: []routing.Service{{
 			Name: "svc", Engine: &routing.Engine{Slots: 64, MemoryTokens: 500_000, EventTokens: 4},
 		}}}, fromStore)
--- a/internal/gateway/paces.go
+++ b/internal/gateway/paces.go
@@ -28,7 +28,7 @@
 // tellEvidence tells the others what this instance has seen of engines, when due.
 func (g *Gateway) tellEvidence(now monotime.Instant) {
 	every := max(evidenceInterval, time.Duration(g.peers.count())*evidencePeer)
-	if g.fleet.board.Learned() < evidenceFew {
+	if g.fleet.board.MinPaceSamples() < evidenceFew {
 		every = evidenceSoon
 	}
 	if now.Sub(g.toldEvidence) < every {
@@ -42,7 +42,7 @@
 
 func (f *fleet) evidence() []wire.RelayEvidence {
 	var out []wire.RelayEvidence
-	for service, e := range f.board.Evidence() {
+	for service, e := range f.board.PaceStatistics() {
 		out = append(out, wire.RelayEvidence{
 			Service: service, StepSamples: e.StepSamples, FirstSamples: e.FirstSamples, Sums: e.Sums,
 		})
@@ -53,8 +53,8 @@
 // takeEvidence believes a peer what it has seen of engines.
 func (p *peers) takeEvidence(from string, news *wire.RelayNews) {
 	for _, e := range news.Evidence {
-		told := pace.Evidence{StepSamples: e.StepSamples, FirstSamples: e.FirstSamples, Sums: e.Sums}
-		if !p.fleet.board.Hear(from, e.Service, told) {
+		told := pace.Statistics{StepSamples: e.StepSamples, FirstSamples: e.FirstSamples, Sums: e.Sums}
+		if !p.fleet.board.MergePaceStatistics(from, e.Service, told) {
 			p.log.Warn("evidence_refused", zap.String("peer", from), zap.String("service", e.Service), zap.Int("numbers", len(e.Sums)))
 		}
 	}
@@ -83,7 +83,7 @@
 // among usual company.
 func differs(a, b pace.Pace) bool {
 	const unread, prompt, runs, output = 2000, 8000, 20, 200
-	before := float64(a.First + a.Prompt(unread, prompt, runs) + output*a.Plain(runs))
-	after := float64(b.First + b.Prompt(unread, prompt, runs) + output*b.Plain(runs))
+	before := float64(a.First + a.Prompt(unread, prompt, runs) + output*a.DecodeStep(runs))
+	after := float64(b.First + b.Prompt(unread, prompt, runs) + output*b.DecodeStep(runs))
 	return math.Abs(after-before) > paceChange*before
 }
--- a/internal/gateway/peernews.go
+++ b/internal/gateway/peernews.go
@@ -68,7 +68,7 @@
 		p.fleet.throttle.Note(r.Server, now)
 	}
 	for _, number := range news.First {
-		board.First(placement.RunID{Instance: origin, Number: number}, now)
+		board.FirstEvent(placement.RunID{Instance: origin, Number: number}, now)
 	}
 	for _, number := range news.Ended {
 		board.End(placement.RunID{Instance: origin, Number: number}, now)
@@ -83,11 +83,11 @@
 	for _, r := range news.Begun {
 		states = append(states, placement.RunState{Number: r.Number, Server: r.Server, Work: decodeRun(r), Unread: r.Unread})
 	}
-	for _, s := range board.Keep(origin, states, now) {
+	for _, s := range board.ReconcileRuns(origin, states, now) {
 		board.Begin(placement.RunID{Instance: origin, Number: s.Number}, s.Server, s.Work, s.Unread, now)
 	}
 	for _, number := range news.First {
-		board.First(placement.RunID{Instance: origin, Number: number}, now)
+		board.FirstEvent(placement.RunID{Instance: origin, Number: number}, now)
 	}
 }
 
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -25,7 +25,7 @@
 	f.mu.Unlock()
 	candidates, bounded := f.candidates(list, published, &work, excluded, now)
 	if len(candidates) == 0 && bounded {
-		return relay.Target{}, placement.AllBounded
+		return relay.Target{}, placement.AllLimited
 	}
 	for _, s := range sources {
 		if !f.regions.allow(work.Homes, s.DataCentre) {
--- a/internal/gateway/regular.go
+++ b/internal/gateway/regular.go
@@ -52,7 +52,7 @@
 		g.peers.tick(monotime.Now())
 		instances := g.peers.count()
 		g.fleet.board.SetPeers(instances-1, g.peers.staleness())
-		g.fleet.board.SetNoise(choiceNoise(monotime.Now().Sub(g.begun), instances))
+		g.fleet.board.SetCostJitter(choiceNoise(monotime.Now().Sub(g.begun), instances))
 		if n%sweepTicks == 0 {
 			g.relay.Sweep(g.fleet.known)
 			g.fleet.crashes.expire(monotime.Now())
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -27,7 +27,7 @@
 
 // First implements relay.Fleet.
 func (f *fleet) First(run int, now monotime.Instant) {
-	f.board.OwnFirst(placement.RunID{Instance: f.self, Number: run}, now)
+	f.board.OwnFirstEvent(placement.RunID{Instance: f.self, Number: run}, now)
 	f.news.first(run)
 }
 
@@ -43,8 +43,8 @@
 }
 
 // Standing implements relay.Fleet.
-func (f *fleet) Standing(run int, now monotime.Instant) placement.Standing {
-	return f.board.Standing(placement.RunID{Instance: f.self, Number: run}, now)
+func (f *fleet) Standing(run int, now monotime.Instant) placement.QueueStatus {
+	return f.board.QueueStatus(placement.RunID{Instance: f.self, Number: run}, now)
 }
 
 func encodeRun(number int, server string, unread int, work placement.Work) wire.RelayRun {
--- a/internal/pace/model.go
+++ b/internal/pace/model.go
@@ -33,33 +33,33 @@
 	// steps. It fades with the square of fadeSamples over the samples taken, down to
 	// priorRest: engines that are ten times slower or faster in one term are then
 	// predicted within a quarter after 40 samples, a second or two of moderate load.
-	priorWeight = 2.0
-	fadeSamples = 4.0
-	priorRest   = 0.01
-	// pairsRest is priorRest for the growth of reading with the length of a prompt.
+	priorWeight      = 2.0
+	priorFadeSamples = 4.0
+	minPriorWeight   = 0.01
+	// minPairsPriorWeight is priorRest for the growth of reading with the length of a prompt.
 	// Most prompts are read whole, of which length and pairs grow together, so that
 	// noise easily takes one for the other; the prior holds against it.
-	pairsRest = 5.0
-	// usualSteps is the length of a sample that counts once; longer ones average
+	minPairsPriorWeight = 5.0
+	// typicalSteps is the length of a sample that counts once; longer ones average
 	// out more of what disturbs them, up to mostWeight.
-	usualSteps = 40.0
-	mostWeight = 3.0
-	// keepPerSample is the share of older samples that still counts after one
+	typicalSteps    = 40.0
+	maxSampleWeight = 3.0
+	// retainPerSample is the share of older samples that still counts after one
 	// more: some 300 count, which is longer than any mix of requests is unusual.
-	keepPerSample = 1 - 1.0/300
-	// outlier is how many times further off the fit than half of the samples one
+	retainPerSample = 1 - 1.0/300
+	// outlierFactor is how many times further off the fit than half of the samples one
 	// may be and still count in full, and outlierLeast the share of itself by which
 	// any may be. Beyond, it counts in inverse proportion: a process that was held
 	// up, or a server that is slow, must not make all look slow. While the fit is
 	// still far off all samples are, and count.
-	outlier      = 3.0
-	outlierLeast = 0.2
+	outlierFactor   = 3.0
+	minOutlierError = 0.2
 	// medianStep is the share by which the median of what samples are off moves
 	// with each.
 	medianStep = 0.1
-	// readReserve is the share of the time of a stretch that reading may have taken
+	// halfWeightReadShare is the share of the time of a stretch that reading may have taken
 	// for it to count half.
-	readReserve = 0.5
+	halfWeightReadShare = 0.5
 )
 
 // Sample is what a stream showed of its engine's steps.
@@ -92,16 +92,16 @@
 type Model struct {
 	steps, firsts fit
 	pace          Pace
-	// heard is the evidence of other processes.
-	heard map[string]Evidence
+	// received is the evidence of other processes.
+	received map[string]Statistics
 }
 
 // fit is a regression with what it needs to tell outliers.
 type fit struct {
 	regression
-	// usualOff is about the median share by which samples are off.
-	usualOff float64
-	rest     vector // of the prior that does not fade
+	// medianError is about the median share by which samples are off.
+	medianError    float64
+	minPriorWeight vector // of the prior that does not fade
 }
 
 // NewModel returns a Model that predicts a prior until it is taught better.
@@ -113,16 +113,16 @@
 		termPairs: milliseconds(prior.AttentionPerM) * pairsUnit,
 	}
 	return &Model{
-		steps:  newFit(steps, vector{priorRest, priorRest, priorRest}),
-		firsts: newFit(firsts, vector{termFirst: priorRest, termRead: priorRest, termPairs: pairsRest}),
-		pace:   prior,
-		heard:  make(map[string]Evidence),
+		steps:    newFit(steps, vector{minPriorWeight, minPriorWeight, minPriorWeight}),
+		firsts:   newFit(firsts, vector{termFirst: minPriorWeight, termRead: minPriorWeight, termPairs: minPairsPriorWeight}),
+		pace:     prior,
+		received: make(map[string]Statistics),
 	}
 }
 
-func newFit(prior, rest vector) fit {
+func newFit(prior, minWeight vector) fit {
 	weight := vector{priorWeight, priorWeight, priorWeight}
-	return fit{regression: newRegression(prior, weight), usualOff: 1, rest: rest}
+	return fit{regression: newRegression(prior, weight), medianError: 1, minPriorWeight: minWeight}
 }
 
 // Pace is what the model predicts of an engine that is as fast as most.
@@ -134,32 +134,32 @@
 // Expected is how long the model expects a sample to take.
 func (m *Model) Expected(s Sample) time.Duration {
 	perStep := float64(m.pace.Step) + s.Runs*float64(m.pace.StepPerRun)
-	return time.Duration(perStep*float64(s.Steps)) + m.read(s)
+	return time.Duration(perStep*float64(s.Steps)) + m.readTime(s)
 }
 
-func (m *Model) read(s Sample) time.Duration {
+func (m *Model) readTime(s Sample) time.Duration {
 	return time.Duration(s.Read*float64(m.pace.ReadToken) + s.PairsM*float64(m.pace.AttentionPerM))
 }
 
 // ObserveSteps teaches the model a sample of an engine that was last seen to be so
 // many times slower than most. The less was read beside it, the more it counts.
-func (m *Model) ObserveSteps(s Sample, slow float64) {
-	took := time.Duration(float64(s.Took) / slow)
-	read := m.read(s)
+func (m *Model) ObserveSteps(s Sample, slowness float64) {
+	took := time.Duration(float64(s.Took) / slowness)
+	read := m.readTime(s)
 	if s.Steps <= 0 || took <= read {
 		return
 	}
-	share := float64(read) / float64(took) / readReserve
-	weight := math.Min(float64(s.Steps)/usualSteps, mostWeight) / (1 + share*share)
+	share := float64(read) / float64(took) / halfWeightReadShare
+	weight := math.Min(float64(s.Steps)/typicalSteps, maxSampleWeight) / (1 + share*share)
 	m.steps.observe(vector{termStep: 1, termRuns: s.Runs / runsUnit}, milliseconds(took-read)/float64(s.Steps), weight)
 	m.update()
 }
 
 // ObserveFirst teaches the model a first event of an engine that was last seen to
 // be so many times slower than most.
-func (m *Model) ObserveFirst(e FirstEvent, slow float64) {
+func (m *Model) ObserveFirst(e FirstEvent, slowness float64) {
 	steps := time.Duration((e.Unread + Chunk - 1) / Chunk)
-	rest := time.Duration(float64(e.Took)/slow) - steps*m.pace.Plain(e.Runs)
+	rest := time.Duration(float64(e.Took)/slowness) - steps*m.pace.DecodeStep(e.Runs)
 	x := vector{termFirst: 1, termRead: float64(e.Unread) / readUnit, termPairs: Pairs(e.Unread, e.Prompt) / pairsUnit}
 	m.firsts.observe(x, milliseconds(max(0, rest)), 1)
 	m.update()
@@ -167,35 +167,35 @@
 
 // observe takes a sample.
 func (f *fit) observe(x vector, y, weight float64) {
-	weight *= f.trust(y, f.at(x))
-	f.fade()
-	f.add(x, y, weight, math.Pow(keepPerSample, weight))
+	weight *= f.outlierWeight(y, f.predict(x))
+	f.fadePrior()
+	f.add(x, y, weight, math.Pow(retainPerSample, weight))
 }
 
 // total is the number of samples of all processes.
 func (f *fit) total() int { return f.own.samples + f.others.samples }
 
-// fade has the prior count less the more samples there are.
-func (f *fit) fade() {
-	faded := fadeSamples / (fadeSamples + float64(f.total()))
+// fadePrior has the prior count less the more samples there are.
+func (f *fit) fadePrior() {
+	faded := priorFadeSamples / (priorFadeSamples + float64(f.total()))
 	for i := range f.weight {
-		f.weight[i] = max(f.rest[i], priorWeight*faded*faded)
+		f.weight[i] = max(f.minPriorWeight[i], priorWeight*faded*faded)
 	}
 }
 
-// trust is what a sample counts for that is as far off what was expected.
-func (f *fit) trust(y, expected float64) float64 {
+// outlierWeight is what a sample counts for that is as far off what was expected.
+func (f *fit) outlierWeight(y, expected float64) float64 {
 	if expected <= 0 {
 		return 1
 	}
-	off := math.Abs(y-expected) / expected
-	if off > f.usualOff {
-		f.usualOff *= 1 + medianStep
+	relativeError := math.Abs(y-expected) / expected
+	if relativeError > f.medianError {
+		f.medianError *= 1 + medianStep
 	} else {
-		f.usualOff /= 1 + medianStep
+		f.medianError /= 1 + medianStep
 	}
-	if most := max(outlierLeast, outlier*f.usualOff); off > most {
-		return most / off
+	if maxError := max(minOutlierError, outlierFactor*f.medianError); relativeError > maxError {
+		return maxError / relativeError
 	}
 	return 1
 }
@@ -213,11 +213,11 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// slowestMS bounds each learned time, in milliseconds: a minute, beyond any engine.
+// maxLearnedMS bounds each learned time, in milliseconds: a minute, beyond any engine.
 // Sums of a peer that are damaged can be fitted to years, which overflow into times
 // below nothing, and every request would go to the engine of that service.
-const slowestMS = 60_000
+const maxLearnedMS = 60_000
 
 func fromMS(ms float64) time.Duration {
-	return time.Duration(min(ms, slowestMS) * float64(time.Millisecond))
+	return time.Duration(min(ms, maxLearnedMS) * float64(time.Millisecond))
 }
--- a/internal/pace/model_test.go
+++ b/internal/pace/model_test.go
@@ -55,7 +55,7 @@
 	return d
 }
 
-func (e *engine) teach(m *Model, samples int) {
+func (e *engine) observe(m *Model, samples int) {
 	for range samples {
 		m.ObserveSteps(e.steps(), 1)
 		m.ObserveFirst(e.first(), 1)
@@ -77,39 +77,39 @@
 	return steps, firsts
 }
 
-func (e *engine) check(t *testing.T, m *Model, what string, most float64) {
+func (e *engine) checkErrors(t *testing.T, m *Model, label string, maxError float64) {
 	t.Helper()
-	if steps, firsts := e.meanErrors(m); steps > most || firsts > most {
-		t.Errorf("%s: streams off by %.2f, first events by %.2f, may be %.2f: %+v", what, steps, firsts, most, m.Pace())
+	if steps, firsts := e.meanErrors(m); steps > maxError || firsts > maxError {
+		t.Errorf("%s: streams off by %.2f, first events by %.2f, may be %.2f: %+v", label, steps, firsts, maxError, m.Pace())
 	}
 }
 
-func TestEveryKindOfEngineIsLearned(t *testing.T) {
+func TestModelConvergesForEveryKindOfEngine(t *testing.T) {
 	for name := range kinds {
 		e := newEngine(name, 0)
-		m := NewModel(Neutral)
-		e.teach(m, 40)
-		e.check(t, m, name+" after 40 samples", 0.25)
-		e.teach(m, 260)
-		e.check(t, m, name+" after 300 samples", 0.08)
+		m := NewModel(DefaultPrior)
+		e.observe(m, 40)
+		e.checkErrors(t, m, name+" after 40 samples", 0.25)
+		e.observe(m, 260)
+		e.checkErrors(t, m, name+" after 300 samples", 0.08)
 	}
 }
 
 // One sample in ten was held up for half a second on the way. The engine must not
 // look slow for it.
-func TestStallsOnTheWayDoNotMakeAnEngineSlow(t *testing.T) {
+func TestNetworkStallsDoNotMakeAnEngineLookSlow(t *testing.T) {
 	e := newEngine("usual", 0.1)
-	m := NewModel(Neutral)
-	e.teach(m, 300)
-	e.check(t, m, "with stalls", 0.25)
+	m := NewModel(DefaultPrior)
+	e.observe(m, 300)
+	e.checkErrors(t, m, "with stalls", 0.25)
 }
 
 // A fifth of what streams took was reading of prompts, and when these were read is
 // known too late: half of the samples are told twice as much, half nothing. Steps
 // must not look longer, nor reading cheaper, than they are.
-func TestReadingThatIsKnownLateDoesNotBlurSteps(t *testing.T) {
+func TestReadingReportedLateDoesNotDistortStepTimes(t *testing.T) {
 	e := newEngine("usual", 0)
-	m := NewModel(Neutral)
+	m := NewModel(DefaultPrior)
 	for n := range 300 {
 		s := e.steps()
 		tokens := 0.2 * float64(s.Took) / float64(e.ReadToken)
@@ -120,13 +120,13 @@
 		m.ObserveSteps(s, 1)
 		m.ObserveFirst(e.first(), 1)
 	}
-	e.check(t, m, "with reading known late", 0.25)
+	e.checkErrors(t, m, "with reading known late", 0.25)
 }
 
 // All samples are alike, as in a calm hour: they say nothing of other company and
 // other prompts. What they do not say must stay what was assumed.
-func TestWhatSamplesDoNotShowStaysAssumed(t *testing.T) {
-	m := NewModel(Neutral)
+func TestTermsWithoutSamplesKeepThePrior(t *testing.T) {
+	m := NewModel(DefaultPrior)
 	for range 500 {
 		m.ObserveSteps(Sample{Steps: 50, Took: 500 * time.Millisecond}, 1)
 	}
@@ -134,14 +134,14 @@
 	if got.Step < 9*time.Millisecond || got.Step > 11*time.Millisecond {
 		t.Errorf("step %v", got.Step)
 	}
-	got.Step = Neutral.Step
-	if got != Neutral {
+	got.Step = DefaultPrior.Step
+	if got != DefaultPrior {
 		t.Errorf("%+v", got)
 	}
 }
 
-func TestOddSamplesLeaveAPaceThatPredicts(t *testing.T) {
-	m := NewModel(Neutral)
+func TestInvalidSamplesNeverYieldNegativeTimes(t *testing.T) {
+	m := NewModel(DefaultPrior)
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 2000 {
 		took := time.Duration(random.Int64N(int64(time.Hour))) - time.Second
@@ -162,39 +162,39 @@
 // Seven processes see a few samples each and tell each other. Each knows the engine
 // as if it had seen all; one that starts knows as much at once, and what a process
 // that starts again has told before still counts.
-func TestProcessesLearnTogether(t *testing.T) {
+func TestMergedStatisticsTeachANewProcessAndSurviveARestart(t *testing.T) {
 	for name := range kinds {
 		e := newEngine(name, 0)
 		var models []*Model
 		for range 7 {
-			m := NewModel(Neutral)
-			e.teach(m, 6)
+			m := NewModel(DefaultPrior)
+			e.observe(m, 6)
 			models = append(models, m)
 		}
-		late := NewModel(Neutral)
+		started := NewModel(DefaultPrior)
 		for n, m := range models {
-			if !late.Hear(fmt.Sprint(n), m.Evidence()) {
+			if !started.Merge(fmt.Sprint(n), m.Statistics()) {
 				t.Fatalf("%s: evidence of %d is refused", name, n)
 			}
 		}
 		// Each took its first samples while it knew nothing.
-		e.check(t, late, name+" told by seven", 0.4)
-		again := NewModel(Neutral)
-		e.teach(again, 1)
-		before := late.Pace()
-		late.Hear("0", again.Evidence())
-		if late.Pace() != before {
+		e.checkErrors(t, started, name+" told by seven", 0.4)
+		restarted := NewModel(DefaultPrior)
+		e.observe(restarted, 1)
+		before := started.Pace()
+		started.Merge("0", restarted.Statistics())
+		if started.Pace() != before {
 			t.Errorf("%s: what a process told is forgotten as it starts again", name)
 		}
 	}
 }
 
-func TestEvidenceThatIsNoneIsRefused(t *testing.T) {
-	m := NewModel(Neutral)
-	bad := make([]float64, EvidenceLength)
+func TestInvalidStatisticsAreRejected(t *testing.T) {
+	m := NewModel(DefaultPrior)
+	bad := make([]float64, StatisticsLength)
 	bad[3] = math.NaN()
-	for _, sums := range [][]float64{nil, make([]float64, EvidenceLength-1), bad} {
-		if m.Hear("p", Evidence{StepSamples: 9, Sums: sums}) || m.Pace() != Neutral {
+	for _, sums := range [][]float64{nil, make([]float64, StatisticsLength-1), bad} {
+		if m.Merge("p", Statistics{StepSamples: 9, Sums: sums}) || m.Pace() != DefaultPrior {
 			t.Errorf("%v is taken", sums)
 		}
 	}
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -24,13 +24,13 @@
 	First time.Duration
 }
 
-// Neutral is what is assumed of engines of which nothing is known yet. It is the
+// DefaultPrior is what is assumed of engines of which nothing is known yet. It is the
 // order of magnitude of accelerators of today with models of some 70 billion
 // parameters: reading the weights once takes some 5 ms, and so does computing 250
 // tokens of a prompt. It decides for the first seconds of a service only; too fast
 // is safer than too slow, since all servers then look alike and requests go where
 // their prompts are kept.
-var Neutral = Pace{
+var DefaultPrior = Pace{
 	Step:          5 * time.Millisecond,
 	StepPerRun:    20 * time.Microsecond,
 	ReadToken:     20 * time.Microsecond,
@@ -47,8 +47,8 @@
 // pairsPerM converts pairs of tokens to the unit of AttentionPerM.
 const pairsPerM = 1e6
 
-// Plain is the time of a step that reads nothing while runs requests generate.
-func (p Pace) Plain(runs int) time.Duration {
+// DecodeStep is the time of a step that reads nothing while runs requests generate.
+func (p Pace) DecodeStep(runs int) time.Duration {
 	return p.Step + time.Duration(runs)*p.StepPerRun
 }
 
@@ -67,7 +67,7 @@
 // Prompt is how long a prompt takes to be read, the steps included.
 func (p Pace) Prompt(unread, prompt, runs int) time.Duration {
 	steps := (unread + Chunk - 1) / Chunk
-	return time.Duration(steps)*p.Plain(runs) + p.Read(unread, prompt)
+	return time.Duration(steps)*p.DecodeStep(runs) + p.Read(unread, prompt)
 }
 
 // Slower is the pace of an engine that takes so many times as long for everything.
--- a/internal/pace/regression.go
+++ b/internal/pace/regression.go
@@ -44,19 +44,19 @@
 
 // add takes a sample with a weight; keep is the share of what came before that
 // still counts.
-func (r *regression) add(x vector, y, weight, keep float64) {
+func (r *regression) add(x vector, y, weight, retain float64) {
 	for i := range terms {
 		for j := range terms {
-			r.own.xx[i][j] = keep*r.own.xx[i][j] + weight*x[i]*x[j]
+			r.own.xx[i][j] = retain*r.own.xx[i][j] + weight*x[i]*x[j]
 		}
-		r.own.xy[i] = keep*r.own.xy[i] + weight*x[i]*y
+		r.own.xy[i] = retain*r.own.xy[i] + weight*x[i]*y
 	}
 	r.own.samples++
 	r.fitted = r.solve()
 }
 
-// at is the fitted value for x.
-func (r *regression) at(x vector) float64 {
+// predict is the fitted value for x.
+func (r *regression) predict(x vector) float64 {
 	sum := 0.0
 	for i := range terms {
 		sum += r.fitted[i] * x[i]
--- a/internal/pace/evidence.go
+++ b/internal/pace/statistics.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// Evidence is what a process has seen of the engines of a service, in a form that
+// Statistics is what a process has seen of the engines of a service, in a form that
 // adds up: processes that tell each other learn as fast as one that saw it all, and
 // one that starts knows at once what the others do. Without that each of seven
 // instances takes some 20 s of moderate load to learn how fast prompts are read.
-type Evidence struct {
+type Statistics struct {
 	// StepSamples and FirstSamples are the numbers of samples.
 	StepSamples, FirstSamples int
 	// Sums of the two regressions, EvidenceLength numbers in a fixed order.
@@ -14,39 +14,39 @@
 }
 
 const (
-	sumsLength = terms*(terms+1)/2 + terms
-	// EvidenceLength is the number of Sums.
-	EvidenceLength = 2 * sumsLength
+	regressionSumsLength = terms*(terms+1)/2 + terms
+	// StatisticsLength is the number of Sums.
+	StatisticsLength = 2 * regressionSumsLength
 )
 
-// Evidence returns what this process has seen itself.
-func (m *Model) Evidence() Evidence {
-	return Evidence{
+// Statistics returns what this process has seen itself.
+func (m *Model) Statistics() Statistics {
+	return Statistics{
 		StepSamples: m.steps.own.samples, FirstSamples: m.firsts.own.samples,
 		Sums: append(m.steps.own.encode(), m.firsts.own.encode()...),
 	}
 }
 
-// Hear takes the evidence of another process and reports whether it can be used. A
+// Merge takes the evidence of another process and reports whether it can be used. A
 // process that started again has seen less than what it told before; that still
 // holds until it has seen more.
-func (m *Model) Hear(process string, e Evidence) bool {
-	if len(e.Sums) != EvidenceLength || !finite(e.Sums) {
+func (m *Model) Merge(process string, e Statistics) bool {
+	if len(e.Sums) != StatisticsLength || !finite(e.Sums) {
 		return false
 	}
-	if known := m.heard[process]; known.StepSamples+known.FirstSamples >= e.StepSamples+e.FirstSamples {
+	if known := m.received[process]; known.StepSamples+known.FirstSamples >= e.StepSamples+e.FirstSamples {
 		return true
 	}
-	m.heard[process] = e
+	m.received[process] = e
 	m.steps.others, m.firsts.others = sums{}, sums{}
-	for _, told := range m.heard {
-		steps, firsts := decodeSums(told.Sums[:sumsLength]), decodeSums(told.Sums[sumsLength:])
+	for _, told := range m.received {
+		steps, firsts := decodeSums(told.Sums[:regressionSumsLength]), decodeSums(told.Sums[regressionSumsLength:])
 		steps.samples, firsts.samples = told.StepSamples, told.FirstSamples
 		m.steps.others.plus(&steps)
 		m.firsts.others.plus(&firsts)
 	}
-	m.steps.fade()
-	m.firsts.fade()
+	m.steps.fadePrior()
+	m.firsts.fadePrior()
 	m.steps.fitted = m.steps.solve()
 	m.firsts.fitted = m.firsts.solve()
 	m.update()
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// runLife bounds how long a run is believed in without its end being told:
+	// maxRunAge bounds how long a run is believed in without its end being told:
 	// above the longest deadline of a request, so that lost news heal.
-	runLife = 20 * time.Second
+	maxRunAge = 20 * time.Second
 	// cacheShare is the part of an engine's memory believed to hold cached
 	// parts; the rest is in use by running requests.
 	cacheShare = 0.75
@@ -20,9 +20,9 @@
 
 // Board is the model of all servers. It is safe for concurrent use.
 type Board struct {
-	prior pace.Pace
-	home  string // data centre of this instance
-	noise float64
+	prior      pace.Pace
+	home       string // data centre of this instance
+	costJitter float64
 
 	mu         sync.Mutex
 	rand       *rand.Rand
@@ -30,32 +30,32 @@
 	servers    map[string]*server
 	kinds      map[string]*engineKind // by service
 	runs       map[RunID]*run
-	// used is when a part of a prompt was last sent to any server.
-	used map[string]monotime.Instant
-	// gaps are the bounds of pauses in use, with their last use.
-	gaps map[time.Duration]monotime.Instant
+	// partUsedAt is when a part of a prompt was last sent to any server.
+	partUsedAt map[string]monotime.Instant
+	// gapLimitUsedAt are the bounds of pauses in use, with their last use.
+	gapLimitUsedAt map[time.Duration]monotime.Instant
 	// goals are the times to the first event for full credit, by kind of stream.
 	goals map[streamKind]time.Duration
 	// meanRead is the mean share of reading of the engines that are being chosen
 	// from, meanHazard their mean rate of pauses too long for the request, and
 	// meanUrgent the mean share of reading that is more urgent than it.
 	meanRead, meanHazard, meanUrgent float64
-	swept                            monotime.Instant
+	sweptAt                          monotime.Instant
 }
 
 // NewBoard returns an empty Board for an instance in a data centre. prior is
 // assumed of the engines of each service until it is learned how fast they are.
 func NewBoard(prior pace.Pace, dataCentre string) *Board {
 	return &Board{
-		prior:   prior,
-		home:    dataCentre,
-		rand:    newRand(),
-		servers: make(map[string]*server),
-		kinds:   make(map[string]*engineKind),
-		runs:    make(map[RunID]*run),
-		used:    make(map[string]monotime.Instant),
-		gaps:    make(map[time.Duration]monotime.Instant),
-		goals:   make(map[streamKind]time.Duration),
+		prior:          prior,
+		home:           dataCentre,
+		rand:           newRand(),
+		servers:        make(map[string]*server),
+		kinds:          make(map[string]*engineKind),
+		runs:           make(map[RunID]*run),
+		partUsedAt:     make(map[string]monotime.Instant),
+		gapLimitUsedAt: make(map[time.Duration]monotime.Instant),
+		goals:          make(map[streamKind]time.Duration),
 	}
 }
 
@@ -66,13 +66,13 @@
 	b.rand = rand.New(rand.NewPCG(seed, seed))
 }
 
-// SetNoise has up to so much added to the cost of each server, by chance, each
+// SetCostJitter has up to so much added to the cost of each server, by chance, each
 // time one is chosen. Instances that know each other's choices late would all
 // choose the same one otherwise.
-func (b *Board) SetNoise(noise float64) {
+func (b *Board) SetCostJitter(jitter float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.noise = noise
+	b.costJitter = jitter
 }
 
 // Candidate is a server that may take a request.
@@ -102,9 +102,9 @@
 	s := b.servers[c.ID]
 	if s == nil {
 		s = &server{
-			id: c.ID, runs: make(map[RunID]*run), holders: make(map[string]int), sums: newSums(), cache: newPartCache(),
+			id: c.ID, runs: make(map[RunID]*run), partHolders: make(map[string]int), streamCounts: newStreamCounts(), cache: newPartCache(),
 			kind: b.kindOf(c.Service), slow: 1,
-			hazards: make(map[time.Duration]*hazard), punctual: make(map[streamKind]*punctual),
+			hazards: make(map[time.Duration]*hazard), onTime: make(map[streamKind]*onTimeStreams),
 		}
 		b.servers[c.ID] = s
 	}
@@ -117,8 +117,8 @@
 	return s
 }
 
-// Forget drops the model of an incarnation that is gone.
-func (b *Board) Forget(id string) {
+// RemoveServer drops the model of an incarnation that is gone.
+func (b *Board) RemoveServer(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[id]
@@ -137,99 +137,99 @@
 	defer b.mu.Unlock()
 	b.sweep(now)
 	if b.runs[id] == nil && work.Prompt > 0 {
-		b.contention.begun[counted(work.Priority)].add(now)
+		b.contention.begun[priorityIndex(work.Priority)].add(now)
 		b.server(Candidate{ID: serverID}).arrivals.add(now)
 	}
 	b.end(id, now) // told again over a new link
 	s := b.server(Candidate{ID: serverID})
-	s.tick(now)
+	s.advance(now)
 	s.begun++
-	s.urgencyAt = 0
+	s.delayCostAt = 0
 	r := &run{server: s, work: work, unread: unread, begun: now, order: s.begun, alone: len(s.queue.runs) == 0}
 	readTo := now
 	if unread > 0 {
 		speed := s.pace(now)
-		readTo = now.Add(s.queue.ahead(&work, now) + speed.Prompt(unread, work.Prompt, len(s.runs)))
-		r.left = readingTime(&speed, unread, work.Prompt, len(s.runs))
+		readTo = now.Add(s.queue.timeAhead(&work, now) + speed.Prompt(unread, work.Prompt, len(s.runs)))
+		r.readLeft = readingTime(&speed, unread, work.Prompt, len(s.runs))
 		s.queue.add(r)
-		s.queue.arrive(work.Priority, r.left, now)
-		s.kind.noteReading(speed.Read(unread, work.Prompt))
+		s.queue.recordArrival(work.Priority, r.readLeft, now)
+		s.kind.recordReadTime(speed.Read(unread, work.Prompt))
 	}
 	if work.Left > 0 {
 		r.deadline = now.Add(work.Left)
 	}
-	if s.queue.headedBy(r) {
+	if s.queue.startsWith(r) {
 		r.headAt = now
 	}
-	b.notePauses(s, r, now)
+	b.recordPauses(s, r, now)
 	s.runs[id] = r
 	b.runs[id] = r
-	s.hold(&r.work)
-	s.sums.add(r)
+	s.holdMemory(&r.work)
+	s.streamCounts.add(r)
 	s.cache.add(work.Parts, readTo, int(cacheShare*float64(s.memory)))
 	for _, part := range work.Parts {
-		b.used[part.ID] = now
+		b.partUsedAt[part.ID] = now
 	}
 }
 
-// Learn notes that an engine keeps parts, least recently used first.
-func (b *Board) Learn(serverID string, parts []Part, now monotime.Instant) {
+// RecordCachedParts notes that an engine keeps parts, least recently used first.
+func (b *Board) RecordCachedParts(serverID string, parts []Part, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.server(Candidate{ID: serverID})
-	s.learned = true
+	s.cacheReported = true
 	for _, part := range parts {
 		s.cache.add([]Part{part}, now, int(cacheShare*float64(s.memory)))
 	}
 }
 
-// CacheLearned reports whether an engine or a peer told what the engine keeps.
-func (b *Board) CacheLearned(serverID string) bool {
+// CacheReported reports whether an engine or a peer told what the engine keeps.
+func (b *Board) CacheReported(serverID string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[serverID]
-	return s != nil && s.learned
+	return s != nil && s.cacheReported
 }
 
-// Kept returns what engines are believed to keep: of each at most so many parts,
+// CachedParts returns what engines are believed to keep: of each at most so many parts,
 // least recently used first.
-func (b *Board) Kept(most int) map[string][]Part {
+func (b *Board) CachedParts(limit int) map[string][]Part {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string][]Part)
 	for id, s := range b.servers {
-		if parts := s.cache.newest(most); len(parts) > 0 {
+		if parts := s.cache.newest(limit); len(parts) > 0 {
 			out[id] = parts
 		}
 	}
 	return out
 }
 
-// First notes that a run gave its first event: its prompt has been read.
-func (b *Board) First(id RunID, now monotime.Instant) {
+// FirstEvent notes that a run gave its first event: its prompt has been read.
+func (b *Board) FirstEvent(id RunID, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.runs[id]; r != nil && !r.first {
-		r.server.queue.leave(r, now)
+		r.server.queue.remove(r, now)
 		r.first, r.firstAt = true, now
-		r.server.workedAt = now
-		r.server.noteOvertaken(r, now)
+		r.server.lastEventAt = now
+		r.server.recordBypassed(r, now)
 		speed := r.server.pace(now)
-		r.server.noteRead(speed.Read(r.unread, r.work.Prompt), now)
+		r.server.recordRead(speed.Read(r.unread, r.work.Prompt), now)
 		r.server.done.read += float64(r.unread)
 		r.server.done.pairsM += pace.Pairs(r.unread, r.work.Prompt)
 		r.server.cache.ready(r.work.Parts, now)
 	}
 }
 
-// OwnFirst is First for a run of this instance, which also shows how long a first
+// OwnFirstEvent is First for a run of this instance, which also shows how long a first
 // event takes. That of others is known too late to measure it.
-func (b *Board) OwnFirst(id RunID, now monotime.Instant) {
-	b.First(id, now)
+func (b *Board) OwnFirstEvent(id RunID, now monotime.Instant) {
+	b.FirstEvent(id, now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.runs[id]; r != nil {
-		r.server.learnFirst(r, now)
+		r.server.observeFirst(r, now)
 	}
 }
 
@@ -248,12 +248,12 @@
 	if r == nil {
 		return
 	}
-	r.server.queue.leave(r, now)
-	r.server.tick(now)
-	r.server.learnSteps(&r.watch.calm)
-	r.server.letGo(&r.work)
-	r.server.sums.remove(r)
-	r.server.leavePunctual(r)
+	r.server.queue.remove(r, now)
+	r.server.advance(now)
+	r.server.observeSteps(&r.watch.noReading)
+	r.server.releaseMemory(&r.work)
+	r.server.streamCounts.remove(r)
+	r.server.removeOnTime(r)
 	delete(b.runs, id)
 	delete(r.server.runs, id)
 }
@@ -272,23 +272,23 @@
 
 // sweep ends runs whose end was never told, and forgets parts out of use.
 func (b *Board) sweep(now monotime.Instant) {
-	if now.Sub(b.swept) < time.Second {
+	if now.Sub(b.sweptAt) < time.Second {
 		return
 	}
-	b.swept = now
+	b.sweptAt = now
 	for id, r := range b.runs {
-		if now.Sub(r.begun) > runLife {
+		if now.Sub(r.begun) > maxRunAge {
 			b.end(id, now)
 		}
 	}
-	for most, at := range b.gaps {
-		if now.Sub(at) > gapMemory {
-			delete(b.gaps, most)
+	for most, at := range b.gapLimitUsedAt {
+		if now.Sub(at) > gapLimitMaxAge {
+			delete(b.gapLimitUsedAt, most)
 		}
 	}
-	for id, at := range b.used {
+	for id, at := range b.partUsedAt {
 		if now.Sub(at) > rereadWindow {
-			delete(b.used, id)
+			delete(b.partUsedAt, id)
 		}
 	}
 }
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -15,11 +15,11 @@
 	byID   map[string]*list.Element
 }
 
-// kept is a part that an engine keeps.
-type kept struct {
+// cachedPart is a part that an engine keeps.
+type cachedPart struct {
 	Part
-	// from is when it has been read and others may fetch it.
-	from monotime.Instant
+	// readyAt is when it has been read and others may fetch it.
+	readyAt monotime.Instant
 }
 
 func newPartCache() partCache {
@@ -29,19 +29,19 @@
 // add notes a use of parts, which are read by an instant, and makes room within
 // capacity tokens. The last part belongs to one request or session and is kept
 // too: a session may come back.
-func (c *partCache) add(parts []Part, from monotime.Instant, capacity int) {
+func (c *partCache) add(parts []Part, readyAt monotime.Instant, capacity int) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		part := parts[i]
 		if at := c.byID[part.ID]; at != nil {
 			c.order.MoveToFront(at)
 			continue
 		}
-		c.byID[part.ID] = c.order.PushFront(&kept{Part: part, from: from})
+		c.byID[part.ID] = c.order.PushFront(&cachedPart{Part: part, readyAt: readyAt})
 		c.tokens += part.Tokens
 	}
 	for capacity > 0 && c.tokens > capacity && c.order.Len() > 0 {
 		oldest := c.order.Back()
-		part := c.order.Remove(oldest).(*kept)
+		part := c.order.Remove(oldest).(*cachedPart)
 		delete(c.byID, part.ID)
 		c.tokens -= part.Tokens
 	}
@@ -51,20 +51,20 @@
 func (c *partCache) ready(parts []Part, now monotime.Instant) {
 	for _, part := range parts {
 		if at := c.byID[part.ID]; at != nil {
-			if k := at.Value.(*kept); now < k.from {
-				k.from = now
+			if k := at.Value.(*cachedPart); now < k.readyAt {
+				k.readyAt = now
 			}
 		}
 	}
 }
 
-// fetchable returns how many tokens at the start of a prompt another engine
+// fetchableTokens returns how many tokens at the start of a prompt another engine
 // could fetch now.
-func (c *partCache) fetchable(parts []Part, now monotime.Instant) int {
+func (c *partCache) fetchableTokens(parts []Part, now monotime.Instant) int {
 	tokens := 0
 	for _, part := range parts {
 		at := c.byID[part.ID]
-		if at == nil || now < at.Value.(*kept).from {
+		if at == nil || now < at.Value.(*cachedPart).readyAt {
 			break
 		}
 		tokens += part.Tokens
@@ -72,9 +72,9 @@
 	return tokens
 }
 
-// cached returns how many tokens of a prompt need not be read: those of the
+// cachedTokens returns how many tokens of a prompt need not be read: those of the
 // parts at its start that are all kept.
-func (c *partCache) cached(parts []Part) int {
+func (c *partCache) cachedTokens(parts []Part) int {
 	tokens := 0
 	for _, part := range parts {
 		if !c.has(part.ID) {
@@ -90,10 +90,10 @@
 }
 
 // newest returns the parts used last, at most so many, the newest at the end.
-func (c *partCache) newest(most int) []Part {
-	out := make([]Part, 0, min(most, c.order.Len()))
-	for at := c.order.Front(); at != nil && len(out) < most; at = at.Next() {
-		out = append(out, at.Value.(*kept).Part)
+func (c *partCache) newest(limit int) []Part {
+	out := make([]Part, 0, min(limit, c.order.Len()))
+	for at := c.order.Front(); at != nil && len(out) < limit; at = at.Next() {
+		out = append(out, at.Value.(*cachedPart).Part)
 	}
 	slices.Reverse(out)
 	return out
--- a/internal/placement/contention_test.go
+++ b/internal/placement/contention_test.go
@@ -11,47 +11,47 @@
 // instances sees its free slots and gets three requests before it hears what the
 // others send. If all of them send there, callers wait behind some 170 others
 // until their deadline; about as many as there are slots should.
-func TestInstancesDoNotAllRushToTheLastFreeSlots(t *testing.T) {
-	const instances, each, free = 59, 3, 4
+func TestInstancesDoNotOverfillTheLastFreeSlots(t *testing.T) {
+	const instances, each, freeSlots = 59, 3, 4
 	sent := 0
 	for i := range instances {
-		b := contended(uint64(i), instances)
+		b := newContendedBoard(uint64(i), instances)
 		candidates := engines(20)
 		for n := range candidates {
 			candidates[n].Slots = 16
 			b.server(candidates[n])
 			runs := 13
 			if n == 7 {
-				runs -= free
+				runs -= freeSlots
 			}
-			b.fill(candidates[n].ID, runs, bundle("c", "old"))
+			b.beginRuns(candidates[n].ID, runs, longPrompt("c", "old"))
 		}
 		for range each {
-			if choice, refusal := b.Choose(bundle("c", "new"), candidates, start); refusal == Chosen {
-				b.Begin(RunID{"me", sent}, choice.Server, bundle("c", "new"), 0, start)
+			if choice, refusal := b.Choose(longPrompt("c", "new"), candidates, start); refusal == Chosen {
+				b.Begin(RunID{"me", sent}, choice.Server, longPrompt("c", "new"), 0, start)
 				sent++
-			} else if choice.Free == 0 || choice.Unheard <= choice.Free {
+			} else if choice.Free == 0 || choice.Unreported <= choice.Free {
 				t.Errorf("the refusal does not tell why: %+v", choice)
 			}
 		}
 	}
-	if sent < 1 || sent > 4*free {
-		t.Errorf("%d requests sent to %d free slots", sent, free)
+	if sent < 1 || sent > 4*freeSlots {
+		t.Errorf("%d requests sent to %d free slots", sent, freeSlots)
 	}
 }
 
 // Few slots are free, and one of them is at an engine that keeps the prompt. Its
 // caller need not wait for it to be read or fetched elsewhere.
-func TestAmongLastSlotsAnEngineThatKeepsThePromptIsChosen(t *testing.T) {
-	b := contended(1, 59)
+func TestCacheHolderIsChosenAmongTheLastSlots(t *testing.T) {
+	b := newContendedBoard(1, 59)
 	candidates := engines(20)
 	for n := range candidates {
 		candidates[n].Slots = 16
 		b.server(candidates[n])
-		b.fill(candidates[n].ID, 7, note("old"))
+		b.beginRuns(candidates[n].ID, 7, shortPrompt("old"))
 	}
-	work := bundle("chain", "mine")
-	b.Learn("e11", work.Parts[:1], start)
+	work := longPrompt("chain", "mine")
+	b.RecordCachedParts("e11", work.Parts[:1], start)
 	for range 200 {
 		if choice, refusal := b.Choose(work, candidates, start); refusal == Chosen && choice.Server != "e11" {
 			t.Fatalf("went to %s", choice.Server)
@@ -62,41 +62,41 @@
 // Bundles come at three times what the engines bear, so most are refused. A few
 // letters come among them. Their callers must not be refused, while there are
 // slots that only they and notes may take: bundles are served all the time.
-func TestLettersAreNotRefusedForTheNumberOfBundles(t *testing.T) {
-	b := contended(1, 59)
+func TestUrgentRequestsAreNotRefusedBecauseOfManyLessUrgentOnes(t *testing.T) {
+	b := newContendedBoard(1, 59)
 	candidates := engines(20)
 	for n := range candidates {
 		candidates[n].Slots = 16
 		b.server(candidates[n])
-		b.fill(candidates[n].ID, 12, bundle("c", "old"))
+		b.beginRuns(candidates[n].ID, 12, longPrompt("c", "old"))
 	}
-	letter := bundle("letters", "mine")
-	letter.Priority = 1
-	bundles := 0
+	urgent := longPrompt("letters", "mine")
+	urgent.Priority = 1
+	accepted := 0
 	for n := range 100 {
 		now := start.Add(time.Duration(n) * 10 * time.Millisecond)
 		for range 10 { // a thousand in a second
 			b.contention.begun[2].add(now)
 		}
-		if _, refusal := b.Choose(letter, candidates, now); refusal != Chosen {
+		if _, refusal := b.Choose(urgent, candidates, now); refusal != Chosen {
 			t.Fatalf("letter %d refused", n)
 		}
-		if _, refusal := b.Choose(bundle("c", "new"), candidates, now); refusal == Chosen {
-			bundles++
+		if _, refusal := b.Choose(longPrompt("c", "new"), candidates, now); refusal == Chosen {
+			accepted++
 		}
 	}
-	if bundles > 30 {
-		t.Errorf("%d of 100 bundles sent to 20 slots: there is no such contention", bundles)
+	if accepted > 30 {
+		t.Errorf("%d of 100 bundles sent to 20 slots: there is no such contention", accepted)
 	}
 }
 
 // An instance alone sees all that is sent: it uses the last slot.
-func TestAnInstanceAloneUsesTheLastSlot(t *testing.T) {
-	b := contended(1, 1)
+func TestASingleInstanceUsesTheLastSlot(t *testing.T) {
+	b := newContendedBoard(1, 1)
 	candidates := engines(1)
 	candidates[0].Slots = 2
 	for range 100 {
-		if _, refusal := b.Choose(note("a"), candidates, start); refusal != Chosen {
+		if _, refusal := b.Choose(shortPrompt("a"), candidates, start); refusal != Chosen {
 			t.Fatal(refusal)
 		}
 	}
@@ -104,15 +104,15 @@
 
 // No engine can be reached. Callers must be told so, and to come back as soon as
 // one may be tried again, not that all are full.
-func TestUnreachableEnginesAreNotTakenForFull(t *testing.T) {
-	b := contended(1, 59)
+func TestUnreachableEnginesAreNotReportedAsFull(t *testing.T) {
+	b := newContendedBoard(1, 59)
 	candidates := engines(3)
 	for _, c := range candidates {
 		b.server(c)
 		b.Observe(c.ID, Unreachable, start)
 	}
 	for _, reached := range [][]Candidate{candidates, nil} {
-		if _, refusal := b.Choose(bundle("c", "x"), reached, start); refusal != NoneReachable {
+		if _, refusal := b.Choose(longPrompt("c", "x"), reached, start); refusal != NoneReachable {
 			t.Errorf("%d candidates: refusal %d", len(reached), refusal)
 		}
 	}
@@ -120,21 +120,21 @@
 
 // A service whose servers are no engines gets requests with prompts. They have no
 // memory to be full, and queue what comes.
-func TestPromptsToPlainServersAreNotRefused(t *testing.T) {
-	b := contended(1, 59)
+func TestPromptsToServersWithoutAnEngineAreNotRefused(t *testing.T) {
+	b := newContendedBoard(1, 59)
 	candidates := []Candidate{{ID: "p0", DataCentre: "here", Slots: 4}, {ID: "p1", DataCentre: "here", Slots: 4}}
 	for n := range 40 {
-		choice, refusal := b.Choose(bundle("c", "x"), candidates, start)
+		choice, refusal := b.Choose(longPrompt("c", "x"), candidates, start)
 		if refusal != Chosen {
 			t.Fatalf("request %d refused", n)
 		}
-		b.Begin(RunID{"me", n}, choice.Server, bundle("c", "x"), 0, start)
+		b.Begin(RunID{"me", n}, choice.Server, longPrompt("c", "x"), 0, start)
 	}
 }
 
 // One of 85 instances happens to get twice its share of bundles for a second,
 // while the engines have room for what all send. Its callers must not be refused.
-func TestAnInstanceWithManyRequestsDoesNotTakeAllForBusy(t *testing.T) {
+func TestAnInstanceWithABurstDoesNotRefuseWhileEnginesAreFree(t *testing.T) {
 	const instances, fleetRate, ownRate = 85, 440, 12
 	b := NewBoard(testPace, "here")
 	b.SetPeers(instances-1, 245*time.Millisecond)
@@ -148,11 +148,11 @@
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		if ms*fleetRate/1000 != (ms+1)*fleetRate/1000 {
 			run++
-			b.Begin(RunID{"other", run}, candidates[run%140].ID, bundle("c", "x"), 0, now)
+			b.Begin(RunID{"other", run}, candidates[run%140].ID, longPrompt("c", "x"), 0, now)
 			b.End(RunID{"other", run - 3*fleetRate}, now) // runs last three seconds
 		}
 		if ms*ownRate/1000 != (ms+1)*ownRate/1000 {
-			if _, refusal := b.Choose(bundle("c", "mine"), candidates, now); refusal != Chosen {
+			if _, refusal := b.Choose(longPrompt("c", "mine"), candidates, now); refusal != Chosen {
 				refused++
 			}
 		}
@@ -162,17 +162,17 @@
 	}
 }
 
-// fill has other instances begin so many runs on a server.
-func (b *Board) fill(server string, runs int, work Work) {
+// beginRuns has other instances begin so many runs on a server.
+func (b *Board) beginRuns(server string, runs int, work Work) {
 	for n := range runs {
 		b.Begin(RunID{server, n}, server, work, 0, start)
 	}
 }
 
-// contended returns a Board whose instance chooses beside others that hear of its
+// newContendedBoard returns a Board whose instance chooses beside others that hear of its
 // choices 170 ms late and that all together have sent 17 bundles a second for
 // each of them, for three seconds.
-func contended(seed uint64, instances int) *Board {
+func newContendedBoard(seed uint64, instances int) *Board {
 	b := NewBoard(testPace, "here")
 	b.rand = rand.New(rand.NewPCG(seed, 0))
 	b.SetPeers(instances-1, 164*time.Millisecond)
@@ -183,13 +183,13 @@
 	return b
 }
 
-func TestOverflowIsTheChanceThatAllFreeSlotsAreTaken(t *testing.T) {
+func TestFullProbability(t *testing.T) {
 	for _, c := range []struct {
 		arrivals float64
 		free     int
 		low, top float64
 	}{{0, 0, 0, 0}, {0.1, 1, 0.09, 0.1}, {2, 10, 0, 0.001}, {5, 1, 0.99, 1}, {3, 3, 0.55, 0.6}} {
-		if got := overflow(c.arrivals, c.free); got < c.low || got > c.top {
+		if got := fullProbability(c.arrivals, c.free); got < c.low || got > c.top {
 			t.Errorf("%v arrivals, %d free: %.3f", c.arrivals, c.free, got)
 		}
 	}
@@ -198,7 +198,7 @@
 // One engine keeps the start of a prompt, has two slots free, and all instances send
 // it 20 requests a second. One more would be refused by an engine that is full when
 // it comes, unless the others' requests are known soon; it goes to another one.
-func TestAnEngineToWhichAllSendIsLeftToThem(t *testing.T) {
+func TestAnEngineUsedByAllInstancesIsAvoidedWhileReportsAreLate(t *testing.T) {
 	for _, lag := range []time.Duration{10 * time.Millisecond, 240 * time.Millisecond} {
 		b := NewBoard(testPace, "here")
 		b.SetPeers(82, lag)
@@ -211,11 +211,11 @@
 			Parts: []Part{{ID: "big", Tokens: 20000}, {ID: "own", Tokens: 100}}, Prompt: 20100, Output: 170,
 			Goal: 2500 * time.Millisecond, Left: 15 * time.Second,
 		}
-		b.Learn("e4", work.Parts[:1], start)
+		b.RecordCachedParts("e4", work.Parts[:1], start)
 		for n := range 40 {
 			at := start.Add(time.Duration(n) * 50 * time.Millisecond)
 			b.Begin(RunID{"peer", n}, "e4", work, 0, at)
-			b.First(RunID{"peer", n}, at)
+			b.FirstEvent(RunID{"peer", n}, at)
 			b.End(RunID{"peer", n - 10}, at)
 		}
 		now := start.Add(2 * time.Second)
@@ -228,15 +228,15 @@
 
 // An engine refuses a note because it is full, which is not known here yet. The next
 // note goes elsewhere, and a moment later the engine is tried again.
-func TestAnEngineThatRefusedIsFullForAMoment(t *testing.T) {
+func TestAnEngineIsPausedAfterItRefused(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	one := engines(1)
-	place(t, b, 1, note("a"), one, start)
+	chooseAndBegin(t, b, 1, shortPrompt("a"), one, start)
 	b.Observe("e0", Refused, start)
-	if _, refusal := b.Choose(note("b"), one, start.Add(fullFor/2)); refusal != AllFull {
+	if _, refusal := b.Choose(shortPrompt("b"), one, start.Add(refusedPause/2)); refusal != AllFull {
 		t.Errorf("chosen again at once: %d", refusal)
 	}
-	if _, refusal := b.Choose(note("b"), one, start.Add(fullFor)); refusal != Chosen {
+	if _, refusal := b.Choose(shortPrompt("b"), one, start.Add(refusedPause)); refusal != Chosen {
 		t.Errorf("not chosen a moment later: %d", refusal)
 	}
 }
@@ -249,22 +249,22 @@
 	for n := range candidates {
 		candidates[n].Slots = 40
 		b.server(candidates[n])
-		b.fill(candidates[n].ID, 20, note("old"))
+		b.beginRuns(candidates[n].ID, 20, shortPrompt("old"))
 	}
-	calm := start.Add(5 * time.Second)
-	for _, work := range []Work{note("new"), bundle("c", "new")} {
-		if _, refusal := b.Choose(work, candidates, calm); refusal != Chosen {
+	later := start.Add(5 * time.Second)
+	for _, work := range []Work{shortPrompt("new"), longPrompt("c", "new")} {
+		if _, refusal := b.Choose(work, candidates, later); refusal != Chosen {
 			t.Fatalf("priority %d is refused while few notes come: %v", work.Priority, refusal)
 		}
 	}
 	for i := range 200 {
-		b.contention.begun[0].add(calm.Add(time.Duration(i) * time.Millisecond))
+		b.contention.begun[0].add(later.Add(time.Duration(i) * time.Millisecond))
 	}
-	now := calm.Add(200 * time.Millisecond)
-	if choice, refusal := b.Choose(bundle("c", "new"), candidates, now); refusal != AllFull || choice.Reserved == 0 {
+	now := later.Add(200 * time.Millisecond)
+	if choice, refusal := b.Choose(longPrompt("c", "new"), candidates, now); refusal != AllFull || choice.Reserved == 0 {
 		t.Errorf("a bundle while notes need the slots: %v %+v", refusal, choice)
 	}
-	if _, refusal := b.Choose(note("new"), candidates, now); refusal != Chosen {
+	if _, refusal := b.Choose(shortPrompt("new"), candidates, now); refusal != Chosen {
 		t.Errorf("a note: %v", refusal)
 	}
 }
@@ -277,11 +277,11 @@
 	for i := range 100 {
 		now = now.Add(10 * time.Millisecond)
 		if i%5 == 0 {
-			place(t, b, 1000+i, bundle(fmt.Sprint("c", i%25), fmt.Sprint("b", i)), candidates, now)
+			chooseAndBegin(t, b, 1000+i, longPrompt(fmt.Sprint("c", i%25), fmt.Sprint("b", i)), candidates, now)
 		}
-		choice := place(t, b, i, note(fmt.Sprint(i)), candidates, now)
-		b.First(RunID{"me", i}, now)
-		if used := b.Running(choice.Server); used > 64-64/keptForFirst {
+		choice := chooseAndBegin(t, b, i, shortPrompt(fmt.Sprint(i)), candidates, now)
+		b.FirstEvent(RunID{"me", i}, now)
+		if used := b.Running(choice.Server); used > 64-64/firstReserveDivisor {
 			t.Fatalf("note %d takes slot %d of 64 while others have more free", i, used)
 		}
 	}
--- a/internal/placement/fetch.go
+++ b/internal/placement/fetch.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// leastFetch is the fewest tokens worth a fetch: reading that many takes
+	// minFetchTokens is the fewest tokens worth a fetch: reading that many takes
 	// 16 ms, not much more than fetching them.
-	leastFetch = 1000
+	minFetchTokens = 1000
 	// fetchSetup is the time of a fetch beside the transfer, from the data sheet
 	// of the engines, with a margin for transfers that queue.
 	fetchSetup = 5 * time.Millisecond
-	// farFactor is how much longer a transfer between data centres takes.
-	farFactor     = 2
-	bitsPerByte   = 8
-	bitsPerSPerMb = 1e6
+	// crossDataCentreFactor is how much longer a transfer between data centres takes.
+	crossDataCentreFactor = 2
+	bitsPerByte           = 8
+	bitsPerSPerMb         = 1e6
 )
 
 // source is the server that keeps most of the start of a prompt.
@@ -35,7 +35,7 @@
 	// The last part is the request's own; no other engine has it.
 	shared := work.Parts[:len(work.Parts)-1]
 	for _, s := range reachable {
-		if tokens := s.cache.fetchable(shared, now); tokens > best.tokens {
+		if tokens := s.cache.fetchableTokens(shared, now); tokens > best.tokens {
 			best = source{server: s, tokens: tokens}
 		}
 	}
@@ -58,18 +58,18 @@
 // when that is not worth it.
 func (s *server) fetch(speed *pace.Pace, work *Work, from source, own int) (plan, bool) {
 	tokens := from.tokens - own
-	if from.server == nil || from.server == s || s.tokenBytes == 0 || s.linkMbps <= 0 || tokens < leastFetch {
+	if from.server == nil || from.server == s || s.tokenBytes == 0 || s.linkMbps <= 0 || tokens < minFetchTokens {
 		return plan{}, false
 	}
 	bytes := float64(tokens) * float64(s.tokenBytes)
 	seconds := bytes * bitsPerByte / (s.linkMbps * bitsPerSPerMb)
 	if s.dataCentre != from.server.dataCentre {
-		seconds *= farFactor
+		seconds *= crossDataCentreFactor
 	}
 	return plan{
 		unread: max(0, work.Prompt-from.tokens),
 		from:   from.server.id,
 		delay:  fetchSetup + time.Duration(seconds*float64(time.Second)),
-		cost:   fetchShare * s.kind.waste(speed, tokens),
+		cost:   fetchWeight * s.kind.wasteCost(speed, tokens),
 	}, true
 }
--- a/internal/placement/learn.go
+++ b/internal/placement/learn.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	// stretchMin is how long a stream is watched for one sample. News of what runs
+	// minInterval is how long a stream is watched for one sample. News of what runs
 	// beside it come late by tens of milliseconds, which shifts what was read from
 	// one stretch to the next.
-	stretchMin = 250 * time.Millisecond
-	// stretchEvents is the fewest events of a shorter stretch that counts.
-	stretchEvents = 2
-	// slowShare is the weight of the newest sample in how slow a server is.
-	slowShare = 0.1
-	// usualAge is how long the median over the servers of a service is used again.
-	usualAge = 200 * time.Millisecond
-	// slowMost bounds what one sample says: more is a stall on the way.
-	slowMost = 20.0
-	// slowNoise is how far the log of that ratio strays on servers that are as fast
+	minInterval = 250 * time.Millisecond
+	// minIntervalEvents is the fewest events of a shorter stretch that counts.
+	minIntervalEvents = 2
+	// slownessWeight is the weight of the newest sample in how slow a server is.
+	slownessWeight = 0.1
+	// medianMaxAge is how long the median over the servers of a service is used again.
+	medianMaxAge = 200 * time.Millisecond
+	// maxSlowSample bounds what one sample says: more is a stall on the way.
+	maxSlowSample = 20.0
+	// slownessDeadband is how far the log of that ratio strays on servers that are as fast
 	// as all: what was read beside a stream is known late. Less than that is ignored,
 	// and what is beyond counts by its excess.
-	slowNoise = 0.35
-	// slowMemory is how long a server that gets no requests is still taken to be
+	slownessDeadband = 0.35
+	// slownessFadeTime is how long a server that gets no requests is still taken to be
 	// slow. It then gets some, and shows whether it is.
-	slowMemory = 10 * time.Second
+	slownessFadeTime = 10 * time.Second
 )
 
 // engineKind is what is known of the model engines of a service together.
 type engineKind struct {
 	model *pace.Model
-	// usual is the median over its servers of how slow they are, as of usualAt: what
+	// medianSlowness is the median over its servers of how slow they are, as of usualAt: what
 	// a server is compared with. A mean over samples would not do, since streams of
 	// slow servers last longer and give more of them.
-	usual   float64
-	usualAt monotime.Instant
-	// meanReading is the mean time that a prompt takes to be read, of those of which
+	medianSlowness float64
+	medianAt       monotime.Instant
+	// meanReadTime is the mean time that a prompt takes to be read, of those of which
 	// some was to be read.
-	meanReading time.Duration
+	meanReadTime time.Duration
 }
 
 // progress sums up what an engine did, so that the difference of two instants says
@@ -51,8 +51,8 @@
 	read, pairsM float64 // tokens and millions of pairs, see pace.Pairs
 }
 
-// stretch is a part of a stream that is being watched.
-type stretch struct {
+// interval is a part of a stream that is being watched.
+type interval struct {
 	events        int
 	from, to      monotime.Instant
 	before, after progress
@@ -64,14 +64,14 @@
 // slow its engine is, and one in which the engine read no prompt, which shows how
 // long its steps are.
 type watch struct {
-	any, calm stretch
+	any, noReading interval
 }
 
-// tick brings the sums of an engine up to an instant.
-func (s *server) tick(now monotime.Instant) {
-	if now > s.ticked {
-		s.done.runTime += float64(len(s.runs)) * now.Sub(s.ticked).Seconds()
-		s.ticked = now
+// advance brings the sums of an engine up to an instant.
+func (s *server) advance(now monotime.Instant) {
+	if now > s.advancedAt {
+		s.done.runTime += float64(len(s.runs)) * now.Sub(s.advancedAt).Seconds()
+		s.advancedAt = now
 	}
 }
 
@@ -80,9 +80,9 @@
 	if s.slowAt == 0 {
 		return 1
 	}
-	off := math.Log(s.slow / s.kind.usual)
-	clear := math.Copysign(max(0, math.Abs(off)-slowNoise), off)
-	return math.Exp(clear * fadeOver(now.Sub(s.slowAt), slowMemory))
+	deviation := math.Log(s.slow / s.kind.medianSlowness)
+	excess := math.Copysign(max(0, math.Abs(deviation)-slownessDeadband), deviation)
+	return math.Exp(excess * decay(now.Sub(s.slowAt), slownessFadeTime))
 }
 
 // pace is how fast an engine is expected to work.
@@ -99,41 +99,41 @@
 		return
 	}
 	s := r.server
-	s.workedAt = now
-	s.tick(now)
+	s.lastEventAt = now
+	s.advance(now)
 	if r.watch.any.add(s, count, now) {
-		s.noteSlowness(&r.watch.any)
-		b.updateUsual(s.kind, now)
-		r.watch.any = s.stretch(now)
+		s.recordSlowness(&r.watch.any)
+		b.updateMedian(s.kind, now)
+		r.watch.any = s.newInterval(now)
 	}
-	calm := &r.watch.calm
+	noReading := &r.watch.noReading
 	switch {
-	case len(s.queue.runs) > 0 || calm.begun != s.begun:
-		s.learnSteps(calm)
-		r.watch.calm = s.stretch(now)
-	case calm.add(s, count, now):
-		s.learnSteps(calm)
-		r.watch.calm = s.stretch(now)
+	case len(s.queue.runs) > 0 || noReading.begun != s.begun:
+		s.observeSteps(noReading)
+		r.watch.noReading = s.newInterval(now)
+	case noReading.add(s, count, now):
+		s.observeSteps(noReading)
+		r.watch.noReading = s.newInterval(now)
 	}
 }
 
-// stretch returns one that starts now.
-func (s *server) stretch(now monotime.Instant) stretch {
-	return stretch{from: now, before: s.done, begun: s.begun}
+// newInterval returns one that starts now.
+func (s *server) newInterval(now monotime.Instant) interval {
+	return interval{from: now, before: s.done, begun: s.begun}
 }
 
 // add notes events of a stretch and reports whether it is long enough.
-func (w *stretch) add(s *server, count int, now monotime.Instant) bool {
+func (w *interval) add(s *server, count int, now monotime.Instant) bool {
 	if w.from == 0 {
-		*w = s.stretch(now)
+		*w = s.newInterval(now)
 		return false
 	}
 	w.events += count
 	w.to, w.after = now, s.done
-	return now.Sub(w.from) >= stretchMin
+	return now.Sub(w.from) >= minInterval
 }
 
-func (w *stretch) sample(s *server) pace.Sample {
+func (w *interval) sample(s *server) pace.Sample {
 	took := w.to.Sub(w.from)
 	return pace.Sample{
 		Steps: w.events * max(1, s.eventTokens), Took: took,
@@ -143,46 +143,46 @@
 	}
 }
 
-// learnSteps teaches the model of a service what a stretch without reading showed.
-func (s *server) learnSteps(w *stretch) {
-	if w.events >= stretchEvents && w.to > w.from {
+// observeSteps teaches the model of a service what a stretch without reading showed.
+func (s *server) observeSteps(w *interval) {
+	if w.events >= minIntervalEvents && w.to > w.from {
 		s.kind.model.ObserveSteps(w.sample(s), s.slowness(w.to))
 	}
 }
 
-// noteSlowness compares how long a stretch took with what the model expects.
-func (s *server) noteSlowness(w *stretch) {
+// recordSlowness compares how long a stretch took with what the model expects.
+func (s *server) recordSlowness(w *interval) {
 	expected := s.kind.model.Expected(w.sample(s))
 	if w.to <= w.from || expected <= 0 {
 		return
 	}
-	ratio := math.Log(min(max(float64(w.to.Sub(w.from))/float64(expected), 1/slowMost), slowMost))
-	s.slow = math.Exp((1-slowShare)*math.Log(s.slow) + slowShare*ratio)
+	ratio := math.Log(min(max(float64(w.to.Sub(w.from))/float64(expected), 1/maxSlowSample), maxSlowSample))
+	s.slow = math.Exp((1-slownessWeight)*math.Log(s.slow) + slownessWeight*ratio)
 	s.slowAt = w.to
 }
 
-// updateUsual takes the median anew when it is old.
-func (b *Board) updateUsual(kind *engineKind, now monotime.Instant) {
-	if kind.usualAt != 0 && now.Sub(kind.usualAt) < usualAge {
+// updateMedian takes the median anew when it is old.
+func (b *Board) updateMedian(kind *engineKind, now monotime.Instant) {
+	if kind.medianAt != 0 && now.Sub(kind.medianAt) < medianMaxAge {
 		return
 	}
 	var of []float64
 	for _, s := range b.servers {
-		if s.kind == kind && s.slowAt != 0 && now.Sub(s.slowAt) < slowMemory {
+		if s.kind == kind && s.slowAt != 0 && now.Sub(s.slowAt) < slownessFadeTime {
 			of = append(of, s.slow)
 		}
 	}
 	if len(of) > 0 {
 		slices.Sort(of)
-		kind.usual, kind.usualAt = of[len(of)/2], now
+		kind.medianSlowness, kind.medianAt = of[len(of)/2], now
 	}
 }
 
-// learnFirst teaches the model how long the first event of r took, if no prompt that
+// observeFirst teaches the model how long the first event of r took, if no prompt that
 // is known of waited to be read when it was sent, and none came until then. That the
 // model expects all prompts before to have been read does not do: while it takes
 // engines for too fast, it would learn from requests that waited.
-func (s *server) learnFirst(r *run, now monotime.Instant) {
+func (s *server) observeFirst(r *run, now monotime.Instant) {
 	if r.work.Prompt == 0 || !r.alone || s.begun != r.order {
 		return
 	}
@@ -203,45 +203,45 @@
 	return out
 }
 
-// Learned is the number of samples of the service of which the fewest are known, of
+// MinPaceSamples is the number of samples of the service of which the fewest are known, of
 // those that have any.
-func (b *Board) Learned() int {
+func (b *Board) MinPaceSamples() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	least := 0
+	fewest := 0
 	for _, e := range b.kinds {
-		if n := e.model.Samples(); n > 0 && (least == 0 || n < least) {
-			least = n
+		if n := e.model.Samples(); n > 0 && (fewest == 0 || n < fewest) {
+			fewest = n
 		}
 	}
-	return least
+	return fewest
 }
 
-// Evidence returns what this instance has seen of the engines of each service.
-func (b *Board) Evidence() map[string]pace.Evidence {
+// PaceStatistics returns what this instance has seen of the engines of each service.
+func (b *Board) PaceStatistics() map[string]pace.Statistics {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string]pace.Evidence)
+	out := make(map[string]pace.Statistics)
 	for service, e := range b.kinds {
-		if told := e.model.Evidence(); told.StepSamples+told.FirstSamples > 0 {
+		if told := e.model.Statistics(); told.StepSamples+told.FirstSamples > 0 {
 			out[service] = told
 		}
 	}
 	return out
 }
 
-// Hear takes what another instance has seen of the engines of a service, and reports
+// MergePaceStatistics takes what another instance has seen of the engines of a service, and reports
 // whether it can be used.
-func (b *Board) Hear(instance, service string, told pace.Evidence) bool {
+func (b *Board) MergePaceStatistics(instance, service string, statistics pace.Statistics) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.kindOf(service).model.Hear(instance, told)
+	return b.kindOf(service).model.Merge(instance, statistics)
 }
 
 func (b *Board) kindOf(service string) *engineKind {
 	e := b.kinds[service]
 	if e == nil {
-		e = &engineKind{model: pace.NewModel(b.prior), usual: 1, meanReading: meanAtFirst}
+		e = &engineKind{model: pace.NewModel(b.prior), medianSlowness: 1, meanReadTime: initialMeanReadTime}
 		b.kinds[service] = e
 	}
 	return e
--- a/internal/placement/learn_test.go
+++ b/internal/placement/learn_test.go
@@ -9,12 +9,12 @@
 	"basilrudder/internal/pace"
 )
 
-// streamOn plays a stream of events on a server, each after a pause, and returns
+// runStream plays a stream of events on a server, each after a pause, and returns
 // when it ended.
-func streamOn(b *Board, id RunID, server string, work Work, events int, pause time.Duration, now monotime.Instant) monotime.Instant {
+func runStream(b *Board, id RunID, server string, work Work, events int, pause time.Duration, now monotime.Instant) monotime.Instant {
 	b.Begin(id, server, work, 0, now)
 	now = now.Add(pause)
-	b.OwnFirst(id, now)
+	b.OwnFirstEvent(id, now)
 	b.Events(id, 1, now)
 	for range events {
 		now = now.Add(pause)
@@ -26,17 +26,17 @@
 
 // An instance that starts knows nothing of the engines. What streams show it, with
 // steps of 30 ms in place of the 5 assumed, is what it predicts by.
-func TestWhatStreamsShowDecidesAndNotWhatWasAssumed(t *testing.T) {
-	b := NewBoard(pace.Neutral, "here")
+func TestObservedStreamsOverrideThePriorPace(t *testing.T) {
+	b := NewBoard(pace.DefaultPrior, "here")
 	candidates := engines(3)
 	for _, c := range candidates {
 		b.server(c)
 	}
 	now := start
 	for n := range 30 {
-		now = streamOn(b, RunID{"me", n}, candidates[n%3].ID, note("n"), 20, 2*30*time.Millisecond, now)
+		now = runStream(b, RunID{"me", n}, candidates[n%3].ID, shortPrompt("n"), 20, 2*30*time.Millisecond, now)
 	}
-	choice, _ := b.Choose(note("next"), candidates, now)
+	choice, _ := b.Choose(shortPrompt("next"), candidates, now)
 	if choice.Gap < 50*time.Millisecond || choice.Gap > 200*time.Millisecond {
 		t.Errorf("pauses of 60 ms are seen, %v is predicted", choice.Gap)
 	}
@@ -47,7 +47,7 @@
 
 // One of four engines turns five times slower. Its callers' streams crawl, so the
 // next ones go elsewhere; ten seconds after it was last seen slow it is tried again.
-func TestASlowServerLosesRequestsAndGetsThemBack(t *testing.T) {
+func TestASlowServerIsAvoidedAndTriedAgainLater(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(4)
 	now := start
@@ -56,7 +56,7 @@
 		if n%4 == 2 {
 			pause *= 5
 		}
-		streamOn(b, RunID{"me", n}, candidates[n%4].ID, note("n"), 40, pause, now)
+		runStream(b, RunID{"me", n}, candidates[n%4].ID, shortPrompt("n"), 40, pause, now)
 		now = now.Add(100 * time.Millisecond)
 	}
 	now = now.Add(3 * time.Second)
@@ -65,11 +65,11 @@
 		t.Fatalf("taken to be %.2f times slower", got)
 	}
 	for n := range 12 {
-		if got := place(t, b, 1000+n, note(fmt.Sprint(n)), candidates, now); got.Server == slow.id {
+		if got := chooseAndBegin(t, b, 1000+n, shortPrompt(fmt.Sprint(n)), candidates, now); got.Server == slow.id {
 			t.Errorf("request %d goes to the slow server: %+v", n, got)
 		}
 	}
-	later := now.Add(4 * slowMemory)
+	later := now.Add(4 * slownessFadeTime)
 	if got := slow.slowness(later); got > 1.1 {
 		t.Errorf("still taken to be %.2f times slower", got)
 	}
@@ -77,13 +77,13 @@
 
 // All servers are as fast, but each stretch is off by half or twice, as what is read
 // beside streams is known late. None of them must be taken to be slow for it.
-func TestServersThatAreAlikeAreNotTakenToBeSlow(t *testing.T) {
+func TestEquallyFastServersAreNotClassifiedAsSlow(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(4)
 	now := start
 	for n := range 200 {
 		pause := 14 * time.Millisecond * time.Duration(1+n%2*2) / 2
-		streamOn(b, RunID{"me", n}, candidates[(n/2)%4].ID, note("n"), 40, pause, now)
+		runStream(b, RunID{"me", n}, candidates[(n/2)%4].ID, shortPrompt("n"), 40, pause, now)
 		now = now.Add(100 * time.Millisecond)
 	}
 	for _, c := range candidates {
@@ -93,22 +93,22 @@
 	}
 }
 
-// long is a prompt with a long answer that must be whole within 15 s.
-func long(id string) Work {
-	work := bundle("chain", id)
+// longAnswer is a prompt with a longAnswer answer that must be whole within 15 s.
+func longAnswer(id string) Work {
+	work := longPrompt("chain", id)
 	work.Output = 900
 	return work
 }
 
-// busyReading has an engine read long prompts for some seconds, of which no run is
+// readLongPrompts has an engine read long prompts for some seconds, of which no run is
 // left, and returns when that was.
-func busyReading(b *Board, server string, each time.Duration) monotime.Instant {
+func readLongPrompts(b *Board, server string, each time.Duration) monotime.Instant {
 	now := start
 	for n := range int(4 * time.Second / each) {
 		id := RunID{"peer", n}
-		b.Begin(id, server, bundle(fmt.Sprint("c", n), fmt.Sprint("x", n)), 21000, now)
+		b.Begin(id, server, longPrompt(fmt.Sprint("c", n), fmt.Sprint("x", n)), 21000, now)
 		now = now.Add(each)
-		b.First(id, now)
+		b.FirstEvent(id, now)
 		b.End(id, now)
 	}
 	return now
@@ -121,9 +121,9 @@
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
 	b.server(candidates[0])
-	now := busyReading(b, "e0", 450*time.Millisecond)
-	b.Learn("e0", long("mine").Parts[:1], now)
-	choice, _ := b.Choose(long("mine"), candidates, now)
+	now := readLongPrompts(b, "e0", 450*time.Millisecond)
+	b.RecordCachedParts("e0", longAnswer("mine").Parts[:1], now)
+	choice, _ := b.Choose(longAnswer("mine"), candidates, now)
 	if choice.Server != "e1" || choice.End > 15*time.Second {
 		t.Errorf("%+v", choice)
 	}
@@ -136,16 +136,16 @@
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
 	for n := range 20 {
-		work := long(fmt.Sprint(n))
+		work := longAnswer(fmt.Sprint(n))
 		work.Left = 8 * time.Second
 		if n%2 == 1 {
 			work.Left = time.Hour
 		}
 		id := RunID{"peer", n}
 		b.Begin(id, candidates[n%2].ID, work, 0, start)
-		b.First(id, start)
+		b.FirstEvent(id, start)
 	}
-	choice, _ := b.Choose(bundle("other", "x"), candidates, start.Add(time.Second))
+	choice, _ := b.Choose(longPrompt("other", "x"), candidates, start.Add(time.Second))
 	if choice.Server != "e1" {
 		t.Errorf("%+v", choice)
 	}
@@ -153,14 +153,14 @@
 
 // An engine has read a long prompt every half second. At this moment it reads none,
 // but a note that streams for two seconds would pause for the next one.
-func TestAnEngineThatReadsLongPromptsIsNoPlaceForShortPauses(t *testing.T) {
+func TestStreamsWithShortPausesAvoidEnginesThatReadLongPrompts(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
 	now := start
-	place(t, b, 0, note("first"), candidates, now) // its bound of pauses is in use
+	chooseAndBegin(t, b, 0, shortPrompt("first"), candidates, now) // its bound of pauses is in use
 	b.End(RunID{"me", 0}, now)
-	now = busyReading(b, "e0", 500*time.Millisecond)
-	choice, _ := b.Choose(note("n"), candidates, now)
+	now = readLongPrompts(b, "e0", 500*time.Millisecond)
+	choice, _ := b.Choose(shortPrompt("n"), candidates, now)
 	if choice.Server != "e1" {
 		t.Errorf("%+v", choice)
 	}
@@ -168,7 +168,7 @@
 
 // Notes on one engine have paused too long already and are late for good. The next
 // long prompt harms nobody there, so notes elsewhere are spared.
-func TestStreamsThatAreLateAlreadyAreNotSpared(t *testing.T) {
+func TestStreamsThatAreAlreadyLateAreNotProtected(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
 	for _, c := range candidates {
@@ -176,21 +176,21 @@
 	}
 	for n := range 16 {
 		id := RunID{"peer", n}
-		b.Begin(id, candidates[n%2].ID, note(fmt.Sprint(n)), 0, start)
-		b.First(id, start)
+		b.Begin(id, candidates[n%2].ID, shortPrompt(fmt.Sprint(n)), 0, start)
+		b.FirstEvent(id, start)
 	}
-	b.Begin(RunID{"peer", 100}, "e0", bundle("c", "x"), 21000, start)
-	b.First(RunID{"peer", 100}, start.Add(500*time.Millisecond))
+	b.Begin(RunID{"peer", 100}, "e0", longPrompt("c", "x"), 21000, start)
+	b.FirstEvent(RunID{"peer", 100}, start.Add(500*time.Millisecond))
 	b.End(RunID{"peer", 100}, start.Add(600*time.Millisecond))
-	choice, _ := b.Choose(bundle("d", "y"), candidates, start.Add(time.Second))
+	choice, _ := b.Choose(longPrompt("d", "y"), candidates, start.Add(time.Second))
 	if choice.Server != "e0" {
 		t.Errorf("%+v", choice)
 	}
 	for n := range 16 {
 		b.End(RunID{"peer", n}, start.Add(2*time.Second))
 	}
-	if s := b.server(candidates[0]); len(s.punctual) != 0 {
-		t.Errorf("of streams that ended some still count: %+v", s.punctual)
+	if s := b.server(candidates[0]); len(s.onTime) != 0 {
+		t.Errorf("of streams that ended some still count: %+v", s.onTime)
 	}
 }
 
@@ -198,26 +198,26 @@
 // further long prompt, each second of whose reading has more of them cut off, is
 // refused with its reason; a short and more urgent note is taken, whatever the less
 // urgent streams lose; and once there is time the prompt is taken too.
-func TestWhatHarmsMoreThanItEarnsIsRefused(t *testing.T) {
+func TestRequestsThatCostOthersMoreThanTheirValueAreRefused(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	one := engines(1)
 	b.server(one[0])
-	for n := range trustedSamples {
-		pause := 2 * testPace.Plain(1)
-		streamOn(b, RunID{"me", n}, "e0", note("n"), 30, pause, start.Add(-time.Hour))
+	for n := range minSamplesToRefuse {
+		pause := 2 * testPace.DecodeStep(1)
+		runStream(b, RunID{"me", n}, "e0", shortPrompt("n"), 30, pause, start.Add(-time.Hour))
 	}
 	for n := range 30 {
-		work := long(fmt.Sprint(n))
+		work := longAnswer(fmt.Sprint(n))
 		work.Left = 12 * time.Second
 		b.Begin(RunID{"peer", n}, "e0", work, 0, start)
-		b.First(RunID{"peer", n}, start)
+		b.FirstEvent(RunID{"peer", n}, start)
 	}
-	prompt := bundle("other", "x")
+	prompt := longPrompt("other", "x")
 	prompt.Prompt = 60000
-	if choice, refusal := b.Choose(prompt, one, start); refusal != NotWorth || choice.Worth >= 0 {
+	if choice, refusal := b.Choose(prompt, one, start); refusal != NotWorthwhile || choice.Value >= 0 {
 		t.Errorf("%d %+v", refusal, choice)
 	}
-	if choice, refusal := b.Choose(note("n"), one, start); refusal != Chosen {
+	if choice, refusal := b.Choose(shortPrompt("n"), one, start); refusal != Chosen {
 		t.Errorf("a note: %d %+v", refusal, choice)
 	}
 	for n := range 25 {
--- a/internal/placement/memory.go
+++ b/internal/placement/memory.go
@@ -4,36 +4,36 @@
 // that runs. When its memory is full it preempts some and reads them in again
 // later, which costs time and wastes what was read.
 
-// memoryShare is the part of an engine's memory that running requests may fill
+// usableMemoryShare is the part of an engine's memory that running requests may fill
 // by this instance's account. The rest is for requests that peers began and that
 // this instance has not heard of.
-const memoryShare = 0.9
+const usableMemoryShare = 0.9
 
-// hold notes the memory of a request that begins.
-func (s *server) hold(work *Work) {
-	s.inUse += s.adds(work)
+// holdMemory notes the memory of a request that begins.
+func (s *server) holdMemory(work *Work) {
+	s.inUse += s.addedTokens(work)
 	for _, part := range work.Parts {
-		s.holders[part.ID]++
+		s.partHolders[part.ID]++
 	}
 }
 
-// letGo gives the memory of a request back that ended.
-func (s *server) letGo(work *Work) {
+// releaseMemory gives the memory of a request back that ended.
+func (s *server) releaseMemory(work *Work) {
 	for _, part := range work.Parts {
-		s.holders[part.ID]--
-		if s.holders[part.ID] <= 0 {
-			delete(s.holders, part.ID)
+		s.partHolders[part.ID]--
+		if s.partHolders[part.ID] <= 0 {
+			delete(s.partHolders, part.ID)
 		}
 	}
-	s.inUse -= s.adds(work)
+	s.inUse -= s.addedTokens(work)
 }
 
-// adds is the memory in tokens that a request needs beyond what others hold.
-func (s *server) adds(work *Work) int {
+// addedTokens is the memory in tokens that a request needs beyond what others hold.
+func (s *server) addedTokens(work *Work) int {
 	tokens, listed := work.Output, 0
 	for _, part := range work.Parts {
 		listed += part.Tokens
-		if s.holders[part.ID] == 0 {
+		if s.partHolders[part.ID] == 0 {
 			tokens += part.Tokens
 		}
 	}
@@ -43,5 +43,5 @@
 // hasMemory reports whether a request fits beside those that run. One that runs
 // alone always does, as far as placement knows.
 func (s *server) hasMemory(work *Work) bool {
-	return len(s.runs) == 0 || s.inUse+s.adds(work) <= int(memoryShare*float64(s.memory))
+	return len(s.runs) == 0 || s.inUse+s.addedTokens(work) <= int(usableMemoryShare*float64(s.memory))
 }
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -15,10 +15,10 @@
 	// resets connections too; the last bounds what a crash costs in new tries.
 	retryMin = 200 * time.Millisecond
 	retryMax = 2 * time.Second
-	// fullFor is how long an engine that refused a request gets none: about as long
+	// refusedPause is how long an engine that refused a request gets none: about as long
 	// as the shortest streams take to leave a slot. What filled it is known here
 	// when its news have come, which is sooner.
-	fullFor = 200 * time.Millisecond
+	refusedPause = 200 * time.Millisecond
 )
 
 // Outcome is what became of a request at a server.
@@ -54,7 +54,7 @@
 	case Failed:
 		s.failures += failureDecay * (1 - s.failures)
 	case Refused:
-		s.fullUntil = now.Add(fullFor)
+		s.fullUntil = now.Add(refusedPause)
 	case Unreachable:
 		s.backoff = min(max(retryMin, 2*s.backoff), retryMax)
 		s.retryAt = now.Add(s.backoff)
--- a/internal/placement/pauses.go
+++ b/internal/placement/pauses.go
@@ -16,24 +16,24 @@
 const (
 	// gapSpread is how uncertain a predicted pause is, relative to it, and gapLeast
 	// the least of it.
-	gapSpread = 0.08
-	gapLeast  = 3 * time.Millisecond
-	// gapReserve is what the way from the server to the caller may add to a pause.
-	gapReserve = 12 * time.Millisecond
+	gapSpread    = 0.08
+	minGapSpread = 3 * time.Millisecond
+	// gapMargin is what the way from the server to the caller may add to a pause.
+	gapMargin = 12 * time.Millisecond
 	// hazardWindow is the time over which the rate of too long pauses is averaged.
 	hazardWindow = 3 * time.Second
-	// gapMemory is how long a bound of pauses is kept after its last use.
-	gapMemory = time.Minute
+	// gapLimitMaxAge is how long a bound of pauses is kept after its last use.
+	gapLimitMaxAge = time.Minute
 )
 
 // hazard is how often a pause on an engine is longer than a bound, as of an instant.
 type hazard struct {
-	sum float64
-	at  monotime.Instant
+	weighted float64
+	at       monotime.Instant
 }
 
 func (h *hazard) add(p float64, now monotime.Instant) {
-	*h = hazard{sum: h.sum*fadeOver(now.Sub(h.at), hazardWindow) + p, at: now}
+	*h = hazard{weighted: h.weighted*decay(now.Sub(h.at), hazardWindow) + p, at: now}
 }
 
 // perSecond is the rate of such pauses; h may be nil.
@@ -41,38 +41,38 @@
 	if h == nil {
 		return 0
 	}
-	return h.sum * fadeOver(now.Sub(h.at), hazardWindow) / hazardWindow.Seconds()
+	return h.weighted * decay(now.Sub(h.at), hazardWindow) / hazardWindow.Seconds()
 }
 
-func fadeOver(passed, window time.Duration) float64 {
+func decay(passed, window time.Duration) float64 {
 	return math.Exp(-passed.Seconds() / window.Seconds())
 }
 
-// punctual is how many of the streams of a kind on an engine are likely not to have
+// onTimeStreams is how many of the streams of a kind on an engine are likely not to have
 // paused too long yet.
-type punctual struct {
+type onTimeStreams struct {
 	expected float64
-	// kept is the share of a stream that was punctual at the start of all which
+	// survival is the share of a stream that was punctual at the start of all which
 	// still is.
-	kept float64
+	survival float64
 }
 
 // backlog is what an engine has yet to read.
 type backlog struct {
 	unread  int
-	deepest int // length of the longest prompt among those
+	longest int // length of the longest prompt among those
 }
 
 func (l backlog) with(unread, prompt int) backlog {
 	if unread == 0 {
 		return l
 	}
-	return backlog{unread: l.unread + unread, deepest: max(l.deepest, prompt)}
+	return backlog{unread: l.unread + unread, longest: max(l.longest, prompt)}
 }
 
-func (s *server) unread(now monotime.Instant) backlog {
+func (s *server) unreadBacklog(now monotime.Instant) backlog {
 	var out backlog
-	s.queue.read(now)
+	s.queue.advance(now)
 	for _, r := range s.queue.runs {
 		if r.reading() {
 			out = out.with(r.unread, r.work.Prompt)
@@ -86,34 +86,34 @@
 func (s *server) gap(speed *pace.Pace, l backlog, runs int) time.Duration {
 	steps := max(1, s.eventTokens)
 	read := min(l.unread, steps*pace.Chunk)
-	return time.Duration(steps)*speed.Plain(runs) + speed.Read(read, l.deepest)
+	return time.Duration(steps)*speed.DecodeStep(runs) + speed.Read(read, l.longest)
 }
 
 // lateGap is the probability that a predicted pause is above what is on time.
-func lateGap(gap, most time.Duration) float64 {
-	spread := max(gapLeast, time.Duration(gapSpread*float64(gap)))
-	return logistic(float64(gap+gapReserve-most) / float64(spread))
+func lateGap(gap, limit time.Duration) float64 {
+	spread := max(minGapSpread, time.Duration(gapSpread*float64(gap)))
+	return logistic(float64(gap+gapMargin-limit) / float64(spread))
 }
 
-// ownPauses is the probability that a stream placed on s pauses too long while it
+// pauseProbability is the probability that a stream placed on s pauses too long while it
 // lives: for what is to be read now, or for what will come. Long prompts go where
 // they make the fewest streams late, so an engine without such streams draws them
 // at least as often as the mean of all, and one that has some is spared. Streams
 // with short pauses thereby share engines as soon as long prompts come, and spread
 // when none do.
-func (s *server) ownPauses(speed *pace.Pace, work *Work, ahead backlog, life time.Duration, mean float64, now monotime.Instant) float64 {
+func (s *server) pauseProbability(speed *pace.Pace, work *Work, ahead backlog, life time.Duration, mean float64, now monotime.Instant) float64 {
 	if work.MaxGap == 0 {
 		return 0
 	}
 	kept := 1 - lateGap(s.gap(speed, ahead, len(s.runs)+1), work.MaxGap)
-	rate := s.hazards[work.MaxGap].perSecond(now) + mean*math.Exp(-s.exposed())
+	rate := s.hazards[work.MaxGap].perSecond(now) + mean*math.Exp(-s.exposedStreams())
 	return 1 - kept*math.Exp(-rate*life.Seconds())
 }
 
-// exposed is the number of streams on s that a long pause would make late.
-func (s *server) exposed() float64 {
+// exposedStreams is the number of streams on s that a long pause would make late.
+func (s *server) exposedStreams() float64 {
 	sum := 0.0
-	for _, p := range s.punctual {
+	for _, p := range s.onTime {
 		sum += p.expected
 	}
 	return sum
@@ -123,71 +123,71 @@
 // priority.
 func (s *server) pauseHarm(speed *pace.Pace, before, after backlog) byPriority {
 	var out byPriority
-	for kind, p := range s.punctual {
-		out[counted(kind.priority)] += p.expected * weightOf(kind.priority) * s.addedLate(speed, before, after, kind.maxGap)
+	for kind, p := range s.onTime {
+		out[priorityIndex(kind.priority)] += p.expected * weightOf(kind.priority) * s.addedLateGap(speed, before, after, kind.maxGap)
 	}
 	return out
 }
 
-// addedLate is how much likelier a pause above most becomes by a new prompt.
-func (s *server) addedLate(speed *pace.Pace, before, after backlog, most time.Duration) float64 {
+// addedLateGap is how much likelier a pause above most becomes by a new prompt.
+func (s *server) addedLateGap(speed *pace.Pace, before, after backlog, limit time.Duration) float64 {
 	runs := len(s.runs)
-	return max(0, lateGap(s.gap(speed, after, runs+1), most)-lateGap(s.gap(speed, before, runs), most))
+	return max(0, lateGap(s.gap(speed, after, runs+1), limit)-lateGap(s.gap(speed, before, runs), limit))
 }
 
-// notePauses takes into account what a run that begins on s does to the pauses
+// recordPauses takes into account what a run that begins on s does to the pauses
 // there, for all bounds of pauses in use. The run is not yet on s.
-func (b *Board) notePauses(s *server, r *run, now monotime.Instant) {
+func (b *Board) recordPauses(s *server, r *run, now monotime.Instant) {
 	speed := s.pace(now)
-	before := s.unread(now)
+	before := s.unreadBacklog(now)
 	if r.unread > 0 {
 		after := before.with(r.unread, r.work.Prompt)
-		for most := range b.gaps {
-			s.hazardOf(most).add(s.addedLate(&speed, before, after, most), now)
+		for most := range b.gapLimitUsedAt {
+			s.hazardOf(most).add(s.addedLateGap(&speed, before, after, most), now)
 		}
-		for kind, p := range s.punctual {
-			still := 1 - s.addedLate(&speed, before, after, kind.maxGap)
+		for kind, p := range s.onTime {
+			still := 1 - s.addedLateGap(&speed, before, after, kind.maxGap)
 			p.expected *= still
-			p.kept *= still
+			p.survival *= still
 		}
 	}
 	if r.work.MaxGap > 0 {
-		b.gaps[r.work.MaxGap] = now
-		s.joinPunctual(r, 1-lateGap(s.gap(&speed, before, len(s.runs)+1), r.work.MaxGap))
+		b.gapLimitUsedAt[r.work.MaxGap] = now
+		s.addOnTime(r, 1-lateGap(s.gap(&speed, before, len(s.runs)+1), r.work.MaxGap))
 	}
 }
 
-func (s *server) hazardOf(most time.Duration) *hazard {
-	h := s.hazards[most]
+func (s *server) hazardOf(limit time.Duration) *hazard {
+	h := s.hazards[limit]
 	if h == nil {
 		h = &hazard{}
-		s.hazards[most] = h
+		s.hazards[limit] = h
 	}
 	return h
 }
 
-func (s *server) joinPunctual(r *run, probability float64) {
+func (s *server) addOnTime(r *run, probability float64) {
 	kind := r.work.kind()
-	p := s.punctual[kind]
+	p := s.onTime[kind]
 	if p == nil {
-		p = &punctual{kept: 1}
-		s.punctual[kind] = p
+		p = &onTimeStreams{survival: 1}
+		s.onTime[kind] = p
 	}
 	p.expected += probability
-	r.punctual, r.keptBefore = probability, p.kept
+	r.onTime, r.survivalBefore = probability, p.survival
 }
 
-func (s *server) leavePunctual(r *run) {
+func (s *server) removeOnTime(r *run) {
 	kind := r.work.kind()
-	p := s.punctual[kind]
+	p := s.onTime[kind]
 	if p == nil {
 		return
 	}
 	if s.streams[kind] == 0 {
-		delete(s.punctual, kind)
+		delete(s.onTime, kind)
 		return
 	}
-	if r.keptBefore > 0 {
-		p.expected = max(0, p.expected-r.punctual*p.kept/r.keptBefore)
+	if r.survivalBefore > 0 {
+		p.expected = max(0, p.expected-r.onTime*p.survival/r.survivalBefore)
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -28,24 +28,24 @@
 	return out
 }
 
-// note is a short prompt whose stream must not pause for more than 120 ms.
-func note(id string) Work {
+// shortPrompt is a short prompt whose stream must not pause for more than 120 ms.
+func shortPrompt(id string) Work {
 	return Work{
 		Parts:  []Part{{ID: "sys", Tokens: 300}, {ID: id, Tokens: 1100}},
 		Prompt: 1400, Output: 170, Goal: 500 * time.Millisecond, MaxGap: 120 * time.Millisecond, Left: 15 * time.Second,
 	}
 }
 
-// bundle is a long prompt whose stream may pause for half a second.
-func bundle(chain, id string) Work {
+// longPrompt is a long prompt whose stream may pause for half a second.
+func longPrompt(chain, id string) Work {
 	return Work{
 		Parts:  []Part{{ID: chain, Tokens: 16000}, {ID: id, Tokens: 5000}},
 		Prompt: 21000, Output: 120, Goal: 2500 * time.Millisecond, MaxGap: 500 * time.Millisecond, Left: 15 * time.Second, Priority: 2,
 	}
 }
 
-// place chooses a server for work and notes that it began there.
-func place(t *testing.T, b *Board, number int, work Work, candidates []Candidate, now monotime.Instant) Choice {
+// chooseAndBegin chooses a server for work and notes that it began there.
+func chooseAndBegin(t *testing.T, b *Board, number int, work Work, candidates []Candidate, now monotime.Instant) Choice {
 	t.Helper()
 	choice, refusal := b.Choose(work, candidates, now)
 	if refusal != Chosen {
@@ -58,61 +58,61 @@
 // Callers of short notes see their stream pause when a long prompt is read
 // beside it. Notes and bundles come in turn; each kind should find engines on
 // which it does not meet the other, although no engine is set aside for it.
-func TestLongPromptsKeepAwayFromStreamsWithShortPauses(t *testing.T) {
+func TestLongPromptsAvoidStreamsWithShortPauses(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(6)
-	notes, bundles := map[string]bool{}, map[string]bool{}
+	shortOn, longOn := map[string]bool{}, map[string]bool{}
 	now := start
 	for i := range 40 {
 		now = now.Add(20 * time.Millisecond)
-		n := place(t, b, 2*i, note(fmt.Sprint("n", i)), candidates, now)
-		b.First(RunID{"me", 2 * i}, now.Add(50*time.Millisecond))
-		notes[n.Server] = true
-		bundles[place(t, b, 2*i+1, bundle(fmt.Sprint("c", i%8), fmt.Sprint("b", i)), candidates, now).Server] = true
-	}
-	for id := range notes {
-		if bundles[id] {
-			t.Errorf("%s runs notes and bundles: notes on %v, bundles on %v", id, notes, bundles)
+		n := chooseAndBegin(t, b, 2*i, shortPrompt(fmt.Sprint("n", i)), candidates, now)
+		b.FirstEvent(RunID{"me", 2 * i}, now.Add(50*time.Millisecond))
+		shortOn[n.Server] = true
+		longOn[chooseAndBegin(t, b, 2*i+1, longPrompt(fmt.Sprint("c", i%8), fmt.Sprint("b", i)), candidates, now).Server] = true
+	}
+	for id := range shortOn {
+		if longOn[id] {
+			t.Errorf("%s runs notes and bundles: notes on %v, bundles on %v", id, shortOn, longOn)
 		}
 	}
 }
 
 // Notes come while long prompts do. If they spread over all engines, each prompt
 // would make some of them late; they share few, and prompts find others.
-func TestNotesShareFewEnginesWhileLongPromptsCome(t *testing.T) {
+func TestShortPromptsShareFewEnginesWhileLongPromptsArrive(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	used := map[string]bool{}
 	now := start
 	for i := range 30 {
 		now = now.Add(50 * time.Millisecond)
-		place(t, b, 100+i, bundle(fmt.Sprint("c", i%5), fmt.Sprint("b", i)), engines(10), now)
-		used[place(t, b, i, note(fmt.Sprint("n", i)), engines(10), now).Server] = true
-		b.First(RunID{"me", i}, now)
+		chooseAndBegin(t, b, 100+i, longPrompt(fmt.Sprint("c", i%5), fmt.Sprint("b", i)), engines(10), now)
+		used[chooseAndBegin(t, b, i, shortPrompt(fmt.Sprint("n", i)), engines(10), now).Server] = true
+		b.FirstEvent(RunID{"me", i}, now)
 	}
 	if len(used) > 2 {
 		t.Errorf("30 notes spread over %d engines", len(used))
 	}
 }
 
-func TestAPromptGoesWhereItsPartsAreKept(t *testing.T) {
+func TestAPromptGoesWhereItsPartsAreCached(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(8)
-	first := place(t, b, 1, bundle("chain", "x"), candidates, start)
-	b.First(RunID{"me", 1}, start.Add(time.Second))
+	first := chooseAndBegin(t, b, 1, longPrompt("chain", "x"), candidates, start)
+	b.FirstEvent(RunID{"me", 1}, start.Add(time.Second))
 	b.End(RunID{"me", 1}, start.Add(2*time.Second))
-	second := place(t, b, 2, bundle("chain", "y"), candidates, start.Add(3*time.Second))
+	second := chooseAndBegin(t, b, 2, longPrompt("chain", "y"), candidates, start.Add(3*time.Second))
 	if second.Server != first.Server || second.Unread != 5000 {
 		t.Errorf("first %+v, second %+v", first, second)
 	}
 }
 
-func TestABusyEngineYieldsEvenItsOwnPrompts(t *testing.T) {
+func TestPromptsLeaveABusyEngineThatCachesThem(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(3)
-	home := place(t, b, 0, bundle("chain", "x"), candidates, start).Server
+	home := chooseAndBegin(t, b, 0, longPrompt("chain", "x"), candidates, start).Server
 	elsewhere := false
 	for i := range 20 {
-		elsewhere = elsewhere || place(t, b, i+1, bundle("chain", fmt.Sprint(i)), candidates, start).Server != home
+		elsewhere = elsewhere || chooseAndBegin(t, b, i+1, longPrompt("chain", fmt.Sprint(i)), candidates, start).Server != home
 	}
 	if !elsewhere {
 		t.Error("all of 21 prompts queue on one engine while two are idle")
@@ -122,14 +122,14 @@
 func TestAServerThatCannotBeReachedIsTriedAgainLater(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	one := engines(1)
-	place(t, b, 1, note("a"), one, start)
+	chooseAndBegin(t, b, 1, shortPrompt("a"), one, start)
 	if !b.Observe("e0", Unreachable, start) {
 		t.Error("that a server became unreachable is not told")
 	}
-	if _, refusal := b.Choose(note("b"), one, start.Add(retryMin/2)); refusal != NoneReachable {
+	if _, refusal := b.Choose(shortPrompt("b"), one, start.Add(retryMin/2)); refusal != NoneReachable {
 		t.Error("tried again at once")
 	}
-	if _, refusal := b.Choose(note("b"), one, start.Add(retryMin)); refusal != Chosen {
+	if _, refusal := b.Choose(shortPrompt("b"), one, start.Add(retryMin)); refusal != Chosen {
 		t.Error("not tried again")
 	}
 }
@@ -137,64 +137,64 @@
 func TestFailingServersAreAvoided(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
-	bad := place(t, b, 1, note("a"), candidates, start).Server
+	bad := chooseAndBegin(t, b, 1, shortPrompt("a"), candidates, start).Server
 	for range 5 {
 		b.Observe(bad, Failed, start)
 	}
-	if got, _ := b.Choose(note("b"), candidates, start); got.Server == bad {
+	if got, _ := b.Choose(shortPrompt("b"), candidates, start); got.Server == bad {
 		t.Errorf("%s failed five times in a row and is chosen: %+v", bad, got)
 	}
 }
 
 // An instance is killed; the servers drop its requests as its connections
 // close. Its peers must not believe that the engines are still busy with them.
-func TestRunsOfALostInstanceAreOver(t *testing.T) {
+func TestRunsOfALostInstanceEnd(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	for i := range 5 {
-		b.Begin(RunID{"lost", i}, "e0", bundle("c", fmt.Sprint(i)), 21000, start)
+		b.Begin(RunID{"lost", i}, "e0", longPrompt("c", fmt.Sprint(i)), 21000, start)
 	}
-	b.Begin(RunID{"me", 1}, "e0", note("n"), 1400, start)
+	b.Begin(RunID{"me", 1}, "e0", shortPrompt("n"), 1400, start)
 	b.InstanceGone("lost", start)
 	if got := b.Running("e0"); got != 1 {
 		t.Errorf("%d runs, want 1", got)
 	}
-	choice, _ := b.Choose(note("m"), engines(1), start)
+	choice, _ := b.Choose(shortPrompt("m"), engines(1), start)
 	if choice.First > testPace.First+80*time.Millisecond {
 		t.Errorf("first event predicted after %v of an almost idle engine", choice.First)
 	}
 }
 
-func TestARunWhoseEndIsNeverToldIsForgotten(t *testing.T) {
+func TestARunWithoutAReportedEndExpires(t *testing.T) {
 	b := NewBoard(testPace, "here")
-	b.Begin(RunID{"peer", 1}, "e0", note("n"), 1400, start)
-	b.Choose(note("m"), engines(1), start.Add(runLife+time.Second))
+	b.Begin(RunID{"peer", 1}, "e0", shortPrompt("n"), 1400, start)
+	b.Choose(shortPrompt("m"), engines(1), start.Add(maxRunAge+time.Second))
 	if got := b.Running("e0"); got != 0 {
-		t.Errorf("%d runs after %v", got, runLife)
+		t.Errorf("%d runs after %v", got, maxRunAge)
 	}
 }
 
-func TestTheCacheYieldsTheLeastRecentlyUsed(t *testing.T) {
+func TestTheCacheEvictsTheLeastRecentlyUsed(t *testing.T) {
 	c := newPartCache()
 	c.add([]Part{{"a", 10}, {"b", 10}}, start, 30)
 	c.add([]Part{{"c", 10}}, start, 30)
 	c.add([]Part{{"a", 10}}, start, 30)
 	c.add([]Part{{"d", 10}}, start, 30)
 	for id, want := range map[string]int{"a": 10, "b": 0, "c": 10, "d": 10} {
-		if got := c.cached([]Part{{id, 10}}); got != want {
+		if got := c.cachedTokens([]Part{{id, 10}}); got != want {
 			t.Errorf("%s: %d tokens kept, want %d", id, got, want)
 		}
 	}
-	if got := c.cached([]Part{{"b", 10}, {"a", 10}}); got != 0 {
+	if got := c.cachedTokens([]Part{{"b", 10}, {"a", 10}}); got != 0 {
 		t.Errorf("%d tokens count although the part before them is not kept", got)
 	}
 }
 
-func TestPlainServersShareByLoad(t *testing.T) {
+func TestServersWithoutAnEngineShareByLoad(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := []Candidate{{ID: "p", DataCentre: "here", Slots: 6}, {ID: "q", DataCentre: "here", Slots: 6}, {ID: "r", DataCentre: "far", Slots: 6}}
 	counts := map[string]int{}
 	for i := range 18 {
-		counts[place(t, b, i, Work{Goal: 100 * time.Millisecond}, candidates, start).Server]++
+		counts[chooseAndBegin(t, b, i, Work{Goal: 100 * time.Millisecond}, candidates, start).Server]++
 	}
 	for id, n := range counts {
 		if n < 5 || n > 7 {
@@ -210,28 +210,28 @@
 	b := NewBoard(testPace, "here")
 	candidates := engines(8)
 	now := start
-	home := place(t, b, 0, bundle("chain", "x"), candidates, now).Server
+	home := chooseAndBegin(t, b, 0, longPrompt("chain", "x"), candidates, now).Server
 	for i := range 12 {
 		now = now.Add(250 * time.Millisecond)
-		if got := place(t, b, i+1, bundle("chain", fmt.Sprint(i)), candidates, now); got.Server != home {
+		if got := chooseAndBegin(t, b, i+1, longPrompt("chain", fmt.Sprint(i)), candidates, now); got.Server != home {
 			t.Fatalf("prompt %d reads the part again: %+v", i, got)
 		}
 	}
 	s := b.server(candidates[0])
-	work := bundle("chain", "y")
+	work := longPrompt("chain", "y")
 	if s.id == home {
 		s = b.server(candidates[1])
 	}
-	if got := b.reread(s, &work, now); got != 16000 {
+	if got := b.rereadTokens(s, &work, now); got != 16000 {
 		t.Errorf("%d tokens to read again, want 16000", got)
 	}
-	if got := b.reread(s, &work, now.Add(rereadWindow+time.Millisecond)); got != 0 {
+	if got := b.rereadTokens(s, &work, now.Add(rereadWindow+time.Millisecond)); got != 0 {
 		t.Errorf("%d tokens count as read again long after their last use", got)
 	}
 }
 
-// fetching returns engines that can fetch prompts from each other.
-func fetching(n int) []Candidate {
+// enginesWithFetch returns engines that can fetch prompts from each other.
+func enginesWithFetch(n int) []Candidate {
 	out := engines(n)
 	for i := range out {
 		out[i].TokenBytes, out[i].LinkMbps = 35_000, 740_000
@@ -241,26 +241,26 @@
 
 // A part is kept by one engine, which becomes busy. The next prompt with that
 // part goes to an idle engine, which fetches the part and reads the rest alone.
-func TestAnIdleEngineFetchesWhatABusyOneKeeps(t *testing.T) {
+func TestAnIdleEngineFetchesPartsCachedByABusyOne(t *testing.T) {
 	b := NewBoard(testPace, "here")
-	candidates := fetching(3)
-	home := place(t, b, 0, bundle("chain", "x"), candidates, start).Server
-	b.First(RunID{"me", 0}, start.Add(time.Second))
+	candidates := enginesWithFetch(3)
+	home := chooseAndBegin(t, b, 0, longPrompt("chain", "x"), candidates, start).Server
+	b.FirstEvent(RunID{"me", 0}, start.Add(time.Second))
 	now := start.Add(time.Second)
 	for i := range 12 {
-		b.Begin(RunID{"peer", i}, home, bundle("other", fmt.Sprint(i)), 21000, now)
+		b.Begin(RunID{"peer", i}, home, longPrompt("other", fmt.Sprint(i)), 21000, now)
 	}
-	got := place(t, b, 1, bundle("chain", "y"), candidates, now)
+	got := chooseAndBegin(t, b, 1, longPrompt("chain", "y"), candidates, now)
 	if got.Server == home || got.FetchFrom != home || got.Unread != 5000 {
 		t.Errorf("home is %s, chosen %+v", home, got)
 	}
 }
 
-func TestWhatIsNotReadYetIsNotFetched(t *testing.T) {
+func TestUnreadPartsAreNotFetched(t *testing.T) {
 	b := NewBoard(testPace, "here")
-	candidates := fetching(2)
-	home := place(t, b, 0, bundle("chain", "x"), candidates, start).Server
-	work := bundle("chain", "y")
+	candidates := enginesWithFetch(2)
+	home := chooseAndBegin(t, b, 0, longPrompt("chain", "x"), candidates, start).Server
+	work := longPrompt("chain", "y")
 	for _, c := range candidates {
 		if c.ID != home {
 			if got, _ := b.Choose(work, []Candidate{c}, start); got.FetchFrom != "" {
@@ -273,14 +273,14 @@
 	}
 }
 
-func TestEnginesThatCannotFetchRead(t *testing.T) {
+func TestEnginesWithoutFetchReadThePrompt(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
-	home := place(t, b, 0, bundle("chain", "x"), candidates, start).Server
-	b.First(RunID{"me", 0}, start)
+	home := chooseAndBegin(t, b, 0, longPrompt("chain", "x"), candidates, start).Server
+	b.FirstEvent(RunID{"me", 0}, start)
 	for _, c := range candidates {
 		if c.ID != home {
-			if got, _ := b.Choose(bundle("chain", "y"), []Candidate{c, candidates[0], candidates[1]}, start); got.FetchFrom != "" {
+			if got, _ := b.Choose(longPrompt("chain", "y"), []Candidate{c, candidates[0], candidates[1]}, start); got.FetchFrom != "" {
 				t.Errorf("%+v", got)
 			}
 		}
@@ -289,14 +289,14 @@
 
 // Sixty notes run at once. The more of them share an engine, the slower all of
 // their streams are, and the longer each can be lost with its server.
-func TestManyNotesDoNotAllShareOneEngine(t *testing.T) {
+func TestManyShortPromptsDoNotAllShareOneEngine(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	counts := map[string]int{}
 	now := start
 	for i := range 60 {
 		now = now.Add(10 * time.Millisecond)
-		counts[place(t, b, i, note(fmt.Sprint("n", i)), engines(10), now).Server]++
-		b.First(RunID{"me", i}, now)
+		counts[chooseAndBegin(t, b, i, shortPrompt(fmt.Sprint("n", i)), engines(10), now).Server]++
+		b.FirstEvent(RunID{"me", i}, now)
 	}
 	for id, n := range counts {
 		if n > 24 {
@@ -311,16 +311,16 @@
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
 	short := func(i int) Work { return Work{Prompt: 1000, Goal: time.Minute, Priority: 2} }
-	for i := range 2 * (64 - 64/keptForSecond) {
-		place(t, b, i, short(i), candidates, start)
+	for i := range 2 * (64 - 64/secondReserveDivisor) {
+		chooseAndBegin(t, b, i, short(i), candidates, start)
 	}
 	if _, refusal := b.Choose(short(0), candidates, start); refusal != AllFull {
 		t.Errorf("one more: %d", refusal)
 	}
-	for i := range 2 * (64 / keptForSecond) {
-		place(t, b, 1000+i, note(fmt.Sprint(i)), candidates, start)
+	for i := range 2 * (64 / secondReserveDivisor) {
+		chooseAndBegin(t, b, 1000+i, shortPrompt(fmt.Sprint(i)), candidates, start)
 	}
-	if _, refusal := b.Choose(note("x"), candidates, start); refusal != AllFull {
+	if _, refusal := b.Choose(shortPrompt("x"), candidates, start); refusal != AllFull {
 		t.Errorf("a note beyond the room for notes: %d", refusal)
 	}
 }
@@ -335,7 +335,7 @@
 		return Work{Parts: []Part{{ID: fmt.Sprint("own", i), Tokens: 100_000}}, Prompt: 100_000, Goal: time.Minute, Priority: 2}
 	}
 	for i := range 8 {
-		place(t, b, i, large(i), candidates, start)
+		chooseAndBegin(t, b, i, large(i), candidates, start)
 	}
 	for _, c := range candidates {
 		if got := b.servers[c.ID].inUse; got != 400_000 {
@@ -345,53 +345,53 @@
 	if _, refusal := b.Choose(large(9), candidates, start); refusal != AllFull {
 		t.Errorf("a ninth: %d", refusal)
 	}
-	if _, refusal := b.Choose(note("n"), candidates, start); refusal != Chosen {
+	if _, refusal := b.Choose(shortPrompt("n"), candidates, start); refusal != Chosen {
 		t.Errorf("a note: %d", refusal)
 	}
 	shared := large(0)
-	if got := b.servers["e0"].adds(&shared) + b.servers["e1"].adds(&shared); got != 100_000 {
+	if got := b.servers["e0"].addedTokens(&shared) + b.servers["e1"].addedTokens(&shared); got != 100_000 {
 		t.Errorf("a prompt that one engine holds needs %d more", got)
 	}
 	for i := range 8 {
 		b.End(RunID{"me", i}, start)
 	}
 	for _, c := range candidates {
-		if s := b.servers[c.ID]; s.inUse != 0 || len(s.holders) != 0 {
-			t.Errorf("%s holds %d tokens, %v", c.ID, s.inUse, s.holders)
+		if s := b.servers[c.ID]; s.inUse != 0 || len(s.partHolders) != 0 {
+			t.Errorf("%s holds %d tokens, %v", c.ID, s.inUse, s.partHolders)
 		}
 	}
 }
 
 // A link breaks and opens again, and the peer tells of its runs a second time.
-func TestARunToldTwiceCountsOnce(t *testing.T) {
+func TestARunReportedTwiceCountsOnce(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	for range 2 {
-		b.Begin(RunID{"peer", 1}, "e0", bundle("c", "x"), 21000, start)
+		b.Begin(RunID{"peer", 1}, "e0", longPrompt("c", "x"), 21000, start)
 	}
 	if got := b.servers["e0"].inUse; got != 21000+120 {
 		t.Errorf("%d tokens held", got)
 	}
 	b.End(RunID{"peer", 1}, start)
-	if s := b.servers["e0"]; s.inUse != 0 || b.Running("e0") != 0 || len(s.streams) != 0 || len(s.queue.runs) != 0 || len(s.punctual) != 0 {
-		t.Errorf("%d tokens held by %d runs, %+v", s.inUse, b.Running("e0"), s.sums)
+	if s := b.servers["e0"]; s.inUse != 0 || b.Running("e0") != 0 || len(s.streams) != 0 || len(s.queue.runs) != 0 || len(s.onTime) != 0 {
+		t.Errorf("%d tokens held by %d runs, %+v", s.inUse, b.Running("e0"), s.streamCounts)
 	}
 }
 
 // Runs begin, give their first event and end in a random order. What is kept of
 // them for choices must be what going through the runs gives.
-func TestSumsOfRunsAreThoseOfTheRuns(t *testing.T) {
+func TestIncrementalStreamCountsMatchTheRuns(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range 2000 {
 		id := RunID{"peer", random.IntN(40)}
-		switch work := note(fmt.Sprint(i)); random.IntN(4) {
+		switch work := shortPrompt(fmt.Sprint(i)); random.IntN(4) {
 		case 0:
 			work.Priority = random.IntN(3)
 			b.Begin(id, "e0", work, random.IntN(2)*1000, start)
 		case 1:
-			b.Begin(id, "e0", bundle("c", fmt.Sprint(i)), 5000, start)
+			b.Begin(id, "e0", longPrompt("c", fmt.Sprint(i)), 5000, start)
 		case 2:
-			b.First(id, start)
+			b.FirstEvent(id, start)
 		case 3:
 			b.End(id, start)
 		}
@@ -399,7 +399,7 @@
 		if s == nil {
 			continue
 		}
-		want, pending := newSums(), 0
+		want, pending := newStreamCounts(), 0
 		for _, r := range s.runs {
 			want.add(r)
 			if r.unread > 0 && !r.first {
@@ -407,7 +407,7 @@
 			}
 		}
 		if pending != len(s.queue.runs) || !maps.Equal(want.streams, s.streams) {
-			t.Fatalf("step %d: kept %+v and %d prompts, runs give %+v and %d", i, s.sums, len(s.queue.runs), want, pending)
+			t.Fatalf("step %d: kept %+v and %d prompts, runs give %+v and %d", i, s.streamCounts, len(s.queue.runs), want, pending)
 		}
 	}
 }
@@ -421,12 +421,12 @@
 	for i := range candidates {
 		candidates[i].TokenBytes, candidates[i].LinkMbps = 35_000, 740_000
 	}
-	work := bundle("c", "x")
+	work := longPrompt("c", "x")
 	b.Begin(RunID{"me", 1}, "e0", work, work.Prompt, start)
-	b.First(RunID{"me", 1}, start.Add(time.Second))
+	b.FirstEvent(RunID{"me", 1}, start.Add(time.Second))
 	b.End(RunID{"me", 1}, start.Add(2*time.Second))
 	candidates[0].SourceOnly = true
-	choice, refusal := b.Choose(bundle("c", "y"), candidates, start.Add(3*time.Second))
+	choice, refusal := b.Choose(longPrompt("c", "y"), candidates, start.Add(3*time.Second))
 	if refusal != Chosen || choice.Server != "e1" || choice.FetchFrom != "e0" {
 		t.Errorf("%v %+v", refusal, choice)
 	}
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// urgentMost bounds the share of an engine's reading that more urgent prompts are
+	// maxUrgentShare bounds the share of an engine's reading that more urgent prompts are
 	// expected to take, so that predicted waits stay finite.
-	urgentMost = 0.9
+	maxUrgentShare = 0.9
 	// urgentWindow is the time over which that share is averaged.
 	urgentWindow = time.Second
 )
@@ -34,16 +34,16 @@
 	q.runs = slices.Insert(q.runs, at, r)
 }
 
-// leave takes a run out whose prompt is read, or that is over.
-func (q *queue) leave(r *run, now monotime.Instant) {
-	q.read(now)
+// remove takes a run out whose prompt is read, or that is over.
+func (q *queue) remove(r *run, now monotime.Instant) {
+	q.advance(now)
 	if at, ok := slices.BinarySearchFunc(q.runs, r, compareReading); ok {
 		q.runs = slices.Delete(q.runs, at, at+1)
 	}
 }
 
-// headedBy reports whether nothing is read before a run.
-func (q *queue) headedBy(r *run) bool {
+// startsWith reports whether nothing is read before a run.
+func (q *queue) startsWith(r *run) bool {
 	return len(q.runs) == 0 || compareReading(r, q.runs[0]) <= 0
 }
 
@@ -55,16 +55,16 @@
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Rank, b.Rank))
 }
 
-// read accounts for the reading done up to an instant.
-func (q *queue) read(now monotime.Instant) {
+// advance accounts for the reading done up to an instant.
+func (q *queue) advance(now monotime.Instant) {
 	passed := now.Sub(q.readAt)
 	if passed <= 0 {
 		return
 	}
 	q.readAt = now
 	for _, r := range q.runs {
-		took := min(passed, r.left)
-		r.left -= took
+		took := min(passed, r.readLeft)
+		r.readLeft -= took
 		passed -= took
 		if passed == 0 {
 			return
@@ -72,59 +72,59 @@
 	}
 }
 
-// ahead is how long reading takes that comes before new work.
-func (q *queue) ahead(work *Work, now monotime.Instant) time.Duration {
-	q.read(now)
+// timeAhead is how long reading takes that comes before new work.
+func (q *queue) timeAhead(work *Work, now monotime.Instant) time.Duration {
+	q.advance(now)
 	sum := time.Duration(0)
 	for _, r := range q.runs {
 		if compareUrgency(&r.work, work) > 0 {
 			break
 		}
-		sum += r.left
+		sum += r.readLeft
 	}
 	return sum
 }
 
-// arrive notes that a prompt came which takes so long to read.
-func (q *queue) arrive(priority int, reading time.Duration, now monotime.Instant) {
-	faded := fadeOver(now.Sub(q.loadAt), urgentWindow)
+// recordArrival notes that a prompt came which takes so long to read.
+func (q *queue) recordArrival(priority int, reading time.Duration, now monotime.Instant) {
+	faded := decay(now.Sub(q.loadAt), urgentWindow)
 	for i := range q.load {
 		q.load[i] *= faded
 	}
 	q.loadAt = now
-	q.load[counted(priority)] += reading.Seconds() / urgentWindow.Seconds()
+	q.load[priorityIndex(priority)] += reading.Seconds() / urgentWindow.Seconds()
 }
 
-// moreUrgent is the share of an engine's time that reading prompts takes which come
+// moreUrgentShare is the share of an engine's time that reading prompts takes which come
 // and are more urgent than a priority.
-func (q *queue) moreUrgent(priority int, now monotime.Instant) float64 {
+func (q *queue) moreUrgentShare(priority int, now monotime.Instant) float64 {
 	if priority <= 0 {
 		return 0
 	}
-	return q.load.upTo(priority-1) * fadeOver(now.Sub(q.loadAt), urgentWindow)
+	return q.load.upTo(priority-1) * decay(now.Sub(q.loadAt), urgentWindow)
 }
 
-// overtaken is how long a wait becomes while more urgent prompts come that need a share
+// delayedByUrgent is how long a wait becomes while more urgent prompts come that need a share
 // of the time: they are read first.
-func overtaken(wait time.Duration, share float64) time.Duration {
-	return time.Duration(float64(wait) / (1 - min(share, urgentMost)))
+func delayedByUrgent(wait time.Duration, share float64) time.Duration {
+	return time.Duration(float64(wait) / (1 - min(share, maxUrgentShare)))
 }
 
 // Ahead is what an engine is believed to have to read before a prompt.
 type Ahead struct {
 	// Prompts and Tokens of them, by priority; those beyond the last counted are in it.
-	Prompts, Tokens [lowestCounted + 1]int
+	Prompts, Tokens [lastPriorityIndex + 1]int
 }
 
-// before lists what is read before work that arrived with an order.
-func (q *queue) before(work *Work, order int) Ahead {
+// promptsAhead lists what is read promptsAhead work that arrived with an order.
+func (q *queue) promptsAhead(work *Work, order int) Ahead {
 	var out Ahead
 	for _, r := range q.runs {
 		if cmp.Or(compareUrgency(&r.work, work), cmp.Compare(r.order, order)) >= 0 {
 			break
 		}
-		out.Prompts[counted(r.work.Priority)]++
-		out.Tokens[counted(r.work.Priority)] += r.unread
+		out.Prompts[priorityIndex(r.work.Priority)]++
+		out.Tokens[priorityIndex(r.work.Priority)] += r.unread
 	}
 	return out
 }
@@ -132,69 +132,69 @@
 // readingTime is how long an engine reads a prompt among others, which share its steps.
 func readingTime(speed *pace.Pace, unread, prompt, runs int) time.Duration {
 	steps := float64(unread) / pace.Chunk
-	return speed.Read(unread, prompt) + time.Duration(steps*float64(speed.Plain(runs)))
+	return speed.Read(unread, prompt) + time.Duration(steps*float64(speed.DecodeStep(runs)))
 }
 
 const (
-	// workShown is how long after its last sign of work an engine is believed to go on.
+	// maxEventSilence is how long after its last sign of work an engine is believed to go on.
 	// Its steps take some tens of milliseconds; the first event of a long prompt takes
 	// longer, and news of it travel.
-	workShown = time.Second
-	// overtakenFor is how long a request may be overtaken: engines read prompts in parts
+	maxEventSilence = time.Second
+	// maxBypassed is how long a request may be overtaken: engines read prompts in parts
 	// and fetch some, so the next one may be ready before.
-	overtakenFor = 500 * time.Millisecond
+	maxBypassed = 500 * time.Millisecond
 )
 
-// Standing is where a request is believed to stand that an engine has not answered yet.
-type Standing struct {
+// QueueStatus is where a request is believed to stand that an engine has not answered yet.
+type QueueStatus struct {
 	// Ahead of it are the prompts that are read before its own.
 	Ahead Ahead
-	// Head is for how long there have been none.
-	Head time.Duration
-	// Quiet is how long no event of the engine is known of.
-	Quiet time.Duration
-	// Overtaken is how long ago a request gave its first event that came later and
+	// AtHead is for how long there have been none.
+	AtHead time.Duration
+	// SinceLastEvent is how long no event of the engine is known of.
+	SinceLastEvent time.Duration
+	// SinceBypassed is how long ago a request gave its first event that came later and
 	// ranks no better; 0 for never.
-	Overtaken time.Duration
+	SinceBypassed time.Duration
 }
 
 // Queued reports whether the engine is believed to be at work on the prompts before it, or
 // for no longer than patience on its own. An engine that serves those who came later has
 // lost it.
-func (s *Standing) Queued(patience time.Duration) bool {
-	return s.Quiet <= workShown && s.Overtaken <= overtakenFor && s.Head <= patience
+func (s *QueueStatus) Queued(limit time.Duration) bool {
+	return s.SinceLastEvent <= maxEventSilence && s.SinceBypassed <= maxBypassed && s.AtHead <= limit
 }
 
-// Standing returns where a run stands. A server that is no engine tells nothing of its queue,
+// QueueStatus returns where a run stands. A server that is no engine tells nothing of its queue,
 // and counts as quiet.
-func (b *Board) Standing(id RunID, now monotime.Instant) Standing {
+func (b *Board) QueueStatus(id RunID, now monotime.Instant) QueueStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.runs[id]
 	if r == nil || r.work.Prompt == 0 {
-		return Standing{Quiet: runLife}
+		return QueueStatus{SinceLastEvent: maxRunAge}
 	}
-	out := Standing{Ahead: r.server.queue.before(&r.work, r.order), Quiet: now.Sub(r.server.workedAt)}
+	out := QueueStatus{Ahead: r.server.queue.promptsAhead(&r.work, r.order), SinceLastEvent: now.Sub(r.server.lastEventAt)}
 	switch {
 	case out.Ahead != Ahead{}:
 		r.headAt = 0
 	case r.headAt == 0:
 		r.headAt = now
 	default:
-		out.Head = now.Sub(r.headAt)
+		out.AtHead = now.Sub(r.headAt)
 	}
-	if r.overtakenAt != 0 {
-		out.Overtaken = now.Sub(r.overtakenAt)
+	if r.bypassedAt != 0 {
+		out.SinceBypassed = now.Sub(r.bypassedAt)
 	}
 	return out
 }
 
-// noteOvertaken notes which requests wait that came before one with a first event and rank
+// recordBypassed notes which requests wait that came before one with a first event and rank
 // no worse.
-func (s *server) noteOvertaken(by *run, now monotime.Instant) {
+func (s *server) recordBypassed(by *run, now monotime.Instant) {
 	for _, r := range s.runs {
-		if !r.first && r.order < by.order && r.overtakenAt == 0 && compareUrgency(&r.work, &by.work) <= 0 {
-			r.overtakenAt = now
+		if !r.first && r.order < by.order && r.bypassedAt == 0 && compareUrgency(&r.work, &by.work) <= 0 {
+			r.bypassedAt = now
 		}
 	}
 }
--- a/internal/placement/reserve.go
+++ b/internal/placement/reserve.go
@@ -6,20 +6,20 @@
 	"basilrudder/internal/monotime"
 )
 
-// reserved is how many more slots more urgent requests will need, while work holds one,
+// reservedSlots is how many more slots more urgent requests will need, while work holds one,
 // than runs leave free. What holds its slot for no longer than they can wait is not in
 // their way.
-func (b *Board) reserved(work *Work, holds time.Duration, now monotime.Instant) float64 {
-	if holds <= b.shortestGoal(work.Priority) {
+func (b *Board) reservedSlots(work *Work, holds time.Duration, now monotime.Instant) float64 {
+	if holds <= b.minGoal(work.Priority) {
 		return 0
 	}
-	return b.contention.missing(work.Priority, now) * holds.Seconds()
+	return b.contention.slotDeficit(work.Priority, now) * holds.Seconds()
 }
 
-// shortestGoal is the shortest time to a first event that requests more urgent than a
+// minGoal is the shortest time to a first event that requests more urgent than a
 // priority want.
-func (b *Board) shortestGoal(priority int) time.Duration {
-	shortest := runLife
+func (b *Board) minGoal(priority int) time.Duration {
+	shortest := maxRunAge
 	for kind, goal := range b.goals {
 		if kind.priority < priority {
 			shortest = min(shortest, goal)
@@ -28,12 +28,12 @@
 	return shortest
 }
 
-// brief reports whether work holds its slot for no longer than any request can wait.
-func (b *Board) brief(work *Work, candidates []Candidate) bool {
+// isBrief reports whether work holds its slot for no longer than any request can wait.
+func (b *Board) isBrief(work *Work, candidates []Candidate) bool {
 	if work.Output == 0 || len(candidates) == 0 {
 		return false
 	}
 	speed := b.kindOf(candidates[0].Service).model.Pace()
-	holds := time.Duration(work.Output) * speed.Plain(candidates[0].Slots)
-	return holds <= b.shortestGoal(lowestCounted+1)
+	holds := time.Duration(work.Output) * speed.DecodeStep(candidates[0].Slots)
+	return holds <= b.minGoal(lastPriorityIndex+1)
 }
--- a/internal/placement/runs.go
+++ b/internal/placement/runs.go
@@ -33,9 +33,9 @@
 	return out
 }
 
-// Keep ends the runs of an instance that are not among those given, and returns the
+// ReconcileRuns ends the runs of an instance that are not among those given, and returns the
 // given ones that are not known.
-func (b *Board) Keep(instance string, running []RunState, now monotime.Instant) (unknown []RunState) {
+func (b *Board) ReconcileRuns(instance string, running []RunState, now monotime.Instant) (unknown []RunState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	kept := make(map[int]bool, len(running))
--- a/internal/placement/sums.go
+++ b/internal/placement/streams.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// sums is what a choice needs of the runs on a server, kept as they come and go.
+// streamCounts is what a choice needs of the runs on a server, kept as they come and go.
 // A choice looks at every server: among 140 with ten runs each, going through
 // all runs took 0.25 ms.
-type sums struct {
+type streamCounts struct {
 	// streams counts the runs whose stream must not pause for long.
 	streams map[streamKind]int
 }
@@ -18,17 +18,17 @@
 
 func (w *Work) kind() streamKind { return streamKind{w.MaxGap, w.Priority} }
 
-func newSums() sums {
-	return sums{streams: make(map[streamKind]int)}
+func newStreamCounts() streamCounts {
+	return streamCounts{streams: make(map[streamKind]int)}
 }
 
-func (s *sums) add(r *run) {
+func (s *streamCounts) add(r *run) {
 	if r.work.MaxGap > 0 {
 		s.streams[r.work.kind()]++
 	}
 }
 
-func (s *sums) remove(r *run) {
+func (s *streamCounts) remove(r *run) {
 	kind := r.work.kind()
 	if s.streams[kind] > 1 {
 		s.streams[kind]--
--- a/internal/placement/work.go
+++ b/internal/placement/work.go
@@ -49,13 +49,13 @@
 // ones first in any case. With the same weight for all the nine days of the same load
 // earn 0.807 on two deployments, with one that falls by half they earn 0.811 and 0.815.
 const (
-	weightOfFirst = 2.5
-	weightFalls   = 0.25
+	topWeight     = 2.5
+	weightDecline = 0.25
 )
 
 // weightOf says what a request on time counts for, by its priority.
 func weightOf(priority int) float64 {
-	return weightOfFirst / (1 + weightFalls*max(0, float64(priority)))
+	return topWeight / (1 + weightDecline*max(0, float64(priority)))
 }
 
 func (w *Work) weight() float64 { return weightOf(w.Priority) }
@@ -74,20 +74,20 @@
 	work   Work
 	unread int
 	begun  monotime.Instant
-	// left is how long its prompt is yet read, once that has begun.
-	left time.Duration
+	// readLeft is how long its prompt is yet read, once that has begun.
+	readLeft time.Duration
 	// headAt is since when no prompt is known that is read before its own, and
-	// overtakenAt when a request gave its first event that came later and ranks no
+	// bypassedAt when a request gave its first event that came later and ranks no
 	// better; 0 for never.
-	headAt, overtakenAt monotime.Instant
+	headAt, bypassedAt monotime.Instant
 
 	first   bool
 	firstAt monotime.Instant
 	// deadline is when nobody waits any more; 0 for never.
 	deadline monotime.Instant
-	// punctual is the probability that the stream did not pause too long at its
-	// start, and keptBefore what had then been kept, see server.punctual.
-	punctual, keptBefore float64
+	// onTime is the probability that the stream did not pause too long at its
+	// start, and survivalBefore what had then been kept, see server.onTime.
+	onTime, survivalBefore float64
 	// order is the number of requests that had begun on the server with this one.
 	order int
 	// alone says that no other prompt waited to be read on the server.
@@ -98,5 +98,5 @@
 
 // reading reports whether the prompt still waits to be read or is being read.
 func (r *run) reading() bool {
-	return !r.first && r.left > 0
+	return !r.first && r.readLeft > 0
 }
--- a/internal/relay/await.go
+++ b/internal/relay/await.go
@@ -103,9 +103,9 @@
 		zap.Duration("waited_ms", now.Sub(e.sentAt)),
 		zap.Duration("patience_ms", f.patience()),
 		zap.Duration("predicted_first_ms", f.target.Choice.First),
-		zap.Duration("engine_quiet_ms", standing.Quiet),
-		zap.Duration("overtaken_ms", standing.Overtaken),
-		zap.Duration("head_ms", standing.Head),
+		zap.Duration("engine_quiet_ms", standing.SinceLastEvent),
+		zap.Duration("overtaken_ms", standing.SinceBypassed),
+		zap.Duration("head_ms", standing.AtHead),
 		zap.Ints("ahead_prompts", standing.Ahead.Prompts[:]),
 		zap.Ints("ahead_tokens", standing.Ahead.Tokens[:]))
 	return false
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -101,11 +101,11 @@
 		return Target{}, placement.AllFull
 	}
 	if work.Waited > 0 && !f.sooner {
-		return Target{}, placement.NotWorth
+		return Target{}, placement.NotWorthwhile
 	}
 	if f.coldPlaces > 0 {
 		f.coldPlaces--
-		return Target{}, placement.AllBounded
+		return Target{}, placement.AllLimited
 	}
 	for _, id := range f.servers {
 		if !excluded[id] {
@@ -126,14 +126,14 @@
 }
 func (f *fakeFleet) First(int, monotime.Instant) {}
 
-func (f *fakeFleet) Standing(int, monotime.Instant) placement.Standing {
+func (f *fakeFleet) Standing(int, monotime.Instant) placement.QueueStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.queued == 0 {
-		return placement.Standing{Quiet: time.Minute}
+		return placement.QueueStatus{SinceLastEvent: time.Minute}
 	}
 	f.queued--
-	return placement.Standing{Ahead: placement.Ahead{Prompts: [4]int{1}}}
+	return placement.QueueStatus{Ahead: placement.Ahead{Prompts: [4]int{1}}}
 }
 
 func (f *fakeFleet) Events(int, int, monotime.Instant) {}
--- a/internal/relay/flight.go
+++ b/internal/relay/flight.go
@@ -247,9 +247,9 @@
 	switch refusal {
 	case placement.NoneReachable:
 		return verdict.New(verdict.NotRun, verdict.ReasonNoServer, "no server can be reached").After(f.afterUnreachable())
-	case placement.AllBounded:
+	case placement.AllLimited:
 		return verdict.New(verdict.NotRun, verdict.ReasonOverloaded, "all servers have just started, named a limit or want nothing for a while, and get what they bear").After(spread(retryOverloaded))
-	case placement.AllFull, placement.NotWorth:
+	case placement.AllFull, placement.NotWorthwhile:
 		return verdict.New(verdict.NotRun, verdict.ReasonOverloaded, fullMessage(target.Choice)).After(spread(retryOverloaded))
 	}
 	f.target = target
@@ -306,7 +306,7 @@
 		now := monotime.Now()
 		f.lookAtTime()
 		target, refusal := f.relay.cfg.Fleet.Place(f.service, f.work, f.excluded, now)
-		if refusal != placement.AllBounded || now >= until {
+		if refusal != placement.AllLimited || now >= until {
 			return target, refusal
 		}
 		select {
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -113,7 +113,7 @@
 	Events(run, count int, now monotime.Instant)
 	End(run int, now monotime.Instant)
 	// Standing tells where a run stands that its server has not answered yet.
-	Standing(run int, now monotime.Instant) placement.Standing
+	Standing(run int, now monotime.Instant) placement.QueueStatus
 	// Observe tells what became of a request at a server.
 	Observe(server string, outcome placement.Outcome, now monotime.Instant)
 	// Suspects reports whether any request is suspected of crashing servers; while there is
--- a/internal/relay/refuse.go
+++ b/internal/relay/refuse.go
@@ -49,11 +49,11 @@
 
 // fullMessage tells what decided that no server has room.
 func fullMessage(c placement.Choice) string {
-	if c.Server != "" && c.Worth >= 0 {
-		return fmt.Sprintf("its caller would have left before its first or last event, with a probability of %.2f", c.Lost)
+	if c.Server != "" && c.Value >= 0 {
+		return fmt.Sprintf("its caller would have left before its first or last event, with a probability of %.2f", c.LostProbability)
 	}
 	if c.Server != "" {
-		return fmt.Sprintf("streams beside it would lose %.2f more than it earns", -c.Worth)
+		return fmt.Sprintf("streams beside it would lose %.2f more than it earns", -c.Value)
 	}
 	if c.Reserved > 0 {
 		return fmt.Sprintf("%d slots are free and more urgent requests need %d more until it would end", c.Free, c.Reserved)
@@ -61,7 +61,7 @@
 	if c.Free == 0 {
 		return "all servers are full"
 	}
-	return fmt.Sprintf("%d slots are free and about %d requests on their way to them", c.Free, c.Unheard)
+	return fmt.Sprintf("%d slots are free and about %d requests on their way to them", c.Free, c.Unreported)
 }
 
 // closeDuringDrain tells callers to use other connections.
