--- a/internal/gateway/noise.go
+++ b/internal/gateway/noise.go
@@ -4,7 +4,7 @@
 
 const (
 	// noisePerInstance is the noise of placement for each instance beyond
-	// manyInstances, see placement.Board.SetNoise: the more there are, the more of
+	// manyInstances, see placement.Board.SetCostJitter: the more there are, the more of
 	// them choose before they hear of each other's choices. Fewer hear in time,
 	// and noise costs them 0.005 of worth.
 	noisePerInstance = 0.002
--- a/internal/pace/model.go
+++ b/internal/pace/model.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Terms of the two regressions, in milliseconds, and the units in which they are
-// counted, chosen so that usual values are around 1. The time of a step grows with
-// the requests that run; the time to a first event, less that of its steps, grows
-// with what is read. They are fitted apart because what streams show of reading is
-// blurred: when others' prompts were read is known too late and too roughly, which
-// would make reading look cheap and steps long.
+// Terms of the two regressions, in milliseconds, with units chosen to make usual values
+// about 1. The time of a step grows with the number of running requests. The time to a
+// first event, less that of its steps, grows with the tokens read. The two are fitted
+// separately because streams show reading only roughly: when an engine read the prompts
+// of other instances is reported late and imprecisely, which in a joint fit would make
+// reading look cheap and steps long.
 const (
-	termStep = iota // 1
+	termStep = iota // constant term
 	termRuns        // tens of running requests
 )
 
 const (
-	termFirst = iota // 1
+	termFirst = iota // constant term
 	termRead         // thousands of tokens read
 	termPairs        // tens of millions of pairs, see Pairs
 )
@@ -29,40 +29,41 @@
 )
 
 const (
-	// priorWeight is what the prior counts for at first, in samples of usualSteps
-	// steps. It fades with the square of fadeSamples over the samples taken, down to
-	// priorRest: engines that are ten times slower or faster in one term are then
-	// predicted within a quarter after 40 samples, a second or two of moderate load.
+	// priorWeight is the weight of the prior before the first sample, in samples of
+	// typicalSteps steps. It falls with the square of priorFadeSamples over the number of
+	// samples, down to minPriorWeight: predictions for an engine that is ten times slower
+	// or faster in one term are then within a quarter after 40 samples, which take one or
+	// two seconds of moderate load.
 	priorWeight      = 2.0
 	priorFadeSamples = 4.0
 	minPriorWeight   = 0.01
-	// minPairsPriorWeight is priorRest for the growth of reading with the length of a prompt.
-	// Most prompts are read whole, of which length and pairs grow together, so that
-	// noise easily takes one for the other; the prior holds against it.
+	// minPairsPriorWeight is minPriorWeight for termPairs. Most prompts are read whole,
+	// so their length and their pairs grow together and noise easily shifts time from one
+	// term to the other. The prior keeps them apart.
 	minPairsPriorWeight = 5.0
-	// typicalSteps is the length of a sample that counts once; longer ones average
-	// out more of what disturbs them, up to mostWeight.
+	// typicalSteps is the length of a sample of weight 1. Longer samples average out more
+	// noise and weigh more, up to maxSampleWeight.
 	typicalSteps    = 40.0
 	maxSampleWeight = 3.0
-	// retainPerSample is the share of older samples that still counts after one
-	// more: some 300 count, which is longer than any mix of requests is unusual.
+	// retainPerSample is the weight that older samples retain after one more sample. It
+	// makes some 300 samples count, which is longer than an unusual mix of requests
+	// lasts.
 	retainPerSample = 1 - 1.0/300
-	// outlierFactor is how many times further off the fit than half of the samples one
-	// may be and still count in full, and outlierLeast the share of itself by which
-	// any may be. Beyond, it counts in inverse proportion: a process that was held
-	// up, or a server that is slow, must not make all look slow. While the fit is
-	// still far off all samples are, and count.
+	// outlierFactor is the multiple of the median error up to which a sample has full
+	// weight, and minOutlierError the relative error up to which any sample has. Beyond,
+	// the weight falls in inverse proportion to the error, so that a process that was
+	// held up or a slow server does not make all engines look slow. While the fit is
+	// still far off, the median error is large and all samples count.
 	outlierFactor   = 3.0
 	minOutlierError = 0.2
-	// medianStep is the share by which the median of what samples are off moves
-	// with each.
+	// medianStep is the relative change of the estimated median error with each sample.
 	medianStep = 0.1
-	// halfWeightReadShare is the share of the time of a stretch that reading may have taken
-	// for it to count half.
+	// halfWeightReadShare is the share of its time spent on reading at which a sample of
+	// steps has half its weight.
 	halfWeightReadShare = 0.5
 )
 
-// Sample is what a stream showed of its engine's steps.
+// Sample describes a part of a stream, from which the time of a step is learned.
 type Sample struct {
 	// Steps is the number of steps that the events took, one for each token.
 	Steps int
@@ -70,41 +71,40 @@
 	Took time.Duration
 	// Runs is the mean number of requests that ran on the engine.
 	Runs float64
-	// Read is the number of prompt tokens that the engine read in the meantime, and
-	// PairsM the millions of pairs of tokens of that, see Pairs.
+	// Read is the number of prompt tokens that the engine read in that time, and PairsM
+	// their millions of pairs of tokens, see Pairs.
 	Read, PairsM float64
 }
 
-// FirstEvent is how long the first event of a request took at an engine that had
-// nothing else to read.
+// FirstEvent describes the first event of a request at an engine that had no other prompt
+// to read.
 type FirstEvent struct {
 	// Took is the time from sending the request to its first event.
 	Took time.Duration
-	// Unread is the number of tokens of its prompt that the engine read, and Prompt
-	// the number of all.
+	// Unread is the number of prompt tokens that the engine read, and Prompt the length
+	// of the prompt.
 	Unread, Prompt int
 	// Runs is the number of other requests that ran.
 	Runs int
 }
 
-// Model is what has been learned of the engines of one service. It is not safe for
-// concurrent use.
+// Model learns the pace of the engines of one service. It is not safe for concurrent use.
 type Model struct {
 	steps, firsts fit
 	pace          Pace
-	// received is the evidence of other processes.
+	// received holds the latest statistics of other processes.
 	received map[string]Statistics
 }
 
-// fit is a regression with what it needs to tell outliers.
+// fit is a regression that gives outliers less weight.
 type fit struct {
 	regression
-	// medianError is about the median share by which samples are off.
+	// medianError approximates the median relative error of the samples.
 	medianError    float64
-	minPriorWeight vector // of the prior that does not fade
+	minPriorWeight vector // to which the weight of the prior falls
 }
 
-// NewModel returns a Model that predicts a prior until it is taught better.
+// NewModel returns a Model that predicts prior until samples are observed.
 func NewModel(prior Pace) *Model {
 	steps := vector{termStep: milliseconds(prior.Step), termRuns: milliseconds(prior.StepPerRun) * runsUnit}
 	firsts := vector{
@@ -125,13 +125,13 @@
 	return fit{regression: newRegression(prior, weight), medianError: 1, minPriorWeight: minWeight}
 }
 
-// Pace is what the model predicts of an engine that is as fast as most.
+// Pace returns the predicted pace of an engine of the usual speed of the service.
 func (m *Model) Pace() Pace { return m.pace }
 
-// Samples is the number of samples that were taken, by other processes too.
+// Samples returns the number of samples taken, those of other processes included.
 func (m *Model) Samples() int { return m.steps.total() + m.firsts.total() }
 
-// Expected is how long the model expects a sample to take.
+// Expected returns the predicted duration of a sample.
 func (m *Model) Expected(s Sample) time.Duration {
 	perStep := float64(m.pace.Step) + s.Runs*float64(m.pace.StepPerRun)
 	return time.Duration(perStep*float64(s.Steps)) + m.readTime(s)
@@ -141,8 +141,9 @@
 	return time.Duration(s.Read*float64(m.pace.ReadToken) + s.PairsM*float64(m.pace.AttentionPerM))
 }
 
-// ObserveSteps teaches the model a sample of an engine that was last seen to be so
-// many times slower than most. The less was read beside it, the more it counts.
+// ObserveSteps learns from a sample of an engine whose slowness is the ratio of its times
+// to the usual ones. The weight of the sample falls with the share of its time that was
+// spent on reading.
 func (m *Model) ObserveSteps(s Sample, slowness float64) {
 	took := time.Duration(float64(s.Took) / slowness)
 	read := m.readTime(s)
@@ -155,8 +156,8 @@
 	m.update()
 }
 
-// ObserveFirst teaches the model a first event of an engine that was last seen to
-// be so many times slower than most.
+// ObserveFirst learns from the first event of a request at an engine of the given
+// slowness, see ObserveSteps.
 func (m *Model) ObserveFirst(e FirstEvent, slowness float64) {
 	steps := time.Duration((e.Unread + Chunk - 1) / Chunk)
 	rest := time.Duration(float64(e.Took)/slowness) - steps*m.pace.DecodeStep(e.Runs)
@@ -165,17 +166,16 @@
 	m.update()
 }
 
-// observe takes a sample.
 func (f *fit) observe(x vector, y, weight float64) {
 	weight *= f.outlierWeight(y, f.predict(x))
 	f.fadePrior()
 	f.add(x, y, weight, math.Pow(retainPerSample, weight))
 }
 
-// total is the number of samples of all processes.
+// total returns the number of samples of all processes.
 func (f *fit) total() int { return f.own.samples + f.others.samples }
 
-// fadePrior has the prior count less the more samples there are.
+// fadePrior lowers the weight of the prior as the number of samples grows.
 func (f *fit) fadePrior() {
 	faded := priorFadeSamples / (priorFadeSamples + float64(f.total()))
 	for i := range f.weight {
@@ -183,7 +183,8 @@
 	}
 }
 
-// outlierWeight is what a sample counts for that is as far off what was expected.
+// outlierWeight returns the weight of a sample by its relative error, and updates the
+// median error.
 func (f *fit) outlierWeight(y, expected float64) float64 {
 	if expected <= 0 {
 		return 1
@@ -214,8 +215,8 @@
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // maxLearnedMS bounds each learned time, in milliseconds: a minute, beyond any engine.
-// Sums of a peer that are damaged can be fitted to years, which overflow into times
-// below nothing, and every request would go to the engine of that service.
+// Damaged sums of a peer can be fitted to years, which overflow to negative times, and
+// every request would then go to the engines of that service.
 const maxLearnedMS = 60_000
 
 func fromMS(ms float64) time.Duration {
--- a/internal/pace/model_test.go
+++ b/internal/pace/model_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// kinds are engines that have little in common: as fast as usual, ten times slower
-// and faster, with steps that do not depend on the batch and that do steeply, and
-// with a long fixed time before the first event.
+// kinds are engines of very different pace: the usual one, ten times slower and faster,
+// with steps whose time depends on the batch not at all or steeply, and with a long fixed
+// time before the first event.
 var kinds = map[string]Pace{
 	"usual":       {Step: 5 * time.Millisecond, StepPerRun: 50 * time.Microsecond, ReadToken: 15 * time.Microsecond, AttentionPerM: 500 * time.Microsecond, First: 5 * time.Millisecond},
 	"ten slower":  {Step: 50 * time.Millisecond, StepPerRun: 500 * time.Microsecond, ReadToken: 150 * time.Microsecond, AttentionPerM: 5 * time.Millisecond, First: 50 * time.Millisecond},
@@ -21,11 +21,11 @@
 	"late starts": {Step: 8 * time.Millisecond, StepPerRun: 100 * time.Microsecond, ReadToken: 20 * time.Microsecond, First: 400 * time.Millisecond},
 }
 
-// engine draws what requests to an engine show.
+// engine generates samples of an engine.
 type engine struct {
 	Pace
 	random *rand.Rand
-	// stalls is the share of samples that were held up on the way.
+	// stalls is the share of samples that are delayed in the network.
 	stalls float64
 }
 
@@ -62,8 +62,8 @@
 	}
 }
 
-// meanErrors are the mean shares by which a model is off the time of streams and of
-// first events, over fresh samples without stalls.
+// meanErrors returns the mean relative errors of the model for streams and for first
+// events, over fresh samples without stalls.
 func (e *engine) meanErrors(m *Model) (steps, firsts float64) {
 	quiet := engine{Pace: e.Pace, random: e.random}
 	const n = 200
@@ -95,8 +95,8 @@
 	}
 }
 
-// One sample in ten was held up for half a second on the way. The engine must not
-// look slow for it.
+// One sample in ten is delayed by half a second in the network. The engine must not look
+// slow for it.
 func TestNetworkStallsDoNotMakeAnEngineLookSlow(t *testing.T) {
 	e := newEngine("usual", 0.1)
 	m := NewModel(DefaultPrior)
@@ -104,8 +104,8 @@
 	e.checkErrors(t, m, "with stalls", 0.25)
 }
 
-// A fifth of what streams took was reading of prompts, and when these were read is
-// known too late: half of the samples are told twice as much, half nothing. Steps
+// A fifth of the time of streams is spent on reading prompts, which is reported too late:
+// half of the samples contain twice as much reading as there was, the others none. Steps
 // must not look longer, nor reading cheaper, than they are.
 func TestReadingReportedLateDoesNotDistortStepTimes(t *testing.T) {
 	e := newEngine("usual", 0)
@@ -120,11 +120,11 @@
 		m.ObserveSteps(s, 1)
 		m.ObserveFirst(e.first(), 1)
 	}
-	e.checkErrors(t, m, "with reading known late", 0.25)
+	e.checkErrors(t, m, "with reading reported late", 0.25)
 }
 
-// All samples are alike, as in a calm hour: they say nothing of other company and
-// other prompts. What they do not say must stay what was assumed.
+// All samples are alike: they carry no information on other batch sizes or prompts. Terms
+// without information must keep the prior.
 func TestTermsWithoutSamplesKeepThePrior(t *testing.T) {
 	m := NewModel(DefaultPrior)
 	for range 500 {
@@ -159,9 +159,9 @@
 	}
 }
 
-// Seven processes see a few samples each and tell each other. Each knows the engine
-// as if it had seen all; one that starts knows as much at once, and what a process
-// that starts again has told before still counts.
+// Seven processes take a few samples each and exchange their statistics. A process that
+// starts learns from all of them at once. When a process restarts, the statistics that it
+// reported before must still count.
 func TestMergedStatisticsTeachANewProcessAndSurviveARestart(t *testing.T) {
 	for name := range kinds {
 		e := newEngine(name, 0)
@@ -174,17 +174,17 @@
 		started := NewModel(DefaultPrior)
 		for n, m := range models {
 			if !started.Merge(fmt.Sprint(n), m.Statistics()) {
-				t.Fatalf("%s: evidence of %d is refused", name, n)
+				t.Fatalf("%s: statistics of %d are rejected", name, n)
 			}
 		}
-		// Each took its first samples while it knew nothing.
-		e.checkErrors(t, started, name+" told by seven", 0.4)
+		// Each process took its first samples before it had learned anything.
+		e.checkErrors(t, started, name+" with the statistics of seven", 0.4)
 		restarted := NewModel(DefaultPrior)
 		e.observe(restarted, 1)
 		before := started.Pace()
 		started.Merge("0", restarted.Statistics())
 		if started.Pace() != before {
-			t.Errorf("%s: what a process told is forgotten as it starts again", name)
+			t.Errorf("%s: the statistics of a process are lost when it restarts", name)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 	bad[3] = math.NaN()
 	for _, sums := range [][]float64{nil, make([]float64, StatisticsLength-1), bad} {
 		if m.Merge("p", Statistics{StepSamples: 9, Sums: sums}) || m.Pace() != DefaultPrior {
-			t.Errorf("%v is taken", sums)
+			t.Errorf("%v is accepted", sums)
 		}
 	}
 }
--- a/internal/pace/regression.go
+++ b/internal/pace/regression.go
@@ -7,24 +7,24 @@
 
 type vector [terms]float64
 
-// regression fits y = c·x with coefficients that are not negative, by least
-// squares in which old samples count less and less. The prior is never forgotten
-// wholly, so that a term of which samples say nothing keeps it.
+// regression fits y = c·x with non-negative coefficients by least squares with
+// exponentially decaying weights. The prior never loses all its weight, so a term on
+// which the samples carry no information keeps it.
 type regression struct {
 	prior  vector
-	weight vector // of the prior, for each term
+	weight vector // of the prior, by term
 	own    sums
-	// others are the sums of samples that other processes took.
+	// others are the sums of the samples of other processes.
 	others sums
 	fitted vector
 }
 
-// sums are all that a regression keeps of samples. Those of several processes add up
-// to what one would have that had taken all of the samples.
+// sums are the sufficient statistics of a regression. Adding those of several processes
+// gives the sums of one process that took all samples.
 type sums struct {
 	xx [terms][terms]float64
 	xy vector
-	// samples is the number of those taken.
+	// samples is the number of samples.
 	samples int
 }
 
@@ -42,8 +42,8 @@
 	return regression{prior: prior, weight: weight, fitted: prior}
 }
 
-// add takes a sample with a weight; keep is the share of what came before that
-// still counts.
+// add adds a sample with a weight; retain is the share of their weight that older samples
+// keep.
 func (r *regression) add(x vector, y, weight, retain float64) {
 	for i := range terms {
 		for j := range terms {
@@ -55,7 +55,7 @@
 	r.fitted = r.solve()
 }
 
-// predict is the fitted value for x.
+// predict returns the fitted value for x.
 func (r *regression) predict(x vector) float64 {
 	sum := 0.0
 	for i := range terms {
@@ -64,8 +64,8 @@
 	return sum
 }
 
-// solve fits all terms; the most negative one is then fixed at 0 and the rest
-// fitted again, until none is negative.
+// solve fits all terms. While one is negative, it fixes the most negative one at 0 and
+// fits the others again.
 func (r *regression) solve() vector {
 	var fixed [terms]bool
 	for range terms {
@@ -84,8 +84,9 @@
 	return vector{}
 }
 
-// solveFree solves the normal equations of the terms that are not fixed at 0, by
-// elimination. The prior makes them regular.
+// solveFree solves the normal equations of the terms that are not fixed at 0 by
+// elimination. The prior makes them regular. It returns the prior if a result is not
+// finite.
 func (r *regression) solveFree(fixed [terms]bool) vector {
 	total := r.own
 	total.plus(&r.others)
--- a/internal/pace/statistics.go
+++ b/internal/pace/statistics.go
@@ -2,24 +2,26 @@
 
 import "math"
 
-// Statistics is what a process has seen of the engines of a service, in a form that
-// adds up: processes that tell each other learn as fast as one that saw it all, and
-// one that starts knows at once what the others do. Without that each of seven
-// instances takes some 20 s of moderate load to learn how fast prompts are read.
+// Statistics sums up the samples that a process took of the engines of a service.
+// Statistics of several processes can be added: processes that exchange them learn as
+// fast as one that took all samples, and a process that starts can use those of the
+// others at once. Without the exchange each of seven instances takes some 20 s of
+// moderate load to learn how fast prompts are read.
 type Statistics struct {
-	// StepSamples and FirstSamples are the numbers of samples.
+	// StepSamples and FirstSamples are the numbers of samples of steps and of first
+	// events.
 	StepSamples, FirstSamples int
-	// Sums of the two regressions, EvidenceLength numbers in a fixed order.
+	// Sums of the two regressions, StatisticsLength numbers in a fixed order.
 	Sums []float64
 }
 
 const (
 	regressionSumsLength = terms*(terms+1)/2 + terms
-	// StatisticsLength is the number of Sums.
+	// StatisticsLength is the length of Statistics.Sums.
 	StatisticsLength = 2 * regressionSumsLength
 )
 
-// Statistics returns what this process has seen itself.
+// Statistics returns the samples that this process took itself.
 func (m *Model) Statistics() Statistics {
 	return Statistics{
 		StepSamples: m.steps.own.samples, FirstSamples: m.firsts.own.samples,
@@ -27,21 +29,21 @@
 	}
 }
 
-// Merge takes the evidence of another process and reports whether it can be used. A
-// process that started again has seen less than what it told before; that still
-// holds until it has seen more.
+// Merge applies the statistics of another process and reports whether they are valid. A
+// process that restarted has taken fewer samples than it reported before; its earlier
+// statistics stay in use until it has taken more.
 func (m *Model) Merge(process string, e Statistics) bool {
 	if len(e.Sums) != StatisticsLength || !finite(e.Sums) {
 		return false
 	}
-	if known := m.received[process]; known.StepSamples+known.FirstSamples >= e.StepSamples+e.FirstSamples {
+	if previous := m.received[process]; previous.StepSamples+previous.FirstSamples >= e.StepSamples+e.FirstSamples {
 		return true
 	}
 	m.received[process] = e
 	m.steps.others, m.firsts.others = sums{}, sums{}
-	for _, told := range m.received {
-		steps, firsts := decodeSums(told.Sums[:regressionSumsLength]), decodeSums(told.Sums[regressionSumsLength:])
-		steps.samples, firsts.samples = told.StepSamples, told.FirstSamples
+	for _, statistics := range m.received {
+		steps, firsts := decodeSums(statistics.Sums[:regressionSumsLength]), decodeSums(statistics.Sums[regressionSumsLength:])
+		steps.samples, firsts.samples = statistics.StepSamples, statistics.FirstSamples
 		m.steps.others.plus(&steps)
 		m.firsts.others.plus(&firsts)
 	}
@@ -53,7 +55,7 @@
 	return true
 }
 
-// encode lists the upper half of xx, which is symmetric, and xy.
+// encode lists the upper triangle of xx, which is symmetric, and then xy.
 func (s *sums) encode() []float64 {
 	var out []float64
 	for i := range terms {
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkChoose is one choice among so many engines, each with ten runs.
+// BenchmarkChoose measures one choice among 18, 140 or 600 engines, each with ten runs.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{18, 140, 600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -1,3 +1,5 @@
+// Package placement models the load, caches and speed of all servers, and chooses a server for
+// each request.
 package placement
 
 import (
@@ -10,11 +12,13 @@
 )
 
 const (
-	// maxRunAge bounds how long a run is believed in without its end being told:
-	// above the longest deadline of a request, so that lost news heal.
+	// maxRunAge is the age at which a run whose end was not reported is ended. It is
+	// above the longest deadline of a request; a shorter one would end runs that still
+	// run. It bounds how long a lost update keeps a run on a server.
 	maxRunAge = 20 * time.Second
-	// cacheShare is the part of an engine's memory believed to hold cached
-	// parts; the rest is in use by running requests.
+	// cacheShare is the part of an engine's memory assumed to hold cached parts; running
+	// requests use the rest. A larger share counts parts as cached that the engine has
+	// evicted, a smaller one has cached parts read again.
 	cacheShare = 0.75
 )
 
@@ -30,21 +34,22 @@
 	servers    map[string]*server
 	kinds      map[string]*engineKind // by service
 	runs       map[RunID]*run
-	// partUsedAt is when a part of a prompt was last sent to any server.
+	// partUsedAt is when each part of a prompt was last sent to any server.
 	partUsedAt map[string]monotime.Instant
-	// gapLimitUsedAt are the bounds of pauses in use, with their last use.
+	// gapLimitUsedAt is when each limit of pauses (Work.MaxGap) was last used.
 	gapLimitUsedAt map[time.Duration]monotime.Instant
 	// goals are the times to the first event for full credit, by kind of stream.
 	goals map[streamKind]time.Duration
-	// meanRead is the mean share of reading of the engines that are being chosen
-	// from, meanHazard their mean rate of pauses too long for the request, and
-	// meanUrgent the mean share of reading that is more urgent than it.
+	// Means over the engines that a request can be placed on, set for each choice:
+	// meanRead of the share of time spent reading, meanHazard of the rate of pauses too
+	// long for the request, and meanUrgent of the share of time spent reading more urgent
+	// prompts.
 	meanRead, meanHazard, meanUrgent float64
 	sweptAt                          monotime.Instant
 }
 
-// NewBoard returns an empty Board for an instance in a data centre. prior is
-// assumed of the engines of each service until it is learned how fast they are.
+// NewBoard returns an empty Board for an instance in a data centre. prior is the assumed
+// pace of the engines of each service until samples are taken.
 func NewBoard(prior pace.Pace, dataCentre string) *Board {
 	return &Board{
 		prior:          prior,
@@ -59,16 +64,16 @@
 	}
 }
 
-// Seed has all choices by chance follow from a number, for runs that can be repeated.
+// Seed seeds all random choices, for reproducible runs.
 func (b *Board) Seed(seed uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rand = rand.New(rand.NewPCG(seed, seed))
 }
 
-// SetCostJitter has up to so much added to the cost of each server, by chance, each
-// time one is chosen. Instances that know each other's choices late would all
-// choose the same one otherwise.
+// SetCostJitter sets the maximum random amount that is added to the cost of each server
+// at each choice. Without it, instances that receive each other's choices late would all
+// choose the same server.
 func (b *Board) SetCostJitter(jitter float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,20 +86,22 @@
 	ID string
 	// Service it belongs to.
 	Service string
-	// DataCentre it stands in.
+	// DataCentre it is located in.
 	DataCentre string
-	// Slots is the number of requests it runs at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// MemoryTokens is its room for prompts; 0 when it is no engine.
+	// MemoryTokens is the capacity of its memory in tokens; 0 for a server that is no
+	// engine.
 	MemoryTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// TokenBytes is the memory of one token of a prompt; 0 when parts of a
-	// prompt can't be fetched from another engine.
+	// TokenBytes is the memory of one token of a prompt; 0 when parts of a prompt can't
+	// be fetched from another engine.
 	TokenBytes int
-	// LinkMbps is how fast that memory travels, in Mbit/s.
+	// LinkMbps is the rate at which that memory is transferred, in Mbit/s.
 	LinkMbps float64
-	// SourceOnly servers take no requests now; parts of prompts may be fetched from them.
+	// SourceOnly marks a server that takes no requests, but from which parts of prompts
+	// may be fetched.
 	SourceOnly bool
 }
 
@@ -117,7 +124,7 @@
 	return s
 }
 
-// RemoveServer drops the model of an incarnation that is gone.
+// RemoveServer removes the model of an incarnation that is gone, and its runs.
 func (b *Board) RemoveServer(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,7 +138,8 @@
 	delete(b.servers, id)
 }
 
-// Begin notes that a request was sent to a server, by this instance or a peer.
+// Begin records that this instance or a peer sent a request to a server. unread is the
+// number of prompt tokens that the server has to read.
 func (b *Board) Begin(id RunID, serverID string, work Work, unread int, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -140,7 +148,7 @@
 		b.contention.begun[priorityIndex(work.Priority)].add(now)
 		b.server(Candidate{ID: serverID}).arrivals.add(now)
 	}
-	b.end(id, now) // told again over a new link
+	b.end(id, now) // a peer reports its runs again over a new link
 	s := b.server(Candidate{ID: serverID})
 	s.advance(now)
 	s.begun++
@@ -172,7 +180,7 @@
 	}
 }
 
-// RecordCachedParts notes that an engine keeps parts, least recently used first.
+// RecordCachedParts records that an engine has cached parts, least recently used first.
 func (b *Board) RecordCachedParts(serverID string, parts []Part, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -183,7 +191,8 @@
 	}
 }
 
-// CacheReported reports whether an engine or a peer told what the engine keeps.
+// CacheReported reports whether an engine or a peer has reported the cached parts of the
+// engine.
 func (b *Board) CacheReported(serverID string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -191,8 +200,8 @@
 	return s != nil && s.cacheReported
 }
 
-// CachedParts returns what engines are believed to keep: of each at most so many parts,
-// least recently used first.
+// CachedParts returns the parts that the engines are assumed to cache, for each engine at
+// most limit parts, least recently used first.
 func (b *Board) CachedParts(limit int) map[string][]Part {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -205,7 +214,7 @@
 	return out
 }
 
-// FirstEvent notes that a run gave its first event: its prompt has been read.
+// FirstEvent records the first event of a run: its prompt has been read.
 func (b *Board) FirstEvent(id RunID, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -222,8 +231,8 @@
 	}
 }
 
-// OwnFirstEvent is First for a run of this instance, which also shows how long a first
-// event takes. That of others is known too late to measure it.
+// OwnFirstEvent is FirstEvent for a run of this instance, and also learns the time to
+// first events from it. Reports of other instances arrive too late for that.
 func (b *Board) OwnFirstEvent(id RunID, now monotime.Instant) {
 	b.FirstEvent(id, now)
 	b.mu.Lock()
@@ -233,7 +242,7 @@
 	}
 }
 
-// End notes that a run is over, however it ended.
+// End records the end of a run, whatever its outcome.
 func (b *Board) End(id RunID, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -258,8 +267,8 @@
 	delete(r.server.runs, id)
 }
 
-// InstanceGone ends the runs of an instance whose process is gone: servers drop
-// a request when its connection closes.
+// InstanceGone ends the runs of an instance whose process is gone: servers drop a request
+// when its connection closes.
 func (b *Board) InstanceGone(instance string, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -270,7 +279,8 @@
 	}
 }
 
-// sweep ends runs whose end was never told, and forgets parts out of use.
+// sweep ends runs older than maxRunAge and removes parts and limits of pauses that are no
+// longer used. It runs at most once a second.
 func (b *Board) sweep(now monotime.Instant) {
 	if now.Sub(b.sweptAt) < time.Second {
 		return
@@ -281,9 +291,9 @@
 			b.end(id, now)
 		}
 	}
-	for most, at := range b.gapLimitUsedAt {
+	for limit, at := range b.gapLimitUsedAt {
 		if now.Sub(at) > gapLimitMaxAge {
-			delete(b.gapLimitUsedAt, most)
+			delete(b.gapLimitUsedAt, limit)
 		}
 	}
 	for id, at := range b.partUsedAt {
@@ -293,7 +303,7 @@
 	}
 }
 
-// Running returns the number of runs known on a server.
+// Running returns the number of tracked runs on a server.
 func (b *Board) Running(serverID string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -7,18 +7,18 @@
 	"basilrudder/internal/monotime"
 )
 
-// partCache is what an engine is believed to keep of prompts: the parts of the
-// requests sent to it, the least recently used of which yield first.
+// partCache is the estimated prefix cache of an engine: the parts of the prompts sent to
+// it, with LRU eviction.
 type partCache struct {
 	tokens int
-	order  *list.List // of kept, most recently used first
+	order  *list.List // of *cachedPart, most recently used first
 	byID   map[string]*list.Element
 }
 
-// cachedPart is a part that an engine keeps.
+// cachedPart is a part of a prompt in the cache of an engine.
 type cachedPart struct {
 	Part
-	// readyAt is when it has been read and others may fetch it.
+	// readyAt is when the part has been read and other engines may fetch it.
 	readyAt monotime.Instant
 }
 
@@ -26,9 +26,9 @@
 	return partCache{order: list.New(), byID: make(map[string]*list.Element)}
 }
 
-// add notes a use of parts, which are read by an instant, and makes room within
-// capacity tokens. The last part belongs to one request or session and is kept
-// too: a session may come back.
+// add records a use of parts that will have been read at readyAt, and evicts the least
+// recently used parts beyond capacity tokens (0 for no limit). The last part belongs to
+// one request or session and is cached too, as the session may send another request.
 func (c *partCache) add(parts []Part, readyAt monotime.Instant, capacity int) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		part := parts[i]
@@ -47,7 +47,7 @@
 	}
 }
 
-// ready notes that parts have been read by now.
+// ready records that parts have been read by now.
 func (c *partCache) ready(parts []Part, now monotime.Instant) {
 	for _, part := range parts {
 		if at := c.byID[part.ID]; at != nil {
@@ -58,8 +58,8 @@
 	}
 }
 
-// fetchableTokens returns how many tokens at the start of a prompt another engine
-// could fetch now.
+// fetchableTokens returns the length of the prompt's start that another engine could
+// fetch now.
 func (c *partCache) fetchableTokens(parts []Part, now monotime.Instant) int {
 	tokens := 0
 	for _, part := range parts {
@@ -72,8 +72,8 @@
 	return tokens
 }
 
-// cachedTokens returns how many tokens of a prompt need not be read: those of the
-// parts at its start that are all kept.
+// cachedTokens returns the number of tokens of a prompt that need not be read: those of
+// the leading parts that are all cached.
 func (c *partCache) cachedTokens(parts []Part) int {
 	tokens := 0
 	for _, part := range parts {
@@ -89,7 +89,7 @@
 	return c.byID[id] != nil
 }
 
-// newest returns the parts used last, at most so many, the newest at the end.
+// newest returns at most limit of the most recently used parts, the newest last.
 func (c *partCache) newest(limit int) []Part {
 	out := make([]Part, 0, min(limit, c.order.Len()))
 	for at := c.order.Front(); at != nil && len(out) < limit; at = at.Next() {
--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -2,49 +2,54 @@
 
 import "basilrudder/internal/monotime"
 
-// Refusal says why no server was chosen.
+// Refusal is the reason why no server was chosen.
 type Refusal uint8
 
 const (
-	// Chosen: there is one.
+	// Chosen: a server was chosen.
 	Chosen Refusal = iota
-	// NoneReachable: all were tried in vain a moment ago.
+	// NoneReachable: all servers are paused after failed connections.
 	NoneReachable
-	// AllFull: those that can be reached have no room for this priority.
+	// AllFull: the reachable servers have no free capacity for the request's priority.
 	AllFull
-	// NotWorthwhile: wherever it is placed, streams as urgent as it lose more than it earns.
+	// NotWorthwhile: on any server, streams at least as urgent would lose more than the
+	// request is worth, its caller would probably leave first, or a request that waits at
+	// a server would not begin sufficiently sooner elsewhere.
 	NotWorthwhile
-	// AllLimited: those that can be reached bear few requests a second, since they have
-	// just started or say so, and get them, or want none for a while.
+	// AllLimited: the reachable servers sustain only a limited rate of requests, since
+	// they have just started or report so, and have reached it, or they accept none for a
+	// while.
 	AllLimited
 )
 
-// minValue is the least worth of a request that is placed, see Choice.Worth. In a
-// burst beyond what engines can read, each further prompt makes streams that already
-// run end at their deadline with nothing; refusing it while its caller has time to
-// come back serves more of them.
+// minValue is the minimum of Choice.Value for a request to be placed. In a burst beyond
+// what engines can read, each further prompt makes running streams miss their deadline
+// with nothing delivered. Refusing it while its caller has time to retry serves more of
+// them.
 const minValue = 0.0
 
-// maxLostProbability is the largest probability of being lost with which a request is placed. Beyond
-// it its caller would almost certainly have left; one that is refused at once may come back.
+// maxLostProbability is the maximum Choice.LostProbability for a request to be placed.
+// Beyond it the caller would almost certainly leave before the request begins or ends; if
+// refused at once, it may retry.
 const maxLostProbability = 0.9
 
-// lateLossShare is the share of its worth that an answer loses which comes late: callers
-// still take most of them.
+// lateLossShare is the share of its value that a late response loses. Callers still use
+// most of them: at 1 late responses would count as nothing.
 const lateLossShare = 0.5
 
-// Shares of an engine's slots that are kept free of less urgent work. A request
-// that comes to a full engine makes it preempt another one in the middle of its
-// stream, which it has to read in again later; with some slots kept, more urgent
-// work finds one. Nothing is sent beyond the slots: it would preempt or wait. In
-// a burst that fills 140 engines of 16 slots this halves the preemptions.
+// Shares of an engine's slots that are reserved for more urgent requests, as divisors of
+// the number of slots. A request that arrives at a full engine makes it preempt another
+// one in the middle of its stream, which has to be read again later; with reserved slots,
+// more urgent requests find a free one. Nothing is sent beyond the slots, as it would
+// preempt or wait. In a burst that fills 140 engines of 16 slots this halves the
+// preemptions.
 const (
-	firstReserveDivisor  = 16 // a sixteenth, from the second priority, and from long streams
-	secondReserveDivisor = 5  // a fifth, from all others
+	firstReserveDivisor  = 16 // a sixteenth, from the second priority and from long streams
+	secondReserveDivisor = 5  // a fifth, from all lower priorities
 )
 
-// freeSlotsFor is the number of an engine's slots that work may take; last says that work of the
-// second priority may take those kept from it too.
+// freeSlotsFor returns the number of an engine's slots that work may take. With
+// useReserve, work of the second priority may also take those reserved from it.
 func (s *server) freeSlotsFor(work *Work, useReserve bool, now monotime.Instant) int {
 	limit := s.slots
 	switch {
@@ -60,9 +65,9 @@
 	return limit - len(s.runs)
 }
 
-// excludeLastSlots returns the engines on which a long stream would not take one of the last slots,
-// or all if there are no such. An engine whose slots are all held for seconds reads nothing
-// for brief requests, which hold theirs for a moment.
+// excludeLastSlots returns the engines on which a long stream would not take one of the
+// last slots, or all if there are none. An engine whose slots are all held for seconds
+// serves no brief requests, which hold theirs for a moment.
 func excludeLastSlots(open []availableServer) []availableServer {
 	var out []availableServer
 	for _, s := range open {
@@ -76,7 +81,7 @@
 	return out
 }
 
-// unusedSlots is the number of an engine's slots that nothing is known to use.
+// unusedSlots returns the number of an engine's slots that no tracked run uses.
 func (s *server) unusedSlots(now monotime.Instant) int {
 	if now < s.fullUntil {
 		return 0
@@ -84,15 +89,15 @@
 	return max(0, s.slots-len(s.runs))
 }
 
-// availableServer is a server with room for a request.
+// availableServer is a server with free capacity for a request.
 type availableServer struct {
 	*server
-	// freeSlots is the number of slots that the request may take. It says nothing of a
-	// server that is no engine: its requests wait for one.
+	// freeSlots is the number of slots that the request may take. It is meaningless for a
+	// server that is no engine, where requests wait for a slot.
 	freeSlots int
 }
 
-// mean is the mean of a value over servers; 0 for none.
+// mean returns the mean of a value over servers; 0 for none.
 func mean(of []availableServer, value func(*server) float64) float64 {
 	sum := 0.0
 	for _, s := range of {
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -9,69 +9,72 @@
 	"basilrudder/internal/pace"
 )
 
-// firstEventSpread is how uncertain a predicted first event is, relative to it.
+// firstEventSpread is the relative uncertainty of a predicted time to the first event. A
+// smaller one counts a first event predicted just within its goal as certainly on time.
 const firstEventSpread = 0.12
 
-// Weights of what a choice costs, in the unit of Work.weight: a request on time
-// instead of late or failed.
+// Terms of the cost of a choice, in the unit of Work.weight: a request on time instead of
+// late or failed.
 const (
-	// readCost is what reading any thousand tokens counts for. Small: it decides
-	// between servers that are all on time.
+	// readCost is the cost of reading a thousand tokens, cached elsewhere or not. It is
+	// small: it decides only between servers that are all on time.
 	readCost = 0.002
-	// distanceCost is what a server in another data centre counts for.
+	// distanceCost is the cost of a server in another data centre.
 	distanceCost = 0.004
-	// loadCost is what it counts for that all slots of a server that is no engine are
-	// taken, in proportion for some of them.
+	// loadCost is the cost of a server that is no engine when all of its slots are taken,
+	// and proportionally less when some are.
 	loadCost = 0.03
-	// tieBreakCost prefers among such servers with the same load the same ones at every
-	// instance of a data centre.
+	// tieBreakCost makes all instances of a data centre prefer the same ones among such
+	// servers of equal load.
 	tieBreakCost = 0.0015
-	// fullCost counts for a server that is no engine and whose slots are all taken.
+	// fullCost is the cost of each multiple of its slots by which the load of a server
+	// that is no engine exceeds them.
 	fullCost = 2.0
-	// failureCost is what a certain failure counts for, times the weight.
+	// failureCost is the cost of a certain failure, times the weight of the request.
 	failureCost = 1.0
 )
 
-// minSpeedup is by how many times sooner than it has waited a request that waits in the
-// queue of a server has to begin at another one to go there.
+// minSpeedup decides when a request that waits in the queue of a server moves to another
+// one: if its first event is predicted there within the time that it has waited, divided
+// by minSpeedup. A smaller factor gives up its position for too small a gain.
 const minSpeedup = 2
 
-// Choice is the server chosen for a request, with what decided it.
+// Choice is the server chosen for a request, with the predictions that decided it.
 type Choice struct {
 	// Server is the chosen incarnation.
 	Server string
-	// Unread is the number of prompt tokens it has to read.
+	// Unread is the number of prompt tokens that it has to read.
 	Unread int
-	// First is when the first event is predicted, from now.
+	// First is the predicted time to the first event, from now.
 	First time.Duration
-	// Gap is the longest pause predicted for the request's events.
+	// Gap is the longest predicted pause between the request's events.
 	Gap time.Duration
-	// End is when the last event is predicted, from now.
+	// End is the predicted time to the last event, from now.
 	End time.Duration
-	// Value is what the request is likely to earn, less what streams as urgent as it
-	// lose by it.
+	// Value is the expected value of the request, less what streams that are at least as
+	// urgent lose by it.
 	Value float64
-	// LostProbability is the probability that it ends, or begins, when its caller has left.
+	// LostProbability is the probability that the request ends, or begins, after its
+	// caller has left.
 	LostProbability float64
-	// Running is the number of runs believed to be on the server.
+	// Running is the number of tracked runs on the server.
 	Running int
-	// FetchFrom is the server to fetch the start of the prompt from; empty to
-	// read it.
+	// FetchFrom is the server to fetch the start of the prompt from; empty to read it.
 	FetchFrom string
-	// Cost by which it was chosen.
+	// Cost of the choice; the candidate with the lowest cost is chosen.
 	Cost float64
-	// Free is the number of slots that were free for the request, where AllFull
-	// was the answer, and Unreported about how many requests were on their way to
-	// them from other instances.
+	// Free is the number of slots that were free for the request, set with AllFull, and
+	// Unreported the estimated number of requests that other instances have sent to them
+	// and not reported yet.
 	Free, Unreported int
 	// Reserved is the number of slots that more urgent requests are expected to need
-	// until the request would end, where that was why it got none.
+	// until the request would end, set where this was the reason for AllFull.
 	Reserved int
-	// Ahead is what the server is believed to read before the prompt.
+	// Ahead are the prompts that the server is expected to read first.
 	Ahead Ahead
 }
 
-// Choose returns the candidate that costs least, or why there is none.
+// Choose returns the candidate with the lowest cost, or the reason for choosing none.
 func (b *Board) Choose(work Work, candidates []Candidate, now monotime.Instant) (Choice, Refusal) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,24 +110,26 @@
 	return best, Chosen
 }
 
-// recordRefusal notes that a request got no slot; one that has a server is not refused.
+// recordRefusal counts a request that got no slot. A request that waits at a server
+// already is not counted: it stays there.
 func (b *Board) recordRefusal(work *Work, now monotime.Instant) {
 	if work.Waited == 0 {
 		b.contention.refused[priorityIndex(work.Priority)].add(now)
 	}
 }
 
-// survey is what is known of the candidates for a request.
+// survey is the result of checking the candidates for a request.
 type survey struct {
-	// reachable are all that are not left out for a while, and accepting those of them that
-	// take requests; open are those with room for this one.
+	// reachable are the servers that are not paused after a failed connection, accepting
+	// those of them that take requests, and available those with free capacity for this
+	// request.
 	reachable, accepting []*server
 	available            []availableServer
-	// free is the number of slots that nothing is known to use.
+	// free is the total of unused slots.
 	free int
 }
 
-// survey looks at each candidate once.
+// survey checks each candidate once.
 func (b *Board) survey(work *Work, candidates []Candidate, now monotime.Instant) survey {
 	found := survey{
 		reachable: make([]*server, 0, len(candidates)),
@@ -154,7 +159,7 @@
 	return found
 }
 
-// cheapest evaluates the servers that a request chooses from.
+// cheapest returns the choice with the lowest cost among the considered servers.
 func (b *Board) cheapest(considered []availableServer, reachable []*server, work *Work, now monotime.Instant) Choice {
 	from := bestSource(reachable, work, now)
 	b.meanRead = meanReadShare(considered, now)
@@ -174,20 +179,21 @@
 	return best
 }
 
-// notWorthwhile reports whether a request is rather refused, while its caller has time to come
-// back, than placed.
+// notWorthwhile reports whether it is better to refuse a request, while its caller has
+// time to retry, than to place it.
 func (c *Choice) notWorthwhile() bool {
 	return c.Value < minValue || c.LostProbability > maxLostProbability
 }
 
 // minSamplesToRefuse is the number of samples of a service's engines from which on
-// requests are refused for what is predicted of them. Engines ten times faster than
-// assumed at first would be taken for full of work that they do in no time.
+// predictions may lead to a refusal. With fewer, engines ten times faster than the prior
+// would be taken as overloaded by work that they complete in no time.
 const minSamplesToRefuse = 100
 
 func (k *engineKind) hasEnoughSamples() bool { return k.model.Samples() >= minSamplesToRefuse }
 
-// evaluate predicts what happens when work goes to s.
+// evaluate predicts the outcome of placing work on s, with the cheaper of reading and
+// fetching the cached start of the prompt.
 func (b *Board) evaluate(s availableServer, work *Work, from source, now monotime.Instant) Choice {
 	choice := Choice{Server: s.id, Running: len(s.runs)}
 	weight := work.weight()
@@ -196,7 +202,7 @@
 		choice.Cost += distanceCost
 	}
 	if s.memory == 0 {
-		// No engine: requests wait once all slots are taken.
+		// Not an engine: requests wait once all slots are taken.
 		load := float64(len(s.runs)) / float64(max(1, s.slots))
 		choice.Cost += loadCost*load + fullCost*math.Max(0, load-1) + tieBreakCost*hashFraction(s.id+b.home)
 		return choice
@@ -214,7 +220,7 @@
 	return best
 }
 
-// evaluateEngine adds to choice what happens when an engine takes work with a plan.
+// evaluateEngine adds to choice the predicted outcome of work on an engine with a plan.
 func (b *Board) evaluateEngine(s availableServer, speed *pace.Pace, work *Work, p plan, now monotime.Instant, choice Choice) Choice {
 	o := b.predict(s, speed, work, p, now)
 	weight := work.weight()
@@ -226,15 +232,15 @@
 	return choice
 }
 
-// prediction is what is expected of a request on an engine.
+// prediction is the expected course of a request on an engine.
 type prediction struct {
 	// first, gap and end are times, see Choice.
 	first, gap, end time.Duration
-	// late, lost and full are the probabilities that its first event or a pause
-	// comes too late, that it ends too late, and that the engine is full when it
-	// comes.
+	// late is the probability that the first event or a pause exceeds its limit, lost
+	// that the request ends or begins after its caller has left, and full that the engine
+	// has no free slot when the request arrives.
 	late, lost, full float64
-	// harm is what the streams beside it lose.
+	// harm is what the other streams on the engine lose, by priority.
 	harm byPriority
 }
 
@@ -267,19 +273,19 @@
 	return o
 }
 
-// streamDelay is how much later the streams of an engine end for work with so many tokens
-// to read: they wait while it is read, and each of their steps takes a little longer
-// while it runs.
+// streamDelay returns by how much the streams of an engine end later because of work:
+// they pause while its unread tokens are read, and each of their steps takes a little
+// longer while it runs.
 func streamDelay(speed *pace.Pace, unread int, work *Work) time.Duration {
 	return speed.Read(unread, work.Prompt) + time.Duration(work.Output)*speed.StepPerRun
 }
 
-// lateFirst is the probability that a first event is too late.
+// lateFirst returns the probability that a first event misses its goal.
 func lateFirst(first, goal time.Duration) float64 {
 	return logistic(float64(first-goal) / (firstEventSpread * float64(max(first, 1))))
 }
 
-// lateFirstRate is how much lateFirst grows with each second of first.
+// lateFirstRate returns the derivative of lateFirst by first, per second.
 func lateFirstRate(first, goal time.Duration) float64 {
 	if goal <= 0 {
 		return 0
@@ -289,21 +295,22 @@
 	return late * (1 - late) * goal.Seconds() / (firstEventSpread * first.Seconds() * first.Seconds())
 }
 
-// rereadWindow is how long after its last use a part that is read again counts
-// as waste: the operators' window.
+// rereadWindow is the time after its last use within which reading a part again counts as
+// waste. It is the window by which operators count rereads; with another one, choices
+// would save rereads that are not counted, or ignore some that are.
 const rereadWindow = 10 * time.Second
 
-// rereadTokens is the number of tokens that s would read although some engine has
-// read them lately. The last part is the request's own and is nobody's waste.
+// rereadTokens returns the number of tokens that s would read although some engine has
+// read them within rereadWindow. The last part is the request's own and is never counted.
 func (b *Board) rereadTokens(s *server, work *Work, now monotime.Instant) int {
 	if len(work.Parts) == 0 {
 		return 0
 	}
-	tokens, kept := 0, true
+	tokens, cached := 0, true
 	for _, part := range work.Parts[:len(work.Parts)-1] {
-		kept = kept && s.cache.has(part.ID)
+		cached = cached && s.cache.has(part.ID)
 		at, used := b.partUsedAt[part.ID]
-		if !kept && used && now.Sub(at) <= rereadWindow {
+		if !cached && used && now.Sub(at) <= rereadWindow {
 			tokens += part.Tokens
 		}
 	}
@@ -314,7 +321,7 @@
 	return 1 / (1 + math.Exp(-x))
 }
 
-// hashFraction maps an id to [0, 1), the same at every instance.
+// hashFraction maps an id to [0, 1), identically on every instance.
 func hashFraction(id string) float64 {
 	hash := fnv.New32a()
 	hash.Write([]byte(id))
--- a/internal/placement/contention.go
+++ b/internal/placement/contention.go
@@ -9,51 +9,54 @@
 )
 
 const (
-	// contendedBelow is the number of free slots for each unheard request below
-	// which slots are drawn for. Above, requests spread by what engines keep and
-	// hold; drawing from 8 on cost streams with short pauses the engines that
-	// they share (1,640 of 2,680 on time in a burst in place of 1,880).
+	// contendedBelow is the number of free slots for each unreported request below which
+	// slots are drawn at random. Above it, requests are spread by the caches and the load
+	// of the engines. With 8, streams with short pauses lost the engines that they
+	// share: 1,640 of 2,680 were on time in a burst in place of 1,880.
 	contendedBelow = 2.0
-	// draws is the number of slots drawn for a request, of which it takes the best.
+	// draws is the number of slots drawn for a request, of which it takes the best. More
+	// draws send more instances to the same slot, fewer take worse ones.
 	draws = 3
-	// maxCacheHolders is the number of engines that keep most of the prompt that are
-	// chosen from too. With them a burst moves 1.3 TB of prompts, without 2.4.
+	// maxCacheHolders is the number of engines caching the longest start of the prompt
+	// that are considered besides the drawn ones. With them a burst transfers 1.3 TB of
+	// prompts, without them 2.4 TB.
 	maxCacheHolders = 2
-	// lagFactor is how much longer a choice may stay unknown than news of choices take
-	// in the mean: each hop holds some for longer than others. With 1 and 2.5 less is on
-	// time in a burst that fills all engines.
+	// lagFactor is the ratio of the longest delay of a reported choice to the mean one,
+	// since each hop holds some updates for longer than others. With 1 and with 2.5 less
+	// is on time in a burst that fills all engines.
 	lagFactor = 1.5
-	// minRefusalRate is the rate of refusals over all instances, in requests a second, from
-	// which on slots are left to the more urgent.
+	// minRefusalRate is the rate of refusals over all instances, in requests a second,
+	// from which on the last slots are reserved for the more urgent requests.
 	minRefusalRate = 1.0
-	// rateWindow is the time over which rates of requests are averaged.
+	// rateWindow is the time constant of the averaged rates of requests.
 	rateWindow = time.Second
 )
 
-// contention is what is known of the instances that choose beside this one.
+// contention tracks the load from the instances that place requests on the same servers.
 type contention struct {
-	// others is the number of instances beside this one.
+	// others is the number of other instances.
 	others int
-	// lag is how long after a choice of theirs it is known here, in the mean.
+	// lag is the mean delay until a choice of another instance is received.
 	lag time.Duration
-	// begun is the rate of requests sent by all instances, as heard, and refused
-	// that of those that this one refused for want of slots; by priority.
+	// begun is the rate of requests sent by all instances, as far as reported, and
+	// refused the rate of those that this instance refused for lack of slots; both by
+	// priority.
 	begun, refused [lastPriorityIndex + 1]rate
-	// ended is the rate of runs that all instances ended, as heard.
+	// ended is the rate of runs ended by all instances, as far as reported.
 	ended rate
 }
 
-// lastPriorityIndex is the last priority whose requests are counted by themselves;
-// those below it count as it.
+// lastPriorityIndex is the last priority with an entry of its own; lower priorities share
+// it.
 const lastPriorityIndex = 3
 
-// priorityIndex returns the place of a priority in the rates.
+// priorityIndex returns the index of a priority in arrays by priority.
 func priorityIndex(priority int) int { return min(max(0, priority), lastPriorityIndex) }
 
-// byPriority holds a sum for each priority; those beyond the last counted are in it.
+// byPriority holds a sum for each priority index.
 type byPriority [lastPriorityIndex + 1]float64
 
-// upTo is the sum over a priority and those before it.
+// upTo returns the sum over a priority and all more urgent ones.
 func (b *byPriority) upTo(priority int) float64 {
 	sum := 0.0
 	for _, x := range b[:1+priorityIndex(priority)] {
@@ -62,7 +65,7 @@
 	return sum
 }
 
-// rate is how many requests come in a second, as of an instant.
+// rate is an exponentially decaying average of events per second, as of an instant.
 type rate struct {
 	perSecond float64
 	at        monotime.Instant
@@ -76,21 +79,21 @@
 	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/rateWindow.Seconds())
 }
 
-// SetPeers tells how many other instances choose, and how long after a choice of
-// theirs it is known here, in the mean.
+// SetPeers sets the number of other instances that choose, and the mean delay until a
+// choice of theirs is received.
 func (b *Board) SetPeers(others int, lag time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.contention.others, b.contention.lag = others, lag
 }
 
-// unreported is how many requests of a priority and of those before it the others
-// are likely to send, if they may, before it is known here. What all send is
-// heard; what the others refuse is about what this one does, since callers choose
-// instances by chance. This one's own requests alone would not do: one of 85
-// instances that has twice its share for a second would refuse while engines are
-// free. Less urgent requests do not count: they leave some slots to the others,
-// and must not have these refused.
+// unreported returns the expected number of requests of a priority or a more urgent one
+// that the other instances send, if they may, before this instance receives a report of
+// them. The rate of requests sent is reported by all. What the others refuse is estimated
+// by what this one does, since callers choose instances at random. The requests of this
+// instance alone would not do: one of 85 instances that gets twice its share for a second
+// would refuse while engines are free. Less urgent requests don't count: some slots are
+// reserved from them, and they must not cause refusals of more urgent ones.
 func (c *contention) unreported(priority int, now monotime.Instant) float64 {
 	others, sum := float64(c.others), 0.0
 	for p := range 1 + priorityIndex(priority) {
@@ -99,7 +102,7 @@
 	return sum * c.reportDelay().Seconds()
 }
 
-// reportDelay is the time for which the choices of the others are not known here.
+// reportDelay returns the time for which choices of other instances may be unreported.
 func (c *contention) reportDelay() time.Duration {
 	if c.others == 0 {
 		return 0
@@ -107,14 +110,15 @@
 	return time.Duration(lagFactor * float64(c.lag))
 }
 
-// refusedByAll is the rate of requests of a priority that all instances refuse for want of
-// slots. Callers choose instances by chance, so the others refuse about what this one does.
+// refusedByAll returns the rate of requests of a priority that all instances refuse for
+// lack of slots. Callers choose instances at random, so the others refuse about as many
+// as this one.
 func (c *contention) refusedByAll(priority int, now monotime.Instant) float64 {
 	return c.refused[priority].perSecondAt(now) * float64(c.others+1)
 }
 
-// urgentRefused reports whether requests that are more urgent than a priority have been refused
-// lately for want of slots.
+// urgentRefused reports whether requests that are more urgent than a priority have
+// recently been refused for lack of slots.
 func (c *contention) urgentRefused(priority int, now monotime.Instant) bool {
 	for p := range priorityIndex(priority) {
 		if c.refusedByAll(p, now) >= minRefusalRate {
@@ -124,8 +128,8 @@
 	return false
 }
 
-// slotDeficit is by how much more slots are asked for in a second by requests that are more
-// urgent than a priority than runs leave free.
+// slotDeficit returns by how many slots a second the demand of requests more urgent than
+// a priority exceeds the slots that ending runs free.
 func (c *contention) slotDeficit(priority int, now monotime.Instant) float64 {
 	requested := 0.0
 	for p := range priorityIndex(priority) {
@@ -134,11 +138,12 @@
 	return max(0, requested-c.ended.perSecondAt(now))
 }
 
-// fullProbability is the probability that at least as many requests are on their way to an
-// engine as it has slots free, of which arrivals are expected. Instances that see the
-// same engine as the best one send there together before they hear of each other: of
-// 83 instances with engines of 12 slots one urgent request in twenty was refused by
-// an engine that was full when it came, while others had room.
+// fullProbability returns the probability that at least as many requests are on their way
+// to an engine as it has free slots, for a Poisson distribution with mean arrivals.
+// Instances that see the same engine as the best one send there together before they
+// receive each other's reports: of 83 instances with engines of 12 slots, one urgent
+// request in twenty was refused by an engine that was full when it arrived, while others
+// had free slots.
 func fullProbability(arrivals float64, free int) float64 {
 	if arrivals <= 0 {
 		return 0
@@ -151,17 +156,17 @@
 	return max(0, 1-below)
 }
 
-// admit returns the servers that a request chooses from, or with what it should
-// be refused.
+// admit returns the servers that a request may choose from; if there are none, the Choice
+// describes the refusal.
 //
-// When nearly all engines are full, every instance sees the same few with a free
-// slot. They all send there before they hear of each other: 59 instances sent 50
-// requests within 150 ms to an engine that had four slots free again, and those
-// waited until their deadline. So each request draws slots by chance, and as
-// many requests as there are slots for draw at all; the others are refused while
-// their callers still have time to come back. In a burst that fills 140 engines
-// of 16 slots, 13 of 100 requests go to an engine with 14 or more in place of 73,
-// and engines preempt 212 requests in place of 722.
+// When nearly all engines are full, every instance sees the same few with a free slot,
+// and all send there before they receive each other's reports: 59 instances sent 50
+// requests within 150 ms to an engine with four free slots, and those waited until their
+// deadline. Each request therefore draws slots at random, and only about as many requests
+// draw as there are slots. The others are refused while their callers still have time to
+// retry. In a burst that fills 140 engines of 16 slots, 13 of 100 requests go to an
+// engine with 14 or more in place of 73, and engines preempt 212 requests in place of
+// 722.
 func (b *Board) admit(open []availableServer, work *Work, now monotime.Instant) ([]availableServer, Choice) {
 	if work.Prompt == 0 || b.contention.others == 0 {
 		return open, Choice{}
@@ -169,7 +174,7 @@
 	unreported, free := b.contention.unreported(work.Priority, now), 0
 	for _, s := range open {
 		if s.memory == 0 {
-			return open, Choice{} // no engine; its requests wait for a slot
+			return open, Choice{} // not an engine: requests wait for a slot
 		}
 		free += s.freeSlots
 	}
@@ -186,18 +191,18 @@
 	return out, Choice{}
 }
 
-// drawSlot returns the engine of a free slot.
+// drawSlot returns the engine that a slot, counted over all free ones, belongs to.
 func drawSlot(open []availableServer, slot int) availableServer {
 	for _, s := range open {
 		if slot -= s.freeSlots; slot < 0 {
 			return s
 		}
 	}
-	return availableServer{} // not reached: slot is below the sum of what is free
+	return availableServer{} // unreachable: slot is below the sum of free slots
 }
 
-// cacheHolders returns some of the engines that keep most of the shared start of a
-// prompt.
+// cacheHolders returns up to maxCacheHolders random engines of those that cache the
+// longest shared start of a prompt.
 func (b *Board) cacheHolders(open []availableServer, work *Work) []availableServer {
 	if len(work.Parts) < 2 {
 		return nil
--- a/internal/placement/contention_test.go
+++ b/internal/placement/contention_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// All engines are full but one, where four streams have just ended. Each of 59
-// instances sees its free slots and gets three requests before it hears what the
-// others send. If all of them send there, callers wait behind some 170 others
-// until their deadline; about as many as there are slots should.
+// All engines are full but one, where four streams have just ended. Each of 59 instances
+// sees its free slots and gets three requests before it receives the reports of the
+// others. If all of them send there, callers wait behind some 170 others until their
+// deadline; about as many as there are slots should be sent.
 func TestInstancesDoNotOverfillTheLastFreeSlots(t *testing.T) {
 	const instances, each, freeSlots = 59, 3, 4
 	sent := 0
@@ -31,7 +31,7 @@
 				b.Begin(RunID{"me", sent}, choice.Server, longPrompt("c", "new"), 0, start)
 				sent++
 			} else if choice.Free == 0 || choice.Unreported <= choice.Free {
-				t.Errorf("the refusal does not tell why: %+v", choice)
+				t.Errorf("the refusal lacks its reason: %+v", choice)
 			}
 		}
 	}
@@ -40,8 +40,9 @@
 	}
 }
 
-// Few slots are free, and one of them is at an engine that keeps the prompt. Its
-// caller need not wait for it to be read or fetched elsewhere.
+// Few slots are free, and one of them is at an engine that caches the prompt. A request
+// that is placed must go there: its caller need not wait for the prompt to be read or
+// fetched elsewhere.
 func TestCacheHolderIsChosenAmongTheLastSlots(t *testing.T) {
 	b := newContendedBoard(1, 59)
 	candidates := engines(20)
@@ -59,9 +60,9 @@
 	}
 }
 
-// Bundles come at three times what the engines bear, so most are refused. A few
-// letters come among them. Their callers must not be refused, while there are
-// slots that only they and notes may take: bundles are served all the time.
+// Long prompts of the lowest priority arrive at three times the rate that the engines
+// sustain, so most are refused. A few more urgent requests arrive among them. They must
+// not be refused, since slots are reserved for them and others are freed all the time.
 func TestUrgentRequestsAreNotRefusedBecauseOfManyLessUrgentOnes(t *testing.T) {
 	b := newContendedBoard(1, 59)
 	candidates := engines(20)
@@ -70,7 +71,7 @@
 		b.server(candidates[n])
 		b.beginRuns(candidates[n].ID, 12, longPrompt("c", "old"))
 	}
-	urgent := longPrompt("letters", "mine")
+	urgent := longPrompt("urgent", "mine")
 	urgent.Priority = 1
 	accepted := 0
 	for n := range 100 {
@@ -79,18 +80,19 @@
 			b.contention.begun[2].add(now)
 		}
 		if _, refusal := b.Choose(urgent, candidates, now); refusal != Chosen {
-			t.Fatalf("letter %d refused", n)
+			t.Fatalf("urgent request %d refused", n)
 		}
 		if _, refusal := b.Choose(longPrompt("c", "new"), candidates, now); refusal == Chosen {
 			accepted++
 		}
 	}
 	if accepted > 30 {
-		t.Errorf("%d of 100 bundles sent to 20 slots: there is no such contention", accepted)
+		t.Errorf("%d of 100 long prompts sent to 20 slots: the test creates too little contention", accepted)
 	}
 }
 
-// An instance alone sees all that is sent: it uses the last slot.
+// A single instance has reports of everything that is sent and need not hold back: it
+// uses the last slot.
 func TestASingleInstanceUsesTheLastSlot(t *testing.T) {
 	b := newContendedBoard(1, 1)
 	candidates := engines(1)
@@ -102,8 +104,8 @@
 	}
 }
 
-// No engine can be reached. Callers must be told so, and to come back as soon as
-// one may be tried again, not that all are full.
+// No engine is reachable. The refusal must say so, since callers should retry as soon as
+// one may be tried again, and must not be that all engines are full.
 func TestUnreachableEnginesAreNotReportedAsFull(t *testing.T) {
 	b := newContendedBoard(1, 59)
 	candidates := engines(3)
@@ -118,8 +120,8 @@
 	}
 }
 
-// A service whose servers are no engines gets requests with prompts. They have no
-// memory to be full, and queue what comes.
+// Requests with prompts go to a service whose servers are not engines. These have no
+// memory limit and queue requests beyond their slots, so none may be refused.
 func TestPromptsToServersWithoutAnEngineAreNotRefused(t *testing.T) {
 	b := newContendedBoard(1, 59)
 	candidates := []Candidate{{ID: "p0", DataCentre: "here", Slots: 4}, {ID: "p1", DataCentre: "here", Slots: 4}}
@@ -132,8 +134,8 @@
 	}
 }
 
-// One of 85 instances happens to get twice its share of bundles for a second,
-// while the engines have room for what all send. Its callers must not be refused.
+// One of 85 instances gets twice its share of long prompts for a second, while the
+// engines have capacity for what all instances send. It must not refuse any.
 func TestAnInstanceWithABurstDoesNotRefuseWhileEnginesAreFree(t *testing.T) {
 	const instances, fleetRate, ownRate = 85, 440, 12
 	b := NewBoard(testPace, "here")
@@ -162,16 +164,16 @@
 	}
 }
 
-// beginRuns has other instances begin so many runs on a server.
+// beginRuns has other instances begin runs on a server.
 func (b *Board) beginRuns(server string, runs int, work Work) {
 	for n := range runs {
 		b.Begin(RunID{server, n}, server, work, 0, start)
 	}
 }
 
-// newContendedBoard returns a Board whose instance chooses beside others that hear of its
-// choices 170 ms late and that all together have sent 17 bundles a second for
-// each of them, for three seconds.
+// newContendedBoard returns a Board of an instance that receives the choices of the
+// others 170 ms late. For three seconds all instances together have sent 17 long prompts
+// a second for each of them.
 func newContendedBoard(seed uint64, instances int) *Board {
 	b := NewBoard(testPace, "here")
 	b.rand = rand.New(rand.NewPCG(seed, 0))
@@ -195,9 +197,9 @@
 	}
 }
 
-// One engine keeps the start of a prompt, has two slots free, and all instances send
-// it 20 requests a second. One more would be refused by an engine that is full when
-// it comes, unless the others' requests are known soon; it goes to another one.
+// One engine caches the start of a prompt, has two slots free, and receives 20 requests a
+// second from all instances. If their reports arrive late, one more would be refused by
+// an engine that is full when it arrives, so it must go to another one.
 func TestAnEngineUsedByAllInstancesIsAvoidedWhileReportsAreLate(t *testing.T) {
 	for _, lag := range []time.Duration{10 * time.Millisecond, 240 * time.Millisecond} {
 		b := NewBoard(testPace, "here")
@@ -221,13 +223,14 @@
 		now := start.Add(2 * time.Second)
 		choice, _ := b.Choose(work, candidates, now)
 		if crowded := lag > 100*time.Millisecond; crowded == (choice.Server == "e4") {
-			t.Errorf("news gathered for %v: %+v", lag, choice)
+			t.Errorf("reports delayed by %v: %+v", lag, choice)
 		}
 	}
 }
 
-// An engine refuses a note because it is full, which is not known here yet. The next
-// note goes elsewhere, and a moment later the engine is tried again.
+// An engine refuses a request because it is full, before the reports of the requests that
+// filled it have arrived. The next request must go elsewhere, and the engine must be
+// tried again after refusedPause.
 func TestAnEngineIsPausedAfterItRefused(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	one := engines(1)
@@ -241,7 +244,8 @@
 	}
 }
 
-// Bundles take the last slots for seconds while notes come faster than slots become free.
+// Long streams must not take the last slots for seconds while urgent requests arrive
+// faster than slots become free.
 func TestSlotsThatUrgentRequestsWillNeedAreNotGivenToLongStreams(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	b.SetPeers(8, 10*time.Millisecond)
@@ -254,7 +258,7 @@
 	later := start.Add(5 * time.Second)
 	for _, work := range []Work{shortPrompt("new"), longPrompt("c", "new")} {
 		if _, refusal := b.Choose(work, candidates, later); refusal != Chosen {
-			t.Fatalf("priority %d is refused while few notes come: %v", work.Priority, refusal)
+			t.Fatalf("priority %d is refused while few short prompts arrive: %v", work.Priority, refusal)
 		}
 	}
 	for i := range 200 {
@@ -262,14 +266,15 @@
 	}
 	now := later.Add(200 * time.Millisecond)
 	if choice, refusal := b.Choose(longPrompt("c", "new"), candidates, now); refusal != AllFull || choice.Reserved == 0 {
-		t.Errorf("a bundle while notes need the slots: %v %+v", refusal, choice)
+		t.Errorf("a long prompt while urgent ones need the slots: %v %+v", refusal, choice)
 	}
 	if _, refusal := b.Choose(shortPrompt("new"), candidates, now); refusal != Chosen {
-		t.Errorf("a note: %v", refusal)
+		t.Errorf("a short prompt: %v", refusal)
 	}
 }
 
-// Long streams fill all slots of engines that then read next to nothing for brief requests.
+// Engines whose slots are all taken by long streams would serve next to no brief
+// requests. Long streams must leave some slots free on other engines.
 func TestBriefRequestsFindSlotsBesideLongStreams(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(6)
@@ -282,7 +287,7 @@
 		choice := chooseAndBegin(t, b, i, shortPrompt(fmt.Sprint(i)), candidates, now)
 		b.FirstEvent(RunID{"me", i}, now)
 		if used := b.Running(choice.Server); used > 64-64/firstReserveDivisor {
-			t.Fatalf("note %d takes slot %d of 64 while others have more free", i, used)
+			t.Fatalf("short prompt %d takes slot %d of 64 while others have more free", i, used)
 		}
 	}
 }
--- a/internal/placement/fetch.go
+++ b/internal/placement/fetch.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// minFetchTokens is the fewest tokens worth a fetch: reading that many takes
-	// 16 ms, not much more than fetching them.
+	// minFetchTokens is the minimum number of tokens to fetch: reading that many takes 16
+	// ms, not much more than fetching them.
 	minFetchTokens = 1000
-	// fetchSetup is the time of a fetch beside the transfer, from the data sheet
-	// of the engines, with a margin for transfers that queue.
+	// fetchSetup is the fixed time of a fetch besides the transfer, from the data sheet
+	// of the engines, with a margin for transfers that queue. If it is too short,
+	// requests miss their goal waiting for fetches.
 	fetchSetup = 5 * time.Millisecond
-	// crossDataCentreFactor is how much longer a transfer between data centres takes.
+	// crossDataCentreFactor is how many times longer a transfer between data centres
+	// takes.
 	crossDataCentreFactor = 2
 	bitsPerByte           = 8
 	bitsPerSPerMb         = 1e6
 )
 
-// source is the server that keeps most of the start of a prompt.
+// source is the server that caches the longest start of a prompt.
 type source struct {
 	server *server
 	tokens int
 }
 
-// bestSource finds it among the servers that can be reached.
+// bestSource returns the best source among reachable servers.
 func bestSource(reachable []*server, work *Work, now monotime.Instant) source {
 	var best source
 	if len(work.Parts) < 2 {
@@ -42,20 +44,20 @@
 	return best
 }
 
-// plan is one way for an engine to come by a prompt.
+// plan is a way for an engine to obtain a prompt.
 type plan struct {
-	// unread is the number of tokens that it reads itself.
+	// unread is the number of tokens that the engine reads itself.
 	unread int
 	// from is the server that it fetches the start from; empty for none.
 	from string
 	// delay is the time until it can begin to read.
 	delay time.Duration
-	// cost of waste and transfers.
+	// cost of rereads and transfers.
 	cost float64
 }
 
-// fetch returns the plan to fetch what a source keeps beyond own tokens; false
-// when that is not worth it.
+// fetch returns the plan to fetch what a source caches beyond own tokens; false if that
+// is not possible or not worthwhile.
 func (s *server) fetch(speed *pace.Pace, work *Work, from source, own int) (plan, bool) {
 	tokens := from.tokens - own
 	if from.server == nil || from.server == s || s.tokenBytes == 0 || s.linkMbps <= 0 || tokens < minFetchTokens {
--- a/internal/placement/lateness.go
+++ b/internal/placement/lateness.go
@@ -8,39 +8,44 @@
 	"basilrudder/internal/pace"
 )
 
-// A stream whose engine reads prompts all the time gets its tokens many times
-// slower, and ends at its deadline with nothing to show for what it cost. How much
-// an engine reads is therefore weighed against the time that its streams have left.
+// A stream on an engine that reads prompts all the time receives its tokens many times
+// slower and is cut off at its deadline, with all its work wasted. The share of time that
+// an engine spends reading is therefore weighed against the time that its streams have
+// left.
 
 const (
-	// readWindow is the time over which the share of reading is averaged.
+	// readWindow is the time constant of the averaged share of reading. A shorter one
+	// follows single prompts, a longer one reacts late to a burst.
 	readWindow = 2 * time.Second
-	// maxReadShare bounds that share: an engine always makes some steps.
+	// maxReadShare bounds that share, as an engine always makes some steps. At 1 the
+	// predicted time of a token would be infinite.
 	maxReadShare = 0.95
-	// endSpread is how uncertain the time to an end is, on a log scale: callers'
+	// endSpread is the uncertainty of the time to an end on a log scale: callers'
 	// estimates of the output are right in the median and often off by half.
 	endSpread = 0.4
-	// minRemainingShare is the share of the expected output that is taken to be left of a
-	// stream that has exceeded its estimate.
+	// minRemainingShare is the share of the expected output that is assumed to remain of
+	// a stream that has exceeded its estimate. At 0 it would have no delay cost, and
+	// prompts would be placed beside it freely.
 	minRemainingShare = 0.2
-	// delayCostMaxAge is how long the sum over an engine's streams is used again.
+	// delayCostMaxAge is how long the delay cost of an engine is reused. A longer one is
+	// outdated, a shorter one sums over all runs of an engine at nearly every choice.
 	delayCostMaxAge = 100 * time.Millisecond
-	// minDuration keeps ratios of times finite.
+	// minDuration keeps ratios of durations finite.
 	minDuration = time.Millisecond
 )
 
-// recordRead takes the reading of a prompt into account that has been done.
+// recordRead adds the time that reading a prompt took.
 func (s *server) recordRead(took time.Duration, now monotime.Instant) {
 	s.recentReading = s.recentReading*decay(now.Sub(s.readAt), readWindow) + took.Seconds()
 	s.readAt = now
 }
 
-// readShare is the share of its time that an engine spent on reading lately.
+// readShare returns the recent share of its time that an engine spent reading.
 func (s *server) readShare(now monotime.Instant) float64 {
 	return min(maxReadShare, s.recentReading*decay(now.Sub(s.readAt), readWindow)/readWindow.Seconds())
 }
 
-// meanReadShare is that of all engines together.
+// meanReadShare returns the mean of readShare over engines; 0 for none.
 func meanReadShare(of []availableServer, now monotime.Instant) float64 {
 	sum, count := 0.0, 0
 	for _, s := range of {
@@ -52,27 +57,28 @@
 	return sum / float64(max(1, count))
 }
 
-// tokenTime is how long a token takes on an engine that goes on reading as it did,
-// or as all do: requests move towards engines that read less.
+// tokenTime returns the expected time of a token. It assumes a share of reading halfway
+// between the engine's own and the mean, since requests move towards engines that read
+// less.
 func (s *server) tokenTime(speed *pace.Pace, runs int, mean float64, now monotime.Instant) time.Duration {
 	share := (s.readShare(now) + mean) / 2
 	return time.Duration(float64(speed.DecodeStep(runs)) / (1 - share))
 }
 
-// lateEnd is the probability that what is expected to take so long ends too late.
+// lateEnd returns the probability that an end expected after a time misses the time left.
 func lateEnd(expected, left time.Duration) float64 {
 	return logistic(math.Log(float64(max(minDuration, expected))/float64(max(minDuration, left))) / endSpread)
 }
 
-// delayCost is what the requests on an engine lose by each second for which they are
-// delayed, by priority.
+// delayCost is what the requests on an engine lose with each second of delay, by
+// priority.
 type delayCost struct {
-	// running are those whose streams have begun, waiting those whose prompt is not
-	// read: only more urgent prompts delay them.
+	// running is the cost of runs whose streams have begun, waiting of those whose
+	// prompts are unread: only more urgent prompts delay the latter.
 	running, waiting byPriority
 }
 
-// delayCostOf returns the urgency of an engine.
+// delayCostOf returns the delay cost of an engine, at most delayCostMaxAge old.
 func (b *Board) delayCostOf(s *server, speed *pace.Pace, mean float64, now monotime.Instant) *delayCost {
 	if s.delayCostAt != 0 && now.Sub(s.delayCostAt) < delayCostMaxAge {
 		return &s.delayCost
@@ -94,7 +100,7 @@
 	return &s.delayCost
 }
 
-// delayCost is what a run loses by each second that it ends later.
+// delayCost returns what a run loses with each second that it ends later.
 func (r *run) delayCost(token time.Duration, now monotime.Instant) float64 {
 	if r.deadline == 0 || r.work.Output == 0 {
 		return 0
@@ -102,7 +108,7 @@
 	return r.work.weight() * lateEndRate(r.remainingTime(token, now), r.deadline.Sub(now))
 }
 
-// remainingTime is how long a run is expected to generate from now on.
+// remainingTime returns how long a run is expected to generate from now on.
 func (r *run) remainingTime(token time.Duration, now monotime.Instant) time.Duration {
 	tokens := float64(r.work.Output)
 	if r.first {
@@ -112,8 +118,8 @@
 	return time.Duration(tokens * float64(token))
 }
 
-// waitingDelayCost is what a run loses by each second that its prompt, of which the last
-// is read after a wait, is read later.
+// waitingDelayCost returns what a run loses with each second that its prompt is read
+// later. wait is the time until it has been read.
 func (r *run) waitingDelayCost(wait, token, goal time.Duration, now monotime.Instant) float64 {
 	lost := lateLossShare * lateFirstRate(now.Sub(r.begun)+wait, goal)
 	if r.deadline != 0 {
@@ -123,7 +129,7 @@
 	return r.work.weight() * lost
 }
 
-// lateEndIfBounded is lateEnd where there may be no bound.
+// lateEndIfBounded is lateEnd, and 0 where left is not positive, which means no bound.
 func lateEndIfBounded(expected, left time.Duration) float64 {
 	if left <= 0 {
 		return 0
@@ -131,7 +137,7 @@
 	return lateEnd(expected, left)
 }
 
-// lateEndRate is how much lateEnd grows with each second of expected.
+// lateEndRate returns the derivative of lateEnd by expected, per second.
 func lateEndRate(expected, left time.Duration) float64 {
 	expected = max(minDuration, expected)
 	late := lateEnd(expected, left)
--- a/internal/placement/learn.go
+++ b/internal/placement/learn.go
@@ -10,64 +10,70 @@
 )
 
 const (
-	// minInterval is how long a stream is watched for one sample. News of what runs
-	// beside it come late by tens of milliseconds, which shifts what was read from
-	// one stretch to the next.
+	// minInterval is how long a stream is watched for one sample. Reports of other
+	// requests on the engine arrive tens of milliseconds late and shift reading from one
+	// interval to the next; a shorter interval would be distorted by it.
 	minInterval = 250 * time.Millisecond
-	// minIntervalEvents is the fewest events of a shorter stretch that counts.
+	// minIntervalEvents is the minimum number of events of a shorter interval that still
+	// gives a sample.
 	minIntervalEvents = 2
-	// slownessWeight is the weight of the newest sample in how slow a server is.
+	// slownessWeight is the weight of the latest sample in the slowness of a server. A
+	// larger one takes single stalls for a slow server, a smaller one detects a slow
+	// server later.
 	slownessWeight = 0.1
-	// medianMaxAge is how long the median over the servers of a service is used again.
+	// medianMaxAge is how long the median slowness of the servers of a service is reused.
+	// Computing it goes through all servers.
 	medianMaxAge = 200 * time.Millisecond
-	// maxSlowSample bounds what one sample says: more is a stall on the way.
+	// maxSlowSample bounds the ratio of one sample to the expected time, both ways: more
+	// is a stall in the network.
 	maxSlowSample = 20.0
-	// slownessDeadband is how far the log of that ratio strays on servers that are as fast
-	// as all: what was read beside a stream is known late. Less than that is ignored,
-	// and what is beyond counts by its excess.
+	// slownessDeadband is how far the log of that ratio strays on servers of equal speed,
+	// because reading beside a stream is reported late. A smaller deviation is ignored,
+	// and a larger one counts by its excess.
 	slownessDeadband = 0.35
-	// slownessFadeTime is how long a server that gets no requests is still taken to be
-	// slow. It then gets some, and shows whether it is.
+	// slownessFadeTime is the time constant with which the slowness of a server without
+	// samples fades. The server then gets requests again, which show whether it is still
+	// slow.
 	slownessFadeTime = 10 * time.Second
 )
 
-// engineKind is what is known of the model engines of a service together.
+// engineKind tracks the engines of one service together.
 type engineKind struct {
 	model *pace.Model
-	// medianSlowness is the median over its servers of how slow they are, as of usualAt: what
-	// a server is compared with. A mean over samples would not do, since streams of
-	// slow servers last longer and give more of them.
+	// medianSlowness is the median slowness of its servers as of medianAt, with which
+	// each server is compared. A mean over samples would be biased, since streams on slow
+	// servers last longer and give more samples.
 	medianSlowness float64
 	medianAt       monotime.Instant
-	// meanReadTime is the mean time that a prompt takes to be read, of those of which
-	// some was to be read.
+	// meanReadTime is the mean time to read a prompt, over prompts that were not entirely
+	// cached.
 	meanReadTime time.Duration
 }
 
-// progress sums up what an engine did, so that the difference of two instants says
-// what ran and was read in between.
+// progress sums up the work of an engine. The difference between two instants is the work
+// done in between.
 type progress struct {
 	runTime      float64 // running requests times seconds
 	read, pairsM float64 // tokens and millions of pairs, see pace.Pairs
 }
 
-// interval is a part of a stream that is being watched.
+// interval is a part of a stream from which a sample is taken.
 type interval struct {
 	events        int
 	from, to      monotime.Instant
 	before, after progress
-	// begun is the number of requests that had begun on the engine at its start.
+	// begun is the number of requests that had begun on the engine at the start of the
+	// interval.
 	begun int
 }
 
-// watch is what is being watched of a stream: any stretch of it, which shows how
-// slow its engine is, and one in which the engine read no prompt, which shows how
-// long its steps are.
+// watch holds the current intervals of a stream: any shows how slow its engine is, and
+// noReading, in which the engine reads no prompt, shows how long its steps are.
 type watch struct {
 	any, noReading interval
 }
 
-// advance brings the sums of an engine up to an instant.
+// advance brings the progress of an engine up to an instant.
 func (s *server) advance(now monotime.Instant) {
 	if now > s.advancedAt {
 		s.done.runTime += float64(len(s.runs)) * now.Sub(s.advancedAt).Seconds()
@@ -75,7 +81,8 @@
 	}
 }
 
-// slowness is how many times longer an engine takes than most of its service.
+// slowness returns the ratio of an engine's times to the median of its service, less the
+// deadband, fading with the age of the last sample.
 func (s *server) slowness(now monotime.Instant) float64 {
 	if s.slowAt == 0 {
 		return 1
@@ -85,12 +92,12 @@
 	return math.Exp(excess * decay(now.Sub(s.slowAt), slownessFadeTime))
 }
 
-// pace is how fast an engine is expected to work.
+// pace returns the expected pace of an engine.
 func (s *server) pace(now monotime.Instant) pace.Pace {
 	return s.kind.model.Pace().Slower(s.slowness(now))
 }
 
-// Events notes that so many events of a stream came.
+// Events records that count events of a stream arrived.
 func (b *Board) Events(id RunID, count int, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -117,12 +124,12 @@
 	}
 }
 
-// newInterval returns one that starts now.
+// newInterval returns an interval that starts now.
 func (s *server) newInterval(now monotime.Instant) interval {
 	return interval{from: now, before: s.done, begun: s.begun}
 }
 
-// add notes events of a stretch and reports whether it is long enough.
+// add adds events to an interval and reports whether it is long enough for a sample.
 func (w *interval) add(s *server, count int, now monotime.Instant) bool {
 	if w.from == 0 {
 		*w = s.newInterval(now)
@@ -143,14 +150,15 @@
 	}
 }
 
-// observeSteps teaches the model of a service what a stretch without reading showed.
+// observeSteps passes an interval without reading to the model of the service.
 func (s *server) observeSteps(w *interval) {
 	if w.events >= minIntervalEvents && w.to > w.from {
 		s.kind.model.ObserveSteps(w.sample(s), s.slowness(w.to))
 	}
 }
 
-// recordSlowness compares how long a stretch took with what the model expects.
+// recordSlowness updates the slowness of a server by the ratio of the time of an interval
+// to the one that the model expects.
 func (s *server) recordSlowness(w *interval) {
 	expected := s.kind.model.Expected(w.sample(s))
 	if w.to <= w.from || expected <= 0 {
@@ -161,7 +169,8 @@
 	s.slowAt = w.to
 }
 
-// updateMedian takes the median anew when it is old.
+// updateMedian recomputes the median slowness of a service when it is older than
+// medianMaxAge.
 func (b *Board) updateMedian(kind *engineKind, now monotime.Instant) {
 	if kind.medianAt != 0 && now.Sub(kind.medianAt) < medianMaxAge {
 		return
@@ -178,10 +187,11 @@
 	}
 }
 
-// observeFirst teaches the model how long the first event of r took, if no prompt that
-// is known of waited to be read when it was sent, and none came until then. That the
-// model expects all prompts before to have been read does not do: while it takes
-// engines for too fast, it would learn from requests that waited.
+// observeFirst passes the time to the first event of r to the model, if no prompt waited
+// to be read when r was sent, as far as reported, and no request was sent until the
+// event. It would not do to rely on the model's prediction that earlier prompts have been
+// read: while the model takes engines for too fast, it would learn from requests that had
+// waited.
 func (s *server) observeFirst(r *run, now monotime.Instant) {
 	if r.work.Prompt == 0 || !r.alone || s.begun != r.order {
 		return
@@ -190,7 +200,7 @@
 	s.kind.model.ObserveFirst(first, s.slowness(now))
 }
 
-// Paces returns how fast the engines of each service are, as far as it was learned.
+// Paces returns the learned pace of the engines of each service that has samples.
 func (b *Board) Paces() map[string]pace.Pace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -203,8 +213,7 @@
 	return out
 }
 
-// MinPaceSamples is the number of samples of the service of which the fewest are known, of
-// those that have any.
+// MinPaceSamples returns the lowest number of samples of any service that has samples.
 func (b *Board) MinPaceSamples() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -217,21 +226,21 @@
 	return fewest
 }
 
-// PaceStatistics returns what this instance has seen of the engines of each service.
+// PaceStatistics returns the statistics of the samples of this instance, by service.
 func (b *Board) PaceStatistics() map[string]pace.Statistics {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string]pace.Statistics)
 	for service, e := range b.kinds {
-		if told := e.model.Statistics(); told.StepSamples+told.FirstSamples > 0 {
-			out[service] = told
+		if statistics := e.model.Statistics(); statistics.StepSamples+statistics.FirstSamples > 0 {
+			out[service] = statistics
 		}
 	}
 	return out
 }
 
-// MergePaceStatistics takes what another instance has seen of the engines of a service, and reports
-// whether it can be used.
+// MergePaceStatistics applies the statistics of another instance on the engines of a
+// service, and reports whether they are valid.
 func (b *Board) MergePaceStatistics(instance, service string, statistics pace.Statistics) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/placement/learn_test.go
+++ b/internal/placement/learn_test.go
@@ -9,8 +9,8 @@
 	"basilrudder/internal/pace"
 )
 
-// runStream plays a stream of events on a server, each after a pause, and returns
-// when it ended.
+// runStream records a stream of events on a server, each after a pause, and returns when
+// it ended.
 func runStream(b *Board, id RunID, server string, work Work, events int, pause time.Duration, now monotime.Instant) monotime.Instant {
 	b.Begin(id, server, work, 0, now)
 	now = now.Add(pause)
@@ -24,8 +24,8 @@
 	return now
 }
 
-// An instance that starts knows nothing of the engines. What streams show it, with
-// steps of 30 ms in place of the 5 assumed, is what it predicts by.
+// An instance starts with a prior of 5 ms for a step, and streams show steps of 30 ms.
+// Predictions must follow the streams.
 func TestObservedStreamsOverrideThePriorPace(t *testing.T) {
 	b := NewBoard(pace.DefaultPrior, "here")
 	candidates := engines(3)
@@ -38,15 +38,15 @@
 	}
 	choice, _ := b.Choose(shortPrompt("next"), candidates, now)
 	if choice.Gap < 50*time.Millisecond || choice.Gap > 200*time.Millisecond {
-		t.Errorf("pauses of 60 ms are seen, %v is predicted", choice.Gap)
+		t.Errorf("pauses of 60 ms are observed, %v is predicted", choice.Gap)
 	}
 	if got := b.Paces()[""]; got.Step < 25*time.Millisecond || got.Step > 35*time.Millisecond {
-		t.Errorf("steps of 30 ms are seen, %v is believed", got.Step)
+		t.Errorf("steps of 30 ms are observed, %v is learned", got.Step)
 	}
 }
 
-// One of four engines turns five times slower. Its callers' streams crawl, so the
-// next ones go elsewhere; ten seconds after it was last seen slow it is tried again.
+// One of four engines becomes five times slower. The next streams must go elsewhere until
+// its slowness has faded.
 func TestASlowServerIsAvoidedAndTriedAgainLater(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(4)
@@ -62,7 +62,7 @@
 	now = now.Add(3 * time.Second)
 	slow := b.server(candidates[2])
 	if got := slow.slowness(now); got < 1.8 {
-		t.Fatalf("taken to be %.2f times slower", got)
+		t.Fatalf("classified as %.2f times slower", got)
 	}
 	for n := range 12 {
 		if got := chooseAndBegin(t, b, 1000+n, shortPrompt(fmt.Sprint(n)), candidates, now); got.Server == slow.id {
@@ -71,12 +71,12 @@
 	}
 	later := now.Add(4 * slownessFadeTime)
 	if got := slow.slowness(later); got > 1.1 {
-		t.Errorf("still taken to be %.2f times slower", got)
+		t.Errorf("still classified as %.2f times slower", got)
 	}
 }
 
-// All servers are as fast, but each stretch is off by half or twice, as what is read
-// beside streams is known late. None of them must be taken to be slow for it.
+// All servers are equally fast, but each interval is off by half or twice, as when
+// reading beside streams is reported late. None of them may count as slow.
 func TestEquallyFastServersAreNotClassifiedAsSlow(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(4)
@@ -88,20 +88,20 @@
 	}
 	for _, c := range candidates {
 		if got := b.server(c).slowness(now); got < 0.8 || got > 1.3 {
-			t.Errorf("%s is taken to be %.2f times slower", c.ID, got)
+			t.Errorf("%s is classified as %.2f times slower", c.ID, got)
 		}
 	}
 }
 
-// longAnswer is a prompt with a longAnswer answer that must be whole within 15 s.
+// longAnswer is a prompt with a long answer that must be complete within 15 s.
 func longAnswer(id string) Work {
 	work := longPrompt("chain", id)
 	work.Output = 900
 	return work
 }
 
-// readLongPrompts has an engine read long prompts for some seconds, of which no run is
-// left, and returns when that was.
+// readLongPrompts has an engine read long prompts for four seconds, ends all their runs,
+// and returns the time of the end.
 func readLongPrompts(b *Board, server string, each time.Duration) monotime.Instant {
 	now := start
 	for n := range int(4 * time.Second / each) {
@@ -114,9 +114,9 @@
 	return now
 }
 
-// One engine keeps the start of a long prompt but has read other prompts nearly all
-// the time. A stream of 900 tokens there would be cut off at its deadline; it goes
-// to an engine on which it ends in time.
+// One engine caches the start of a long prompt but has read other prompts nearly all the
+// time. A stream of 900 tokens there would be cut off at its deadline; it must go to an
+// engine on which it ends in time.
 func TestALongStreamGoesWhereItEndsInTime(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
@@ -129,9 +129,8 @@
 	}
 }
 
-// Streams on one of two engines have little time left. A long prompt beside them
-// would have them cut off, so it is read on the other, although that one runs as
-// many streams.
+// Streams on one of two engines have little time left. A long prompt beside them would
+// have them cut off, so it must be read on the other engine, which runs as many streams.
 func TestPromptsAreReadBesideStreamsThatHaveTime(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
@@ -151,13 +150,14 @@
 	}
 }
 
-// An engine has read a long prompt every half second. At this moment it reads none,
-// but a note that streams for two seconds would pause for the next one.
+// An engine has read a long prompt every half second. At this moment it reads none, but a
+// stream of two seconds with short pauses would be interrupted by the next one and must
+// go elsewhere.
 func TestStreamsWithShortPausesAvoidEnginesThatReadLongPrompts(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
 	now := start
-	chooseAndBegin(t, b, 0, shortPrompt("first"), candidates, now) // its bound of pauses is in use
+	chooseAndBegin(t, b, 0, shortPrompt("first"), candidates, now) // its limit of pauses is in use
 	b.End(RunID{"me", 0}, now)
 	now = readLongPrompts(b, "e0", 500*time.Millisecond)
 	choice, _ := b.Choose(shortPrompt("n"), candidates, now)
@@ -166,8 +166,9 @@
 	}
 }
 
-// Notes on one engine have paused too long already and are late for good. The next
-// long prompt harms nobody there, so notes elsewhere are spared.
+// Streams on one engine have already paused too long and are late. The next long prompt
+// harms none there, so it must go there instead of to an engine whose streams are on
+// time.
 func TestStreamsThatAreAlreadyLateAreNotProtected(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
@@ -190,14 +191,14 @@
 		b.End(RunID{"peer", n}, start.Add(2*time.Second))
 	}
 	if s := b.server(candidates[0]); len(s.onTime) != 0 {
-		t.Errorf("of streams that ended some still count: %+v", s.onTime)
+		t.Errorf("ended streams still count: %+v", s.onTime)
 	}
 }
 
-// Thirty long streams on the only engine need all the time that they have left. A
-// further long prompt, each second of whose reading has more of them cut off, is
-// refused with its reason; a short and more urgent note is taken, whatever the less
-// urgent streams lose; and once there is time the prompt is taken too.
+// Thirty long streams on the only engine need all the time that they have left. A further
+// long prompt would have more of them cut off with each second of its reading, and must
+// be refused with that reason. A short and more urgent request must be accepted whatever
+// the less urgent streams lose, and the prompt too once there is time.
 func TestRequestsThatCostOthersMoreThanTheirValueAreRefused(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	one := engines(1)
@@ -218,7 +219,7 @@
 		t.Errorf("%d %+v", refusal, choice)
 	}
 	if choice, refusal := b.Choose(shortPrompt("n"), one, start); refusal != Chosen {
-		t.Errorf("a note: %d %+v", refusal, choice)
+		t.Errorf("a short prompt: %d %+v", refusal, choice)
 	}
 	for n := range 25 {
 		b.End(RunID{"peer", n}, start)
--- a/internal/placement/memory.go
+++ b/internal/placement/memory.go
@@ -1,15 +1,15 @@
 package placement
 
-// An engine keeps the whole prompt and what it has generated of each request
-// that runs. When its memory is full it preempts some and reads them in again
-// later, which costs time and wastes what was read.
+// An engine holds the whole prompt and the generated output of each running request. When
+// its memory is full, it preempts some and reads them again later, which costs time and
+// wastes the first read.
 
-// usableMemoryShare is the part of an engine's memory that running requests may fill
-// by this instance's account. The rest is for requests that peers began and that
-// this instance has not heard of.
+// usableMemoryShare is the part of an engine's memory that tracked requests may fill. The
+// rest is for requests of peers that have not been reported yet; with a larger share
+// these cause preemptions.
 const usableMemoryShare = 0.9
 
-// holdMemory notes the memory of a request that begins.
+// holdMemory adds the memory of a request that begins.
 func (s *server) holdMemory(work *Work) {
 	s.inUse += s.addedTokens(work)
 	for _, part := range work.Parts {
@@ -17,7 +17,7 @@
 	}
 }
 
-// releaseMemory gives the memory of a request back that ended.
+// releaseMemory subtracts the memory of a request that ended.
 func (s *server) releaseMemory(work *Work) {
 	for _, part := range work.Parts {
 		s.partHolders[part.ID]--
@@ -28,7 +28,8 @@
 	s.inUse -= s.addedTokens(work)
 }
 
-// addedTokens is the memory in tokens that a request needs beyond what others hold.
+// addedTokens returns the memory in tokens that a request needs beyond the parts that
+// other requests hold.
 func (s *server) addedTokens(work *Work) int {
 	tokens, listed := work.Output, 0
 	for _, part := range work.Parts {
@@ -40,8 +41,8 @@
 	return tokens + max(0, work.Prompt-listed)
 }
 
-// hasMemory reports whether a request fits beside those that run. One that runs
-// alone always does, as far as placement knows.
+// hasMemory reports whether a request fits beside the running ones. A request on an
+// engine without others always counts as fitting.
 func (s *server) hasMemory(work *Work) bool {
 	return len(s.runs) == 0 || s.inUse+s.addedTokens(work) <= int(usableMemoryShare*float64(s.memory))
 }
--- a/internal/placement/outcome.go
+++ b/internal/placement/outcome.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// failureDecay is the weight of the newest outcome in a server's failure
-	// rate: about the last seven requests count.
+	// failureDecay is the weight of the latest outcome in a server's failure rate: about
+	// the last seven requests count.
 	failureDecay = 0.15
-	// retryMin and retryMax bound the pause before a server that could not be
-	// reached is tried again. The first is short because a crowded server
-	// resets connections too; the last bounds what a crash costs in new tries.
+	// retryMin and retryMax bound the pause before an unreachable server is tried again.
+	// The first is short because an overloaded server resets connections too. The last
+	// limits the number of attempts that fail while a server is down; a longer one delays
+	// its first requests after the restart.
 	retryMin = 200 * time.Millisecond
 	retryMax = 2 * time.Second
 	// refusedPause is how long an engine that refused a request gets none: about as long
-	// as the shortest streams take to leave a slot. What filled it is known here
-	// when its news have come, which is sooner.
+	// as the shortest streams take to leave a slot. Reports of the requests that filled
+	// it arrive sooner.
 	refusedPause = 200 * time.Millisecond
 )
 
-// Outcome is what became of a request at a server.
+// Outcome is the result of a request at a server.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// Served: a whole answer came.
+	// Served: the response was complete.
 	Served Outcome = iota
-	// Failed: the server broke the answer off, spoilt it or answered with a
-	// failure of its own.
+	// Failed: the server broke off the response, sent an invalid one or returned an error
+	// of its own.
 	Failed
-	// Unreachable: no connection could be made.
+	// Unreachable: no connection could be established.
 	Unreachable
-	// Refused: the server said that it has no room.
+	// Refused: the server reported that it has no free capacity.
 	Refused
 )
 
-// Observe takes the outcome of a request into account for later choices. It
-// reports whether the server became reachable or unreachable by it.
+// Observe applies the outcome of a request at a server. It reports whether the server
+// became reachable or unreachable by it.
 func (b *Board) Observe(serverID string, outcome Outcome, now monotime.Instant) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/placement/pauses.go
+++ b/internal/placement/pauses.go
@@ -8,25 +8,30 @@
 	"basilrudder/internal/pace"
 )
 
-// Reading a long prompt makes the streams beside it pause. A stream that paused
-// once for longer than its caller allows is late for good, whatever follows, so an
-// engine that reads long prompts now and then is no place for streams with short
-// pauses, also in a moment when it reads none.
+// Reading a long prompt makes the other streams of the engine pause. A stream that once
+// paused for longer than its caller allows is late, whatever follows. An engine that
+// reads long prompts now and then is therefore unsuitable for streams with short pauses,
+// even at a moment when it reads none.
 
 const (
-	// gapSpread is how uncertain a predicted pause is, relative to it, and gapLeast
-	// the least of it.
+	// gapSpread is the relative uncertainty of a predicted pause, and minGapSpread its
+	// minimum. Smaller ones count a pause predicted just within its limit as certainly on
+	// time.
 	gapSpread    = 0.08
 	minGapSpread = 3 * time.Millisecond
-	// gapMargin is what the way from the server to the caller may add to a pause.
+	// gapMargin is what the network between the server and the caller may add to a pause.
+	// Without it, pauses near the limit are late at the caller.
 	gapMargin = 12 * time.Millisecond
-	// hazardWindow is the time over which the rate of too long pauses is averaged.
+	// hazardWindow is the time constant of the averaged rate of too long pauses. A
+	// shorter one forgets long prompts that come now and then, a longer one keeps streams
+	// off engines that no longer read any.
 	hazardWindow = 3 * time.Second
-	// gapLimitMaxAge is how long a bound of pauses is kept after its last use.
+	// gapLimitMaxAge is how long a limit of pauses is tracked after its last use. Without
+	// that bound every limit ever used would cost time with each prompt.
 	gapLimitMaxAge = time.Minute
 )
 
-// hazard is how often a pause on an engine is longer than a bound, as of an instant.
+// hazard is the decaying rate of pauses on an engine that are longer than a limit.
 type hazard struct {
 	weighted float64
 	at       monotime.Instant
@@ -36,7 +41,7 @@
 	*h = hazard{weighted: h.weighted*decay(now.Sub(h.at), hazardWindow) + p, at: now}
 }
 
-// perSecond is the rate of such pauses; h may be nil.
+// perSecond returns the rate of such pauses; h may be nil.
 func (h *hazard) perSecond(now monotime.Instant) float64 {
 	if h == nil {
 		return 0
@@ -48,16 +53,16 @@
 	return math.Exp(-passed.Seconds() / window.Seconds())
 }
 
-// onTimeStreams is how many of the streams of a kind on an engine are likely not to have
-// paused too long yet.
+// onTimeStreams counts the streams of a kind on an engine that have probably not paused
+// too long yet.
 type onTimeStreams struct {
 	expected float64
-	// survival is the share of a stream that was punctual at the start of all which
-	// still is.
+	// survival is the share of a stream that was on time at the start of this record
+	// which still is.
 	survival float64
 }
 
-// backlog is what an engine has yet to read.
+// backlog is the total of the prompts that an engine has yet to read.
 type backlog struct {
 	unread  int
 	longest int // length of the longest prompt among those
@@ -81,36 +86,38 @@
 	return out
 }
 
-// gap is the longest pause between events of streams on an engine: an event
-// takes as many steps as it holds tokens, each of which may read a chunk.
+// gap returns the longest predicted pause between events of streams on an engine: an
+// event takes as many steps as it holds tokens, each of which may read a chunk.
 func (s *server) gap(speed *pace.Pace, l backlog, runs int) time.Duration {
 	steps := max(1, s.eventTokens)
 	read := min(l.unread, steps*pace.Chunk)
 	return time.Duration(steps)*speed.DecodeStep(runs) + speed.Read(read, l.longest)
 }
 
-// lateGap is the probability that a predicted pause is above what is on time.
+// lateGap returns the probability that a predicted pause exceeds its limit.
 func lateGap(gap, limit time.Duration) float64 {
 	spread := max(minGapSpread, time.Duration(gapSpread*float64(gap)))
 	return logistic(float64(gap+gapMargin-limit) / float64(spread))
 }
 
-// pauseProbability is the probability that a stream placed on s pauses too long while it
-// lives: for what is to be read now, or for what will come. Long prompts go where
-// they make the fewest streams late, so an engine without such streams draws them
-// at least as often as the mean of all, and one that has some is spared. Streams
-// with short pauses thereby share engines as soon as long prompts come, and spread
-// when none do.
+// pauseProbability returns the probability that a stream placed on s pauses too long
+// during its life, because of the present backlog or of prompts to come.
+//
+// Long prompts go where they make the fewest streams late. An engine without streams that
+// they would make late attracts them at least at the mean rate, and one with such streams
+// is protected. Streams with short pauses thereby share engines as soon as long prompts
+// arrive, and spread out when none do.
 func (s *server) pauseProbability(speed *pace.Pace, work *Work, ahead backlog, life time.Duration, mean float64, now monotime.Instant) float64 {
 	if work.MaxGap == 0 {
 		return 0
 	}
-	kept := 1 - lateGap(s.gap(speed, ahead, len(s.runs)+1), work.MaxGap)
+	onTime := 1 - lateGap(s.gap(speed, ahead, len(s.runs)+1), work.MaxGap)
 	rate := s.hazards[work.MaxGap].perSecond(now) + mean*math.Exp(-s.exposedStreams())
-	return 1 - kept*math.Exp(-rate*life.Seconds())
+	return 1 - onTime*math.Exp(-rate*life.Seconds())
 }
 
-// exposedStreams is the number of streams on s that a long pause would make late.
+// exposedStreams returns the expected number of streams on s that a long pause would make
+// late.
 func (s *server) exposedStreams() float64 {
 	sum := 0.0
 	for _, p := range s.onTime {
@@ -119,7 +126,7 @@
 	return sum
 }
 
-// pauseHarm is what the streams on s lose by the pauses that a new prompt adds, by
+// pauseHarm returns what the streams on s lose by the pauses that a new prompt adds, by
 // priority.
 func (s *server) pauseHarm(speed *pace.Pace, before, after backlog) byPriority {
 	var out byPriority
@@ -129,21 +136,22 @@
 	return out
 }
 
-// addedLateGap is how much likelier a pause above most becomes by a new prompt.
+// addedLateGap returns by how much a new prompt raises the probability of a pause above
+// limit.
 func (s *server) addedLateGap(speed *pace.Pace, before, after backlog, limit time.Duration) float64 {
 	runs := len(s.runs)
 	return max(0, lateGap(s.gap(speed, after, runs+1), limit)-lateGap(s.gap(speed, before, runs), limit))
 }
 
-// recordPauses takes into account what a run that begins on s does to the pauses
-// there, for all bounds of pauses in use. The run is not yet on s.
+// recordPauses applies the effect of a run that begins on s to the pauses there, for all
+// tracked limits of pauses. It is called before the run is added to s.
 func (b *Board) recordPauses(s *server, r *run, now monotime.Instant) {
 	speed := s.pace(now)
 	before := s.unreadBacklog(now)
 	if r.unread > 0 {
 		after := before.with(r.unread, r.work.Prompt)
-		for most := range b.gapLimitUsedAt {
-			s.hazardOf(most).add(s.addedLateGap(&speed, before, after, most), now)
+		for limit := range b.gapLimitUsedAt {
+			s.hazardOf(limit).add(s.addedLateGap(&speed, before, after, limit), now)
 		}
 		for kind, p := range s.onTime {
 			still := 1 - s.addedLateGap(&speed, before, after, kind.maxGap)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -11,7 +11,7 @@
 	"basilrudder/internal/pace"
 )
 
-// testPace is that of engines whose steps grow with their batch.
+// testPace is the pace of engines whose step time grows with the batch.
 var testPace = pace.Pace{
 	Step: 6550 * time.Microsecond, StepPerRun: 165 * time.Microsecond, ReadToken: 16026 * time.Nanosecond,
 	AttentionPerM: 525 * time.Microsecond, First: 125 * time.Millisecond,
@@ -19,7 +19,7 @@
 
 const start = monotime.Instant(time.Hour)
 
-// engines returns n candidates of one data centre.
+// engines returns n candidates in one data centre.
 func engines(n int) []Candidate {
 	var out []Candidate
 	for i := range n {
@@ -44,7 +44,7 @@
 	}
 }
 
-// chooseAndBegin chooses a server for work and notes that it began there.
+// chooseAndBegin chooses a server for work and records that it began there.
 func chooseAndBegin(t *testing.T, b *Board, number int, work Work, candidates []Candidate, now monotime.Instant) Choice {
 	t.Helper()
 	choice, refusal := b.Choose(work, candidates, now)
@@ -55,9 +55,9 @@
 	return choice
 }
 
-// Callers of short notes see their stream pause when a long prompt is read
-// beside it. Notes and bundles come in turn; each kind should find engines on
-// which it does not meet the other, although no engine is set aside for it.
+// Reading a long prompt makes the streams beside it pause. Requests with short pauses and
+// long prompts arrive in turn; each kind must find engines without the other, although no
+// engine is dedicated to it.
 func TestLongPromptsAvoidStreamsWithShortPauses(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(6)
@@ -72,13 +72,14 @@
 	}
 	for id := range shortOn {
 		if longOn[id] {
-			t.Errorf("%s runs notes and bundles: notes on %v, bundles on %v", id, shortOn, longOn)
+			t.Errorf("%s runs both kinds: short prompts on %v, long ones on %v", id, shortOn, longOn)
 		}
 	}
 }
 
-// Notes come while long prompts do. If they spread over all engines, each prompt
-// would make some of them late; they share few, and prompts find others.
+// Requests with short pauses arrive along with long prompts. If they spread over all
+// engines, each long prompt would make some of them late. They must share few engines and
+// leave the others to the long prompts.
 func TestShortPromptsShareFewEnginesWhileLongPromptsArrive(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	used := map[string]bool{}
@@ -90,7 +91,7 @@
 		b.FirstEvent(RunID{"me", i}, now)
 	}
 	if len(used) > 2 {
-		t.Errorf("30 notes spread over %d engines", len(used))
+		t.Errorf("30 short prompts spread over %d engines", len(used))
 	}
 }
 
@@ -124,7 +125,7 @@
 	one := engines(1)
 	chooseAndBegin(t, b, 1, shortPrompt("a"), one, start)
 	if !b.Observe("e0", Unreachable, start) {
-		t.Error("that a server became unreachable is not told")
+		t.Error("the server is not reported as newly unreachable")
 	}
 	if _, refusal := b.Choose(shortPrompt("b"), one, start.Add(retryMin/2)); refusal != NoneReachable {
 		t.Error("tried again at once")
@@ -146,8 +147,8 @@
 	}
 }
 
-// An instance is killed; the servers drop its requests as its connections
-// close. Its peers must not believe that the engines are still busy with them.
+// An instance is killed, and the servers drop its requests as its connections close.
+// Other instances must not count the engines as busy with them.
 func TestRunsOfALostInstanceEnd(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	for i := range 5 {
@@ -181,11 +182,11 @@
 	c.add([]Part{{"d", 10}}, start, 30)
 	for id, want := range map[string]int{"a": 10, "b": 0, "c": 10, "d": 10} {
 		if got := c.cachedTokens([]Part{{id, 10}}); got != want {
-			t.Errorf("%s: %d tokens kept, want %d", id, got, want)
+			t.Errorf("%s: %d tokens cached, want %d", id, got, want)
 		}
 	}
 	if got := c.cachedTokens([]Part{{"b", 10}, {"a", 10}}); got != 0 {
-		t.Errorf("%d tokens count although the part before them is not kept", got)
+		t.Errorf("%d tokens count although the part before them is not cached", got)
 	}
 }
 
@@ -203,9 +204,9 @@
 	}
 }
 
-// Many prompts share a long part that one engine has read. As long as they are
-// on time there, none of them is worth reading it on a second engine; a wait of
-// a second would be, and a part that nobody used for long may be read anywhere.
+// Many prompts share a long part that one engine has read. As long as they are on time
+// there, none of them may read it on a second engine. A part that was not used for longer
+// than rereadWindow may be read anywhere.
 func TestASharedPartIsReadOnceWhileItIsInUse(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(8)
@@ -230,7 +231,7 @@
 	}
 }
 
-// enginesWithFetch returns engines that can fetch prompts from each other.
+// enginesWithFetch returns engines that can fetch parts of prompts from each other.
 func enginesWithFetch(n int) []Candidate {
 	out := engines(n)
 	for i := range out {
@@ -239,8 +240,8 @@
 	return out
 }
 
-// A part is kept by one engine, which becomes busy. The next prompt with that
-// part goes to an idle engine, which fetches the part and reads the rest alone.
+// One engine caches a part and becomes busy. The next prompt with that part must go to an
+// idle engine, which fetches the part and reads only the rest.
 func TestAnIdleEngineFetchesPartsCachedByABusyOne(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := enginesWithFetch(3)
@@ -287,8 +288,8 @@
 	}
 }
 
-// Sixty notes run at once. The more of them share an engine, the slower all of
-// their streams are, and the longer each can be lost with its server.
+// Sixty streams run at once. The more of them share an engine, the slower all of them
+// are, and the more are lost with one server.
 func TestManyShortPromptsDoNotAllShareOneEngine(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	counts := map[string]int{}
@@ -305,8 +306,8 @@
 	}
 }
 
-// Prompts of the least urgent class fill all engines. More of them would preempt
-// others or wait; they are refused, while there is still room for a note.
+// Prompts of the lowest priority fill all engines. More of them would preempt others or
+// wait, and must be refused, while a more urgent request must still be accepted.
 func TestFullEnginesTakeOnlyMoreUrgentWork(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
@@ -321,13 +322,13 @@
 		chooseAndBegin(t, b, 1000+i, shortPrompt(fmt.Sprint(i)), candidates, start)
 	}
 	if _, refusal := b.Choose(shortPrompt("x"), candidates, start); refusal != AllFull {
-		t.Errorf("a note beyond the room for notes: %d", refusal)
+		t.Errorf("a short prompt beyond the reserved slots: %d", refusal)
 	}
 }
 
-// Requests with large prompts fill an engine's memory before its slots. One
-// more would make the engine preempt what runs; it goes elsewhere, or is refused
-// when all are full. Prompts that share a part need it once.
+// Requests with large prompts fill an engine's memory before its slots. One more would
+// make the engine preempt running requests; it must go elsewhere, or be refused when all
+// are full. A part shared by several prompts counts once.
 func TestAnEnginesMemoryIsNotOverfilled(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
@@ -346,7 +347,7 @@
 		t.Errorf("a ninth: %d", refusal)
 	}
 	if _, refusal := b.Choose(shortPrompt("n"), candidates, start); refusal != Chosen {
-		t.Errorf("a note: %d", refusal)
+		t.Errorf("a short prompt: %d", refusal)
 	}
 	shared := large(0)
 	if got := b.servers["e0"].addedTokens(&shared) + b.servers["e1"].addedTokens(&shared); got != 100_000 {
@@ -362,7 +363,7 @@
 	}
 }
 
-// A link breaks and opens again, and the peer tells of its runs a second time.
+// A link breaks and opens again, and the peer reports its runs a second time.
 func TestARunReportedTwiceCountsOnce(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	for range 2 {
@@ -377,8 +378,8 @@
 	}
 }
 
-// Runs begin, give their first event and end in a random order. What is kept of
-// them for choices must be what going through the runs gives.
+// Runs begin, give their first event and end in a random order. The incrementally updated
+// counts must match those computed from all runs.
 func TestIncrementalStreamCountsMatchTheRuns(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	random := rand.New(rand.NewPCG(1, 2))
@@ -407,14 +408,14 @@
 			}
 		}
 		if pending != len(s.queue.runs) || !maps.Equal(want.streams, s.streams) {
-			t.Fatalf("step %d: kept %+v and %d prompts, runs give %+v and %d", i, s.streamCounts, len(s.queue.runs), want, pending)
+			t.Fatalf("step %d: counted %+v and %d prompts, the runs give %+v and %d", i, s.streamCounts, len(s.queue.runs), want, pending)
 		}
 	}
 }
 
-// The only engine that keeps the long start of a prompt stands in a data centre that is
-// emptied. The request goes to another engine, which fetches the start from there while
-// it can, in place of reading it for a quarter of a second.
+// The only engine that caches the long start of a prompt is in a data centre that is
+// being evacuated. The request must go to another engine, which fetches the start from
+// there while it can, instead of reading it for a quarter of a second.
 func TestThePromptOfAnEvacuatedEngineIsFetched(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	candidates := engines(2)
@@ -431,6 +432,6 @@
 		t.Errorf("%v %+v", refusal, choice)
 	}
 	if _, refusal := b.Choose(work, candidates[:1], start.Add(3*time.Second)); refusal != NoneReachable {
-		t.Errorf("placed on a server that takes nothing: %v", refusal)
+		t.Errorf("placed on a server that takes no requests: %v", refusal)
 	}
 }
--- a/internal/placement/queue.go
+++ b/internal/placement/queue.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// maxUrgentShare bounds the share of an engine's reading that more urgent prompts are
-	// expected to take, so that predicted waits stay finite.
+	// maxUrgentShare bounds the expected share of an engine's time spent reading more
+	// urgent prompts, which keeps predicted waits finite: at 1 they would be infinite.
 	maxUrgentShare = 0.9
-	// urgentWindow is the time over which that share is averaged.
+	// urgentWindow is the time constant of the average of that share.
 	urgentWindow = time.Second
 )
 
 // queue holds the prompts that an engine has yet to read, in the order in which it reads
-// them: the more urgent first, and those as urgent as each other in order of arrival.
+// them: by urgency, then in order of arrival.
 type queue struct {
 	runs []*run
-	// readAt is the instant up to which the runs' left is accounted for.
+	// readAt is the instant up to which readLeft of the runs is brought.
 	readAt monotime.Instant
-	// load is the share of its time that an engine needs to read what comes, by
-	// priority, as of loadAt.
+	// load is the share of an engine's time needed to read arriving prompts, by priority,
+	// as of loadAt.
 	load   byPriority
 	loadAt monotime.Instant
 }
@@ -34,7 +34,7 @@
 	q.runs = slices.Insert(q.runs, at, r)
 }
 
-// remove takes a run out whose prompt is read, or that is over.
+// remove removes a run whose prompt has been read, or that has ended.
 func (q *queue) remove(r *run, now monotime.Instant) {
 	q.advance(now)
 	if at, ok := slices.BinarySearchFunc(q.runs, r, compareReading); ok {
@@ -42,7 +42,7 @@
 	}
 }
 
-// startsWith reports whether nothing is read before a run.
+// startsWith reports whether no prompt is read before that of a run.
 func (q *queue) startsWith(r *run) bool {
 	return len(q.runs) == 0 || compareReading(r, q.runs[0]) <= 0
 }
@@ -55,7 +55,7 @@
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Rank, b.Rank))
 }
 
-// advance accounts for the reading done up to an instant.
+// advance brings readLeft of the runs up to an instant.
 func (q *queue) advance(now monotime.Instant) {
 	passed := now.Sub(q.readAt)
 	if passed <= 0 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// timeAhead is how long reading takes that comes before new work.
+// timeAhead returns the time to read the prompts that come before new work.
 func (q *queue) timeAhead(work *Work, now monotime.Instant) time.Duration {
 	q.advance(now)
 	sum := time.Duration(0)
@@ -85,7 +85,7 @@
 	return sum
 }
 
-// recordArrival notes that a prompt came which takes so long to read.
+// recordArrival records the arrival of a prompt with its reading time.
 func (q *queue) recordArrival(priority int, reading time.Duration, now monotime.Instant) {
 	faded := decay(now.Sub(q.loadAt), urgentWindow)
 	for i := range q.load {
@@ -95,8 +95,8 @@
 	q.load[priorityIndex(priority)] += reading.Seconds() / urgentWindow.Seconds()
 }
 
-// moreUrgentShare is the share of an engine's time that reading prompts takes which come
-// and are more urgent than a priority.
+// moreUrgentShare returns the share of an engine's time needed to read arriving prompts
+// that are more urgent than a priority.
 func (q *queue) moreUrgentShare(priority int, now monotime.Instant) float64 {
 	if priority <= 0 {
 		return 0
@@ -104,19 +104,20 @@
 	return q.load.upTo(priority-1) * decay(now.Sub(q.loadAt), urgentWindow)
 }
 
-// delayedByUrgent is how long a wait becomes while more urgent prompts come that need a share
-// of the time: they are read first.
+// delayedByUrgent returns the length of a wait during which arriving prompts that are
+// more urgent, and so are read first, take a share of the time.
 func delayedByUrgent(wait time.Duration, share float64) time.Duration {
 	return time.Duration(float64(wait) / (1 - min(share, maxUrgentShare)))
 }
 
-// Ahead is what an engine is believed to have to read before a prompt.
+// Ahead counts the prompts that an engine is expected to read before another one.
 type Ahead struct {
-	// Prompts and Tokens of them, by priority; those beyond the last counted are in it.
+	// Prompts and their Tokens, by priority; the last entry includes all lower
+	// priorities.
 	Prompts, Tokens [lastPriorityIndex + 1]int
 }
 
-// promptsAhead lists what is read promptsAhead work that arrived with an order.
+// promptsAhead returns what is read before work that arrived as the order-th request.
 func (q *queue) promptsAhead(work *Work, order int) Ahead {
 	var out Ahead
 	for _, r := range q.runs {
@@ -129,44 +130,47 @@
 	return out
 }
 
-// readingTime is how long an engine reads a prompt among others, which share its steps.
+// readingTime returns the time to read a prompt beside running requests, which share its
+// steps.
 func readingTime(speed *pace.Pace, unread, prompt, runs int) time.Duration {
 	steps := float64(unread) / pace.Chunk
 	return speed.Read(unread, prompt) + time.Duration(steps*float64(speed.DecodeStep(runs)))
 }
 
 const (
-	// maxEventSilence is how long after its last sign of work an engine is believed to go on.
-	// Its steps take some tens of milliseconds; the first event of a long prompt takes
-	// longer, and news of it travel.
+	// maxEventSilence is the time since its last event up to which an engine is assumed
+	// to be at work. Its steps take some tens of milliseconds, but the first event of a
+	// long prompt takes longer, and so does the report of it; with a shorter time,
+	// requests would be taken from engines at work.
 	maxEventSilence = time.Second
-	// maxBypassed is how long a request may be overtaken: engines read prompts in parts
-	// and fetch some, so the next one may be ready before.
+	// maxBypassed is how long after it was first bypassed a request is still assumed to
+	// be queued. Engines read prompts in parts and fetch some, so a later prompt may be
+	// ready first.
 	maxBypassed = 500 * time.Millisecond
 )
 
-// QueueStatus is where a request is believed to stand that an engine has not answered yet.
+// QueueStatus is the estimated position of a request that has received no event yet.
 type QueueStatus struct {
-	// Ahead of it are the prompts that are read before its own.
+	// Ahead are the prompts that are read before its own.
 	Ahead Ahead
-	// AtHead is for how long there have been none.
+	// AtHead is the time for which there have been none.
 	AtHead time.Duration
-	// SinceLastEvent is how long no event of the engine is known of.
+	// SinceLastEvent is the time since the last reported event of the engine.
 	SinceLastEvent time.Duration
-	// SinceBypassed is how long ago a request gave its first event that came later and
-	// ranks no better; 0 for never.
+	// SinceBypassed is the time since a request that arrived later and is no more urgent
+	// gave its first event; 0 for never.
 	SinceBypassed time.Duration
 }
 
-// Queued reports whether the engine is believed to be at work on the prompts before it, or
-// for no longer than patience on its own. An engine that serves those who came later has
-// lost it.
+// Queued reports whether the engine is assumed to be at work on earlier prompts, or on
+// the request's own for no longer than limit. An engine that serves requests bypassing
+// this one for longer than maxBypassed has lost it.
 func (s *QueueStatus) Queued(limit time.Duration) bool {
 	return s.SinceLastEvent <= maxEventSilence && s.SinceBypassed <= maxBypassed && s.AtHead <= limit
 }
 
-// QueueStatus returns where a run stands. A server that is no engine tells nothing of its queue,
-// and counts as quiet.
+// QueueStatus returns the queue status of a run. A run that is not tracked or has no
+// prompt counts as on a server without recent events.
 func (b *Board) QueueStatus(id RunID, now monotime.Instant) QueueStatus {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -189,8 +193,8 @@
 	return out
 }
 
-// recordBypassed notes which requests wait that came before one with a first event and rank
-// no worse.
+// recordBypassed marks the waiting requests that arrived before one with a first event
+// and are at least as urgent.
 func (s *server) recordBypassed(by *run, now monotime.Instant) {
 	for _, r := range s.runs {
 		if !r.first && r.order < by.order && r.bypassedAt == 0 && compareUrgency(&r.work, &by.work) <= 0 {
--- a/internal/placement/queue_test.go
+++ b/internal/placement/queue_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A note is kept from engines that would read it at once, before the long prompts that wait.
+// An urgent prompt is read before the long prompts that wait. It must not be predicted
+// behind them, which would keep it from engines that would read it at once.
 func TestAnUrgentPromptIsNotPredictedBehindLessUrgentOnes(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	for i := range 10 {
@@ -14,14 +15,15 @@
 	}
 	urgent, _ := b.Choose(shortPrompt("n"), engines(1), start)
 	if urgent.First > 500*time.Millisecond {
-		t.Errorf("a note is predicted after %v", urgent.First)
+		t.Errorf("a short prompt is predicted after %v", urgent.First)
 	}
 	if long, _ := b.Choose(longPrompt("c", "x"), engines(1), start); long.First < 3*time.Second {
-		t.Errorf("a bundle behind ten others is predicted after %v", long.First)
+		t.Errorf("a long prompt behind ten others is predicted after %v", long.First)
 	}
 }
 
-// A bundle is placed where notes that keep coming are read before it for far longer than predicted.
+// A long prompt with low priority waits while urgent ones keep arriving and are read
+// first. Its predicted wait must include them.
 func TestALessUrgentPromptIsPredictedBehindExpectedUrgentOnes(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	now := start
@@ -31,14 +33,15 @@
 		b.FirstEvent(RunID{"peer", i}, now)
 		b.End(RunID{"peer", i}, now)
 	}
-	overtaken, _ := b.Choose(longPrompt("c", "x"), engines(1), now)
+	delayed, _ := b.Choose(longPrompt("c", "x"), engines(1), now)
 	alone, _ := b.Choose(longPrompt("c", "x"), engines(1), now.Add(20*time.Second))
-	if overtaken.First < alone.First*3/2 {
-		t.Errorf("%v beside notes, %v without", overtaken.First, alone.First)
+	if delayed.First < alone.First*3/2 {
+		t.Errorf("%v beside short prompts, %v without", delayed.First, alone.First)
 	}
 }
 
-// A request is given up that waits in the queue of an engine at work, and gets nothing.
+// A request that waits in the queue of an engine at work must not be taken for one that
+// the engine has lost and that gets nothing.
 func TestQueuedRequestsAreDistinguishedFromLostOnes(t *testing.T) {
 	const limit = 700 * time.Millisecond
 	mine := RunID{"me", 1}
@@ -48,7 +51,7 @@
 		at      time.Duration
 		queued  bool
 	}{
-		{"notes are read before it", func(b *Board) {
+		{"short prompts are read before it", func(b *Board) {
 			b.FirstEvent(RunID{"peer", 1}, start.Add(800*time.Millisecond))
 		}, time.Second, true},
 		{"the engine gives no event", func(*Board) {}, 1500 * time.Millisecond, false},
@@ -75,13 +78,14 @@
 		b.Begin(RunID{"peer", 4}, "e0", shortPrompt("c"), 1000, start)
 		b.Begin(RunID{"peer", 5}, "e0", shortPrompt("d"), 0, start)
 		c.happens(b)
-		if standing := b.QueueStatus(mine, start.Add(c.at)); standing.Queued(limit) != c.queued {
-			t.Errorf("%s: %+v", c.name, standing)
+		if status := b.QueueStatus(mine, start.Add(c.at)); status.Queued(limit) != c.queued {
+			t.Errorf("%s: %+v", c.name, status)
 		}
 	}
 }
 
-// A request is accepted that begins after its caller has left, though it could have come back.
+// A request that would begin after its caller has left must be refused, since its caller
+// can retry.
 func TestRequestsWhoseCallerWouldNotWaitAreRefused(t *testing.T) {
 	b := NewBoard(testPace, "here")
 	for i := range 200 {
--- a/internal/placement/reserve.go
+++ b/internal/placement/reserve.go
@@ -6,9 +6,9 @@
 	"basilrudder/internal/monotime"
 )
 
-// reservedSlots is how many more slots more urgent requests will need, while work holds one,
-// than runs leave free. What holds its slot for no longer than they can wait is not in
-// their way.
+// reservedSlots returns how many slots more than ending runs free will be needed by more
+// urgent requests while work holds one. Work that holds its slot for no longer than they
+// can wait delays none of them, and the result is 0.
 func (b *Board) reservedSlots(work *Work, holds time.Duration, now monotime.Instant) float64 {
 	if holds <= b.minGoal(work.Priority) {
 		return 0
@@ -16,8 +16,8 @@
 	return b.contention.slotDeficit(work.Priority, now) * holds.Seconds()
 }
 
-// minGoal is the shortest time to a first event that requests more urgent than a
-// priority want.
+// minGoal returns the shortest time to the first event required by requests more urgent
+// than a priority.
 func (b *Board) minGoal(priority int) time.Duration {
 	shortest := maxRunAge
 	for kind, goal := range b.goals {
--- a/internal/placement/runs.go
+++ b/internal/placement/runs.go
@@ -2,7 +2,7 @@
 
 import "basilrudder/internal/monotime"
 
-// RunState is a run as the board knows it.
+// RunState is the state of a run for exchange with other instances.
 type RunState struct {
 	// Number of the run in its instance.
 	Number int
@@ -12,12 +12,11 @@
 	Work Work
 	// Unread is the number of prompt tokens that were to be read.
 	Unread int
-	// First says that its prompt has been read.
+	// First reports whether its prompt has been read.
 	First bool
 }
 
-// Runs returns the runs of all instances, by instance, with the time that is left to
-// each as of now.
+// Runs returns the runs of all instances, by instance, each with the time left as of now.
 func (b *Board) Runs(now monotime.Instant) map[string][]RunState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -33,20 +32,20 @@
 	return out
 }
 
-// ReconcileRuns ends the runs of an instance that are not among those given, and returns the
-// given ones that are not known.
+// ReconcileRuns ends the tracked runs of an instance that are not among running, and
+// returns those of running that are not tracked.
 func (b *Board) ReconcileRuns(instance string, running []RunState, now monotime.Instant) (unknown []RunState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	kept := make(map[int]bool, len(running))
+	listed := make(map[int]bool, len(running))
 	for _, state := range running {
-		kept[state.Number] = true
+		listed[state.Number] = true
 		if b.runs[RunID{Instance: instance, Number: state.Number}] == nil {
 			unknown = append(unknown, state)
 		}
 	}
 	for id := range b.runs {
-		if id.Instance == instance && !kept[id.Number] {
+		if id.Instance == instance && !listed[id.Number] {
 			b.end(id, now)
 		}
 	}
--- a/internal/placement/server.go
+++ b/internal/placement/server.go
@@ -18,40 +18,40 @@
 	linkMbps    float64
 	runs        map[RunID]*run
 	streamCounts
-	// inUse is the memory that running requests hold, in tokens; parts that
-	// several of them share count once, as holders says.
+	// inUse is the memory that running requests hold, in tokens. Parts shared by several
+	// of them count once; partHolders is the number of requests that hold each part.
 	inUse       int
 	partHolders map[string]int
 	cache       partCache
-	// cacheReported says that it was told what the engine keeps.
+	// cacheReported is set when the cached parts of the engine have been reported.
 	cacheReported bool
 	queue         queue
 	failures      float64
-	// kind of engines it is one of; done is what it did up to ticked; begun counts the
-	// requests that began on it.
+	// kind tracks all engines of the service, done is the work of this one up to
+	// advancedAt, and begun the number of requests that began on it.
 	kind       *engineKind
 	done       progress
 	advancedAt monotime.Instant
 	begun      int
-	// slow is the ratio of the time that samples took here to what the model
-	// expected, as of slowAt, or 0 when there was none.
+	// slow is the averaged ratio of the time of samples to what the model expected, as of
+	// slowAt, which is 0 when there were none.
 	slow   float64
 	slowAt monotime.Instant
-	// lastEventAt is when it last gave an event that is known of.
+	// lastEventAt is when its last reported event was.
 	lastEventAt monotime.Instant
-	// hazards are how often pauses are longer than each bound in use, and punctual
-	// the streams that are likely not to have paused too long.
+	// hazards are the rates of pauses longer than each limit in use, and onTime the
+	// streams that have probably not paused too long yet.
 	hazards map[time.Duration]*hazard
 	onTime  map[streamKind]*onTimeStreams
-	// recentReading is the reading done lately, as of readAt; urgency what each second
-	// of reading costs the streams, as of urgencyAt.
+	// recentReading is the decaying sum of the time spent reading, as of readAt;
+	// delayCost is what each second of delay costs the requests on it, as of delayCostAt.
 	recentReading float64
 	readAt        monotime.Instant
 	delayCost     delayCost
 	delayCostAt   monotime.Instant
 	retryAt       monotime.Instant
 	fullUntil     monotime.Instant
-	// arrivals is the rate of requests sent there by all instances, as heard.
+	// arrivals is the rate of requests sent to it by all instances, as far as reported.
 	arrivals rate
 	backoff  time.Duration
 }
--- a/internal/placement/streams.go
+++ b/internal/placement/streams.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// streamCounts is what a choice needs of the runs on a server, kept as they come and go.
-// A choice looks at every server: among 140 with ten runs each, going through
-// all runs took 0.25 ms.
+// streamCounts holds what a choice needs of the runs on a server, updated as they begin
+// and end. A choice checks every server: among 140 with ten runs each, going through all
+// runs took 0.25 ms.
 type streamCounts struct {
-	// streams counts the runs whose stream must not pause for long.
+	// streams counts the runs whose streams have a limit of pauses.
 	streams map[streamKind]int
 }
 
-// streamKind groups streams that are late by the same pause and count the same.
+// streamKind groups streams with the same limit of pauses and the same weight.
 type streamKind struct {
 	maxGap   time.Duration
 	priority int
--- a/internal/placement/waste.go
+++ b/internal/placement/waste.go
@@ -6,38 +6,39 @@
 	"basilrudder/internal/pace"
 )
 
-// Reading a part of a prompt again that some engine keeps wastes time of the engine.
-// That time could have served others, so it counts in requests: by what a request
-// of the service takes to be read in the mean.
+// Reading a part of a prompt again that some engine has cached wastes time that could
+// have served other requests. Its cost is therefore counted in requests: relative to the
+// mean time to read a prompt of the service.
 
 const (
-	// wasteWeight is what it counts for to waste as much time as reading takes for a
-	// mean request: a quarter of a request on time. Engines mostly have time to spare,
-	// and a choice that wastes nothing must not be late for it.
+	// wasteWeight is the cost of wasting the mean reading time of a request: a quarter of
+	// a request on time. Engines mostly have time to spare, and a choice must not be late
+	// in order to avoid waste.
 	wasteWeight = 0.25
-	// maxRereadShare bounds what is wasted by one request, as a share of its weight, for
-	// the same reason.
+	// maxRereadShare bounds the cost of rereading for one request, as a share of its
+	// weight, for the same reason.
 	maxRereadShare = 0.8
-	// fetchWeight is what it counts for to fetch a part in place of reading it again, as a
-	// share of that: the copy takes memory in which other parts were kept that may be
-	// asked for again, and the link is paid for. Below 1, so that an engine which needs a
-	// part rather fetches it than reads it. Requests that are not late where their prompt
-	// is kept then stay there: at 60 and 95 engines half as much is moved as with 0.3, as
-	// little is read again, and the days of high load earn 0.01 to 0.02 more with 0.6 or
-	// 1; with 9 to 18 engines it makes no difference beyond chance.
+	// fetchWeight is the cost of fetching a part relative to reading it again: the copy
+	// takes memory from other parts that may be requested again, and the transfer is paid
+	// for. It is below 1, so that an engine which needs a part fetches it rather than
+	// reads it. Requests that are on time where their prompt is cached then stay there.
+	// At 60 and 95 engines half as much is transferred as with 0.3 and as little is
+	// reread, and days of high load earn 0.01 to 0.02 more with 0.6 or 1; with 9 to 18
+	// engines the difference is within random variation.
 	fetchWeight = 0.8
-	// readTimeWeight is the weight of the newest request in the mean time to read one.
+	// readTimeWeight is the weight of the latest request in the mean time to read one. A
+	// larger one makes costs vary with single prompts.
 	readTimeWeight = 0.01
-	// initialMeanReadTime is assumed before the first.
+	// initialMeanReadTime is assumed before the first request.
 	initialMeanReadTime = 50 * time.Millisecond
 )
 
-// recordReadTime takes the time into account that reading a request takes.
+// recordReadTime updates the mean time to read a prompt.
 func (k *engineKind) recordReadTime(took time.Duration) {
 	k.meanReadTime += time.Duration(readTimeWeight * float64(took-k.meanReadTime))
 }
 
-// wasteCost is what it counts for that an engine reads tokens again.
+// wasteCost returns the cost of reading tokens again on an engine.
 func (k *engineKind) wasteCost(speed *pace.Pace, tokens int) float64 {
 	return wasteWeight * float64(speed.Read(tokens, tokens)) / float64(max(k.meanReadTime, time.Millisecond))
 }
--- a/internal/placement/work.go
+++ b/internal/placement/work.go
@@ -6,8 +6,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// Part is a part of a prompt. Requests with the same parts at their start share
-// what an engine keeps of them.
+// Part is a part of a prompt. Requests with the same leading parts share their cached
+// prefix.
 type Part struct {
 	// ID of the part.
 	ID string
@@ -15,52 +15,53 @@
 	Tokens int
 }
 
-// Work is what is known of a request before it runs.
+// Work describes a request before it runs.
 type Work struct {
-	// Parts of the prompt in order; none for work that is not a prompt.
+	// Parts of the prompt in order; none for work without a prompt.
 	Parts []Part
-	// Prompt is the number of its tokens.
+	// Prompt is the length of the prompt in tokens.
 	Prompt int
-	// Output is the number of tokens expected to be generated.
+	// Output is the expected number of generated tokens.
 	Output int
 	// Goal is the time to the first event for full credit.
 	Goal time.Duration
-	// MaxGap is the longest pause between events for full credit; 0 for none.
+	// MaxGap is the longest pause between events for full credit; 0 for no limit.
 	MaxGap time.Duration
-	// Left is the time until nobody waits for the answer any more; 0 for no bound.
+	// Left is the time until the caller stops waiting for the answer; 0 for no bound.
 	Left time.Duration
-	// FirstLeft is the time until its caller leaves if no event has come; 0 for no bound.
+	// FirstLeft is the time until the caller leaves if no event has arrived; 0 for no
+	// bound.
 	FirstLeft time.Duration
-	// Waited is how long it has waited in the queue of a server, of which it asks whether
-	// to leave it for another one; 0 where it has none.
+	// Waited is how long the request has waited in the queue of a server, when a move to
+	// another one is considered; 0 for a request without a server.
 	Waited time.Duration
-	// Priority, 0 first.
+	// Priority; 0 is the most urgent.
 	Priority int
-	// Rank among all requests, by which engines order them; 0 first.
+	// Rank orders all requests within the engines' queues; 0 is the first.
 	Rank int
-	// Homes are the regions that the request must stay in; nil for no bound. Who lists
-	// the candidates keeps to it.
+	// Homes are the regions that the request must stay in; nil for no bound. The caller
+	// of Choose restricts the candidates accordingly.
 	Homes []string
 }
 
-// What a request on time counts for, against costs: two and a half, and a quarter of it
-// less for each priority. The configuration says which requests go first and not by
-// how much they are worth more, so this falls gently: engines admit the more urgent
-// ones first in any case. With the same weight for all the nine days of the same load
-// earn 0.807 on two deployments, with one that falls by half they earn 0.811 and 0.815.
+// The weight of a request on time is 2.5 for the most urgent priority, and falls gently:
+// it is divided by 1 plus a quarter for each lower priority. The configuration sets which
+// requests go first, not how much more they are worth, and engines admit the more urgent
+// ones first in any case. With equal weights for all, nine days of the same load earn
+// 0.807 on two deployments; with a weight that falls by half they earn 0.811 and 0.815.
 const (
 	topWeight     = 2.5
 	weightDecline = 0.25
 )
 
-// weightOf says what a request on time counts for, by its priority.
+// weightOf returns the weight of a request on time by its priority.
 func weightOf(priority int) float64 {
 	return topWeight / (1 + weightDecline*max(0, float64(priority)))
 }
 
 func (w *Work) weight() float64 { return weightOf(w.Priority) }
 
-// RunID names a run in the fleet.
+// RunID identifies a run in the fleet.
 type RunID struct {
 	// Instance that began it.
 	Instance string
@@ -74,29 +75,29 @@
 	work   Work
 	unread int
 	begun  monotime.Instant
-	// readLeft is how long its prompt is yet read, once that has begun.
+	// readLeft is the remaining time to read its prompt, from when that begins.
 	readLeft time.Duration
-	// headAt is since when no prompt is known that is read before its own, and
-	// bypassedAt when a request gave its first event that came later and ranks no
-	// better; 0 for never.
+	// headAt is since when no prompt is tracked that is read before its own, and
+	// bypassedAt when a request that arrived later and is no more urgent gave its first
+	// event; 0 for never.
 	headAt, bypassedAt monotime.Instant
 
 	first   bool
 	firstAt monotime.Instant
-	// deadline is when nobody waits any more; 0 for never.
+	// deadline is when the caller stops waiting; 0 for never.
 	deadline monotime.Instant
-	// onTime is the probability that the stream did not pause too long at its
-	// start, and survivalBefore what had then been kept, see server.onTime.
+	// onTime is the probability that the stream was on time at its start, and
+	// survivalBefore the survival at that time, see server.onTime.
 	onTime, survivalBefore float64
-	// order is the number of requests that had begun on the server with this one.
+	// order is the number of requests that had begun on the server, this one included.
 	order int
-	// alone says that no other prompt waited to be read on the server.
+	// alone is set if no other prompt waited to be read on the server when it began.
 	alone bool
 	// watch is empty for runs of other instances.
 	watch watch
 }
 
-// reading reports whether the prompt still waits to be read or is being read.
+// reading reports whether the prompt waits to be read or is being read.
 func (r *run) reading() bool {
 	return !r.first && r.readLeft > 0
 }
