--- a/internal/crashes/crashes.go
+++ b/internal/crashes/crashes.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// culpritCrashes is the number of servers that must have crashed.
-	culpritCrashes = 3
-	// servedMemory is how long a run that did not crash its server speaks for a request.
-	servedMemory = time.Minute
-	// Memory is how long a request is remembered that does not come.
-	Memory = 10 * time.Minute
-	// MostOfCustomer bounds the requests remembered of one customer, and mostRequests those
+	// poisonCrashes is the number of servers that must have crashed.
+	poisonCrashes = 3
+	// servedValidity is how long a run that did not crash its server speaks for a request.
+	servedValidity = time.Minute
+	// Retention is how long a request is remembered that does not come.
+	Retention = 10 * time.Minute
+	// MaxPerCustomer bounds the requests remembered of one customer, and mostRequests those
 	// of all.
-	MostOfCustomer = 32
-	mostRequests   = 4096
+	MaxPerCustomer = 32
+	maxRequests    = 4096
 )
 
 // Fingerprint stands for what a request asks.
@@ -41,8 +41,8 @@
 	At monotime.Instant
 }
 
-// suspect is what is known of one request.
-type suspect struct {
+// requestState is what is known of one request.
+type requestState struct {
 	customer string
 	// crashes holds when each server ended.
 	crashes map[string]monotime.Instant
@@ -52,79 +52,79 @@
 	seenAt monotime.Instant
 }
 
-// Book is what one instance knows. It is not safe for concurrent use.
-type Book struct {
-	suspects map[Fingerprint]*suspect
-	of       map[string]int // requests by customer
+// Tracker is what one instance knows. It is not safe for concurrent use.
+type Tracker struct {
+	requests    map[Fingerprint]*requestState
+	perCustomer map[string]int // requests by customer
 }
 
-// NewBook returns a Book that knows of no request.
-func NewBook() *Book {
-	return &Book{suspects: make(map[Fingerprint]*suspect), of: make(map[string]int)}
+// NewTracker returns a Book that knows of no request.
+func NewTracker() *Tracker {
+	return &Tracker{requests: make(map[Fingerprint]*requestState), perCustomer: make(map[string]int)}
 }
 
 // Len returns the number of requests remembered.
-func (b *Book) Len() int { return len(b.suspects) }
+func (t *Tracker) Len() int { return len(t.requests) }
 
 // Add takes a crash. It reports whether it is news, and whether the request is a culprit
 // by it.
-func (b *Book) Add(c Crash, now monotime.Instant) (news, culprit bool) {
-	if now.Sub(c.At) > Memory {
+func (t *Tracker) Add(c Crash, now monotime.Instant) (isNew, isPoison bool) {
+	if now.Sub(c.At) > Retention {
 		return false, false
 	}
-	s := b.suspects[c.Request]
+	s := t.requests[c.Request]
 	if s == nil {
-		s = &suspect{customer: c.Customer, crashes: make(map[string]monotime.Instant)}
-		b.suspects[c.Request] = s
-		b.of[c.Customer]++
-		defer b.bound(c.Request)
+		s = &requestState{customer: c.Customer, crashes: make(map[string]monotime.Instant)}
+		t.requests[c.Request] = s
+		t.perCustomer[c.Customer]++
+		defer t.evict(c.Request)
 	}
-	_, known := s.crashes[c.Server]
-	if known || len(s.crashes) >= culpritCrashes || s.excuses(c.At) {
+	_, seen := s.crashes[c.Server]
+	if seen || len(s.crashes) >= poisonCrashes || s.exonerates(c.At) {
 		return false, false
 	}
 	s.crashes[c.Server] = c.At
 	s.seenAt = max(s.seenAt, c.At)
-	return true, s.culprit()
+	return true, s.poison()
 }
 
 // Served notes that a request ran without crashing its server. It reports whether that is
 // news of a request that is remembered.
-func (b *Book) Served(request Fingerprint, at monotime.Instant) bool {
-	s := b.suspects[request]
+func (t *Tracker) Served(request Fingerprint, at monotime.Instant) bool {
+	s := t.requests[request]
 	if s == nil || at <= s.servedAt {
 		return false
 	}
-	news := at.Sub(s.servedAt) > servedMemory/2 || s.servedAt == 0
+	isNew := at.Sub(s.servedAt) > servedValidity/2 || s.servedAt == 0
 	s.servedAt = at
 	for server, ended := range s.crashes {
-		if s.excuses(ended) {
+		if s.exonerates(ended) {
 			delete(s.crashes, server)
 		}
 	}
-	return news
+	return isNew
 }
 
-// excuses reports whether a run without a crash speaks against a crash being the request's.
-func (s *suspect) excuses(crashedAt monotime.Instant) bool {
-	return s.servedAt != 0 && crashedAt.Sub(s.servedAt) <= servedMemory
+// exonerates reports whether a run without a crash speaks against a crash being the request's.
+func (s *requestState) exonerates(crashedAt monotime.Instant) bool {
+	return s.servedAt != 0 && crashedAt.Sub(s.servedAt) <= servedValidity
 }
 
-// Culprit reports whether a request that comes is known to crash servers.
-func (b *Book) Culprit(request Fingerprint, now monotime.Instant) bool {
-	s := b.suspects[request]
-	if s == nil || !s.culprit() {
+// Poison reports whether a request that comes is known to crash servers.
+func (t *Tracker) Poison(request Fingerprint, now monotime.Instant) bool {
+	s := t.requests[request]
+	if s == nil || !s.poison() {
 		return false
 	}
 	s.seenAt = now
 	return true
 }
 
-func (s *suspect) culprit() bool { return len(s.crashes) >= culpritCrashes }
+func (s *requestState) poison() bool { return len(s.crashes) >= poisonCrashes }
 
-// Known returns all crashes that are remembered, for an instance that may have missed some.
-func (b *Book) Known() (out []Crash) {
-	for request, s := range b.suspects {
+// Crashes returns all crashes that are remembered, for an instance that may have missed some.
+func (t *Tracker) Crashes() (out []Crash) {
+	for request, s := range t.requests {
 		for server, at := range s.crashes {
 			out = append(out, Crash{Request: request, Customer: s.customer, Server: server, At: at})
 		}
@@ -133,9 +133,9 @@
 }
 
 // ServedAt returns the requests remembered that ran without a crash, and when they last did.
-func (b *Book) ServedAt() map[Fingerprint]monotime.Instant {
+func (t *Tracker) ServedAt() map[Fingerprint]monotime.Instant {
 	out := make(map[Fingerprint]monotime.Instant)
-	for request, s := range b.suspects {
+	for request, s := range t.requests {
 		if s.servedAt != 0 {
 			out[request] = s.servedAt
 		}
@@ -143,10 +143,10 @@
 	return out
 }
 
-// Culprits returns how many requests are known to crash servers.
-func (b *Book) Culprits() (n int) {
-	for _, s := range b.suspects {
-		if s.culprit() {
+// PoisonCount returns how many requests are known to crash servers.
+func (t *Tracker) PoisonCount() (n int) {
+	for _, s := range t.requests {
+		if s.poison() {
 			n++
 		}
 	}
@@ -154,54 +154,54 @@
 }
 
 // Expire forgets requests that have not come for long.
-func (b *Book) Expire(now monotime.Instant) {
-	for request, s := range b.suspects {
-		if now.Sub(s.seenAt) > Memory {
-			b.forget(request)
+func (t *Tracker) Expire(now monotime.Instant) {
+	for request, s := range t.requests {
+		if now.Sub(s.seenAt) > Retention {
+			t.remove(request)
 		}
 	}
 }
 
-// bound makes room for a request that was added: the one goes that is least suspect, of the
+// evict makes room for a request that was added: the one goes that is least suspect, of the
 // same customer where that has too many, or else of all.
-func (b *Book) bound(added Fingerprint) {
-	customer := b.suspects[added].customer
+func (t *Tracker) evict(added Fingerprint) {
+	customer := t.requests[added].customer
 	switch {
-	case b.of[customer] > MostOfCustomer:
-		b.forgetLeast(added, func(s *suspect) bool { return s.customer == customer })
-	case len(b.suspects) > mostRequests:
-		b.forgetLeast(added, func(*suspect) bool { return true })
+	case t.perCustomer[customer] > MaxPerCustomer:
+		t.removeLeastSuspected(added, func(s *requestState) bool { return s.customer == customer })
+	case len(t.requests) > maxRequests:
+		t.removeLeastSuspected(added, func(*requestState) bool { return true })
 	}
 }
 
-func (b *Book) forgetLeast(but Fingerprint, among func(*suspect) bool) {
+func (t *Tracker) removeLeastSuspected(except Fingerprint, eligible func(*requestState) bool) {
 	least, found := Fingerprint{}, false
-	for request, s := range b.suspects {
-		if request == but || !among(s) {
+	for request, s := range t.requests {
+		if request == except || !eligible(s) {
 			continue
 		}
-		if !found || b.less(request, least) {
+		if !found || t.lessSuspected(request, least) {
 			least, found = request, true
 		}
 	}
 	if found {
-		b.forget(least)
+		t.remove(least)
 	}
 }
 
-func (b *Book) forget(request Fingerprint) {
-	customer := b.suspects[request].customer
-	delete(b.suspects, request)
-	if b.of[customer]--; b.of[customer] == 0 {
-		delete(b.of, customer)
+func (t *Tracker) remove(request Fingerprint) {
+	customer := t.requests[request].customer
+	delete(t.requests, request)
+	if t.perCustomer[customer]--; t.perCustomer[customer] == 0 {
+		delete(t.perCustomer, customer)
 	}
 }
 
-// less orders requests by how suspect they are.
-func (b *Book) less(x, y Fingerprint) bool {
-	p, q := b.suspects[x], b.suspects[y]
-	if p.culprit() != q.culprit() {
-		return q.culprit()
+// lessSuspected orders requests by how suspect they are.
+func (t *Tracker) lessSuspected(x, y Fingerprint) bool {
+	p, q := t.requests[x], t.requests[y]
+	if p.poison() != q.poison() {
+		return q.poison()
 	}
 	if len(p.crashes) != len(q.crashes) {
 		return len(p.crashes) < len(q.crashes)
--- a/internal/crashes/crashes_test.go
+++ b/internal/crashes/crashes_test.go
@@ -11,61 +11,61 @@
 
 const start = monotime.Instant(time.Hour)
 
-func print(n int) (out Fingerprint) {
+func fingerprint(n int) (out Fingerprint) {
 	copy(out[:], fmt.Sprintf("%016d", n))
 	return out
 }
 
 func crash(request int, customer, server string, at monotime.Instant) Crash {
-	return Crash{Request: print(request), Customer: customer, Server: server, At: at}
+	return Crash{Request: fingerprint(request), Customer: customer, Server: server, At: at}
 }
 
 // Guards against a request that goes on crashing servers, and against one blamed before the third.
-func TestThreeCrashesMakeACulprit(t *testing.T) {
-	b := NewBook()
+func TestThreeCrashesMakeAPoisonRequest(t *testing.T) {
+	b := NewTracker()
 	for n := range 3 {
-		if b.Culprit(print(1), start) {
+		if b.Poison(fingerprint(1), start) {
 			t.Fatalf("a culprit after %d crashes", n)
 		}
-		news, culprit := b.Add(crash(1, "a", fmt.Sprint("s", n), start), start)
-		if !news || culprit != (n == 2) {
-			t.Errorf("crash %d: news %v, culprit %v", n, news, culprit)
+		isNew, poison := b.Add(crash(1, "a", fmt.Sprint("s", n), start), start)
+		if !isNew || poison != (n == 2) {
+			t.Errorf("crash %d: news %v, culprit %v", n, isNew, poison)
 		}
 		if news, _ := b.Add(crash(1, "a", fmt.Sprint("s", n), start), start); news {
 			t.Error("one crash told twice counts twice")
 		}
 	}
-	if !b.Culprit(print(1), start) || b.Culprit(print(2), start) {
+	if !b.Poison(fingerprint(1), start) || b.Poison(fingerprint(2), start) {
 		t.Error("the wrong request is a culprit")
 	}
 }
 
 // Guards against a request refused for crashes of servers that others had run it without.
-func TestARunWithoutACrashSpeaksForARequest(t *testing.T) {
+func TestARunWithoutACrashExoneratesARequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		served  time.Duration // after the second of three crashes, a second apart
 		culprit bool
 	}{
 		"in between":   {500 * time.Millisecond, false},
 		"afterwards":   {5 * time.Second, false},
-		"long before":  {-2 * servedMemory, true},
-		"shortly ago":  {-servedMemory / 2, false},
+		"long before":  {-2 * servedValidity, true},
+		"shortly ago":  {-servedValidity / 2, false},
 		"at the first": {-time.Second, false},
 	} {
-		b := NewBook()
+		b := NewTracker()
 		for n := range 3 {
 			at := start.Add(time.Duration(n-1) * time.Second)
 			b.Add(crash(1, "a", fmt.Sprint("s", n), at), at)
 		}
-		b.Served(print(1), start.Add(c.served))
-		if got := b.Culprit(print(1), start.Add(6*time.Second)); got != c.culprit {
+		b.Served(fingerprint(1), start.Add(c.served))
+		if got := b.Poison(fingerprint(1), start.Add(6*time.Second)); got != c.culprit {
 			t.Errorf("served %s: culprit %v", name, got)
 		}
 	}
 }
 
 // Guards against instances that come to different beliefs from the same crashes.
-func TestCrashesCountAlikeInAnyOrder(t *testing.T) {
+func TestTrackersConvergeInAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		var list []Crash
@@ -74,18 +74,18 @@
 			list = append(list, crash(rng.IntN(4), "a", fmt.Sprint("s", rng.IntN(5)), at))
 		}
 		now := start.Add(10 * time.Second)
-		books := []*Book{NewBook(), NewBook()}
+		books := []*Tracker{NewTracker(), NewTracker()}
 		for _, b := range books {
 			for _, i := range rng.Perm(len(list)) {
 				b.Add(list[i], now)
 			}
 		}
 		// What one still lacks the other one tells.
-		for _, c := range books[0].Known() {
+		for _, c := range books[0].Crashes() {
 			books[1].Add(c, now)
 		}
 		for request := range 4 {
-			if a, b := books[0].Culprit(print(request), now), books[1].Culprit(print(request), now); a != b {
+			if a, b := books[0].Poison(fingerprint(request), now), books[1].Poison(fingerprint(request), now); a != b {
 				t.Fatalf("seed %d: request %d is a culprit: %v and %v", seed, request, a, b)
 			}
 		}
@@ -93,91 +93,91 @@
 }
 
 // Guards against one customer, or made-up requests, that push out what is known of others.
-func TestWhatIsRememberedIsBounded(t *testing.T) {
-	b := NewBook()
+func TestTheNumberOfTrackedRequestsIsBounded(t *testing.T) {
+	b := NewTracker()
 	for n := range 3 {
 		b.Add(crash(1, "a", fmt.Sprint("s", n), start), start)
 		b.Add(crash(2, "b", fmt.Sprint("s", n), start), start)
 	}
 	now := start
-	for n := range 3 * mostRequests {
+	for n := range 3 * maxRequests {
 		now = now.Add(time.Millisecond)
 		customer := "b"
 		if n%2 == 0 {
 			customer = fmt.Sprint("made up ", n%5000)
 		}
 		b.Add(crash(100+n, customer, "s", now), now)
-		if b.Len() > mostRequests {
+		if b.Len() > maxRequests {
 			t.Fatalf("%d requests remembered", b.Len())
 		}
 	}
 	of := 0
-	for _, s := range b.suspects {
+	for _, s := range b.requests {
 		if s.customer == "b" {
 			of++
 		}
 	}
-	if of > MostOfCustomer {
+	if of > MaxPerCustomer {
 		t.Errorf("%d requests of one customer remembered", of)
 	}
-	if !b.Culprit(print(1), now) || !b.Culprit(print(2), now) {
+	if !b.Poison(fingerprint(1), now) || !b.Poison(fingerprint(2), now) {
 		t.Error("a culprit was pushed out")
 	}
 }
 
 // Guards against a request that ran once and is never suspected again.
-func TestARunSpeaksForARequestForAWhile(t *testing.T) {
-	b := NewBook()
+func TestAnExonerationExpires(t *testing.T) {
+	b := NewTracker()
 	at := start
 	for round := range 2 {
 		for n := range 3 {
 			b.Add(crash(1, "a", fmt.Sprint("s", round, n), at), at)
 		}
-		if !b.Culprit(print(1), at) {
+		if !b.Poison(fingerprint(1), at) {
 			t.Fatalf("no culprit in round %d", round)
 		}
-		b.Served(print(1), at)
-		if b.Culprit(print(1), at) {
+		b.Served(fingerprint(1), at)
+		if b.Poison(fingerprint(1), at) {
 			t.Fatalf("a culprit although it ran in round %d", round)
 		}
-		at = at.Add(servedMemory + time.Second)
+		at = at.Add(servedValidity + time.Second)
 	}
 }
 
-func TestARequestThatDoesNotComeIsForgotten(t *testing.T) {
-	b := NewBook()
+func TestAnAbsentRequestIsDropped(t *testing.T) {
+	b := NewTracker()
 	for n := range 3 {
 		b.Add(crash(1, "a", fmt.Sprint("s", n), start), start)
 	}
-	late := start.Add(Memory - time.Second)
+	late := start.Add(Retention - time.Second)
 	b.Expire(late)
-	if !b.Culprit(print(1), late) {
+	if !b.Poison(fingerprint(1), late) {
 		t.Error("forgotten too early")
 	}
-	b.Expire(late.Add(Memory - time.Second))
-	if !b.Culprit(print(1), late) {
+	b.Expire(late.Add(Retention - time.Second))
+	if !b.Poison(fingerprint(1), late) {
 		t.Error("forgotten although it came again")
 	}
-	b.Expire(late.Add(2*Memory + time.Second))
+	b.Expire(late.Add(2*Retention + time.Second))
 	if b.Len() != 0 {
 		t.Error("remembered for ever")
 	}
-	if news, _ := b.Add(crash(1, "a", "s9", start), start.Add(2*Memory)); news {
+	if news, _ := b.Add(crash(1, "a", "s9", start), start.Add(2*Retention)); news {
 		t.Error("a crash of long ago is news")
 	}
 }
 
-// blame is a way to tell which of the requests that a server had are suspect.
-type blame struct {
+// attributionVariant is a way to tell which of the requests that a server had are suspect.
+type attributionVariant struct {
 	name string
 	// young takes only those that had just begun to run; served clears those that ran.
 	young, served bool
 }
 
-// blamed plays a fleet whose servers crash for other reasons for two minutes, and returns
+// simulateAttribution plays a fleet whose servers crash for other reasons for two minutes, and returns
 // how many of the requests asked count as culprits in the end, and after how many crashes
 // one does that crashes servers.
-func blamed(seed uint64, way blame) (innocent, asked, guiltyAfter int) {
+func simulateAttribution(seed uint64, attribution attributionVariant) (innocent, asked, poisonAfter int) {
 	const (
 		size        = 18
 		step        = 20 * time.Millisecond
@@ -187,14 +187,14 @@
 		popular     = 40   // requests that are asked again and again
 		tries       = 3
 		lookups     = 0.2 // share of the popular ones
-		guilty      = 7
+		poison      = 7
 	)
 	type run struct {
 		request, tries int
 		begun, until   monotime.Instant
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
-	b := NewBook()
+	b := NewTracker()
 	running := make([][]run, size)
 	incarnation := make([]int, size)
 	fresh := 1000
@@ -209,10 +209,10 @@
 		id := fmt.Sprint(server, "/", incarnation[server])
 		incarnation[server]++
 		for _, r := range running[server] {
-			if !way.young || now.Sub(r.begun) < 650*time.Millisecond {
+			if !attribution.young || now.Sub(r.begun) < 650*time.Millisecond {
 				b.Add(crash(r.request, "a", id, now), now)
 			}
-			if r.tries < tries && r.request != guilty {
+			if r.tries < tries && r.request != poison {
 				r.tries++
 				again = append(again, r)
 			}
@@ -234,20 +234,20 @@
 			fresh++
 			begin(run{request: fresh})
 		}
-		if n%50 == 10 && !b.Culprit(print(guilty), now) {
-			begin(run{request: guilty})
+		if n%50 == 10 && !b.Poison(fingerprint(poison), now) {
+			begin(run{request: poison})
 		}
 		for server := range running {
 			crashes := rng.Float64() < crashChance/size
 			var left []run
 			for _, r := range running[server] {
 				switch {
-				case r.request == guilty && now.Sub(r.begun) > 200*time.Millisecond:
+				case r.request == poison && now.Sub(r.begun) > 200*time.Millisecond:
 					crashes = true
 					left = append(left, r)
 				case now >= r.until:
-					if way.served {
-						b.Served(print(r.request), now)
+					if attribution.served {
+						b.Served(fingerprint(r.request), now)
 					}
 				default:
 					left = append(left, r)
@@ -259,37 +259,37 @@
 			}
 		}
 	}
-	for request, s := range b.suspects {
-		if request != print(guilty) && s.culprit() {
+	for request, s := range b.requests {
+		if request != fingerprint(poison) && s.poison() {
 			innocent++
 		}
 	}
-	if s := b.suspects[print(guilty)]; s != nil {
-		guiltyAfter = len(s.crashes)
+	if s := b.requests[fingerprint(poison)]; s != nil {
+		poisonAfter = len(s.crashes)
 	}
-	return innocent, asked, guiltyAfter
+	return innocent, asked, poisonAfter
 }
 
 // Guards against requests blamed for crashes that they only were beside.
-func TestInnocentRequestsAreNotBlamed(t *testing.T) {
-	ways := []blame{
+func TestUnrelatedRequestsAreNotMarkedAsPoison(t *testing.T) {
+	variants := []attributionVariant{
 		{"all that ran there", false, false},
 		{"those that had just begun", true, false},
 		{"all, but for those that ran elsewhere", false, true},
 		{"just begun and never ran elsewhere", true, true},
 	}
-	for _, way := range ways {
+	for _, variant := range variants {
 		innocent, asked := 0, 0
 		for seed := range uint64(10) {
-			i, a, after := blamed(seed, way)
+			i, a, after := simulateAttribution(seed, variant)
 			innocent, asked = innocent+i, asked+a
-			if after != culpritCrashes {
-				t.Errorf("%s: the culprit is known after %d crashes", way.name, after)
+			if after != poisonCrashes {
+				t.Errorf("%s: the culprit is known after %d crashes", variant.name, after)
 			}
 		}
-		t.Logf("%s: %d of %d requests blamed", way.name, innocent, asked)
-		if last := way.young && way.served; last && innocent*10_000 > asked {
-			t.Errorf("%s: %d of %d requests blamed, at most one in 10,000 wanted", way.name, innocent, asked)
+		t.Logf("%s: %d of %d requests blamed", variant.name, innocent, asked)
+		if last := variant.young && variant.served; last && innocent*10_000 > asked {
+			t.Errorf("%s: %d of %d requests blamed, at most one in 10,000 wanted", variant.name, innocent, asked)
 		}
 	}
 }
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/beliefs.go
@@ -32,7 +32,7 @@
 		Slots: s.Slots, Draining: s.Draining, Invalid: s.Invalid, Revision: int(s.Revision),
 		ColdMS: int(max(0, f.registry.ColdUntil(id).Sub(now)).Milliseconds()),
 	}
-	encodeBound(&state, f.registry.Bound(id), now)
+	encodeBound(&state, f.registry.RateLimit(id), now)
 	return state, true
 }
 
@@ -137,7 +137,7 @@
 func (f *fleet) latest() (revision servers.Revision, doubtful int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.registry.Latest(), f.registry.Doubtful()
+	return f.registry.Latest(), f.registry.CountInGrace()
 }
 
 // noteServer tells the model of servers and the limiter of one that changed.
@@ -153,9 +153,9 @@
 	}
 	f.throttle.SetCold(state.ID, until)
 	if state.Limited {
-		f.throttle.SetNamed(state.ID, state.Rate)
+		f.throttle.SetRateLimit(state.ID, state.Rate)
 	} else {
-		f.throttle.ClearNamed(state.ID)
+		f.throttle.ClearRateLimit(state.ID)
 	}
 }
 
@@ -163,11 +163,11 @@
 func (f *fleet) listServers(table *routing.Table) {
 	published := func(service string) bool { return table == nil || table.Service(service) != nil }
 	f.byService = make(map[string][]servers.Server)
-	for _, s := range f.registry.Taking(published) {
+	for _, s := range f.registry.Accepting(published) {
 		f.byService[s.Service] = append(f.byService[s.Service], s)
 	}
 	f.sources = make(map[string][]servers.Server)
-	for _, s := range f.registry.Sheltered(published) {
+	for _, s := range f.registry.EvacuatedServers(published) {
 		f.sources[s.Service] = append(f.sources[s.Service], s)
 	}
 }
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -27,11 +27,11 @@
 	refused atomic.Int64
 
 	mu   sync.Mutex
-	book *crashes.Book
+	book *crashes.Tracker
 }
 
 func newCrashBook(news *newsroom, log *zap.Logger) *crashBook {
-	return &crashBook{log: log, news: news, book: crashes.NewBook()}
+	return &crashBook{log: log, news: news, book: crashes.NewTracker()}
 }
 
 // Suspects implements relay.Fleet.
@@ -55,7 +55,7 @@
 func (c *crashBook) culprit(request crashes.Fingerprint, now monotime.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := c.book.Culprit(request, now)
+	found := c.book.Poison(request, now)
 	if found {
 		c.refused.Add(1)
 	}
@@ -116,7 +116,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, crash := range c.book.Known() {
+	for _, crash := range c.book.Crashes() {
 		out = append(out, encodeCrash(crash, now))
 	}
 	for request, at := range c.book.ServedAt() {
@@ -149,7 +149,7 @@
 func ageOf(at, now monotime.Instant) int { return int(max(0, now.Sub(at)).Milliseconds()) }
 
 func decodeCrash(told wire.RelayCrash, now monotime.Instant) (out crashes.Crash, ok bool) {
-	if len(told.Request) != len(out.Request) || told.AgeMS < 0 || told.AgeMS > int(crashes.Memory.Milliseconds()) {
+	if len(told.Request) != len(out.Request) || told.AgeMS < 0 || told.AgeMS > int(crashes.Retention.Milliseconds()) {
 		return out, false
 	}
 	copy(out.Request[:], told.Request)
@@ -181,5 +181,5 @@
 func (c *crashBook) state() crashState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return crashState{Suspects: c.book.Len(), Culprits: c.book.Culprits(), Refused: c.refused.Load()}
+	return crashState{Suspects: c.book.Len(), Culprits: c.book.PoisonCount(), Refused: c.refused.Load()}
 }
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -42,7 +42,7 @@
 		reader.news.flush()
 		hearer.adopt(config(7), "peer")
 		put(hearer, "peer", entry("ghost", 3))
-		fd.take(&Changes{Removals: []servers.Mark{{Name: "left", Revision: 9}}, Revision: 9})
+		fd.take(&Changes{Removals: []servers.EntryRef{{Name: "left", Revision: 9}}, Revision: 9})
 		reader.news.flush()
 
 		fd.takeAll(&Changes{
@@ -51,7 +51,7 @@
 		})
 		fd.take(&Changes{Servers: []servers.Server{entry("new", revision(t, 1, 3))}, Revision: revision(t, 1, 3)})
 		reader.news.flush()
-		time.Sleep(servers.LapseGrace)
+		time.Sleep(servers.RemovalGrace)
 		for name, f := range map[string]*fleet{"reader": reader, "hearer": hearer} {
 			f.update(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
 			if diff := cmp.Diff([]string{"a", "new"}, ready(f)); diff != "" {
@@ -78,7 +78,7 @@
 		reader.news.flush()
 		fd.takeAll(&Changes{Servers: []servers.Server{entryIn("a", "north", revision(t, 1, 1))}, Revision: revision(t, 1, 2)})
 		settle := func() {
-			reader.evacuate(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.SettleEvacuations(monotime.Now()) })
+			reader.evacuate(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.ApplyDeferredEvacuations(monotime.Now()) })
 			reader.news.flush()
 		}
 		settle()
@@ -88,7 +88,7 @@
 		time.Sleep(3 * time.Second)
 		settle()
 		time.Sleep(3 * time.Second)
-		hearer.evacuate(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.SettleEvacuations(monotime.Now()) })
+		hearer.evacuate(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.ApplyDeferredEvacuations(monotime.Now()) })
 		if len(reader.evacuated()) != 0 || len(hearer.evacuated()) != 0 {
 			t.Error("after it:", reader.evacuated(), hearer.evacuated())
 		}
@@ -103,7 +103,7 @@
 		f, fd, _ := newFleet()
 		fd.takeAll(&Changes{Config: config(1), Servers: []servers.Server{entry("a", 1)}, Revision: 1})
 		hear := hearNewsOf(f)
-		for _, damaged := range []servers.Revision{-1, revision(t, servers.MostEra, 1)} {
+		for _, damaged := range []servers.Revision{-1, revision(t, servers.MaxEra, 1)} {
 			hear(&wire.RelayNews{
 				Servers:       []wire.RelayServer{{ID: "b", Name: "b", Service: "svc", Revision: int(damaged)}, {ID: "a", Gone: true, Revision: int(damaged)}},
 				ServersListed: int(damaged),
@@ -132,7 +132,7 @@
 		f.Observe("a", placement.Unreachable, monotime.Now())
 		fd.takeAll(&Changes{Servers: []servers.Server{entryIn("a", "north", revision(t, 1, 1))}, Revision: revision(t, 1, 1)})
 		time.Sleep(100 * time.Millisecond)
-		f.throttle.Reached("a", f.coldLimit("svc"), monotime.Now())
+		f.throttle.MarkReachable("a", f.coldLimit("svc"), monotime.Now())
 		time.Sleep(600 * time.Millisecond)
 		f.heard.Store(int64(monotime.Now()))
 		if n := placed(t, f); n < 4 || n > 6 {
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -18,7 +18,7 @@
 	now := monotime.Now()
 	f.evacuate(from, func(r *servers.Registry) (changed []servers.Evacuation) {
 		for _, e := range told {
-			if r.Plausible(e.Revision) && r.Evacuate(e, now) {
+			if r.Plausible(e.Revision) && r.ApplyEvacuation(e, now) {
 				changed = append(changed, e)
 			}
 		}
@@ -30,7 +30,7 @@
 // of what changed. The servers of a data centre that is taken back count as cold.
 func (f *fleet) evacuate(from string, change func(r *servers.Registry) []servers.Evacuation) {
 	now := monotime.Now()
-	lasts := func(service string) time.Duration { return f.coldLimit(service).Lasts }
+	lasts := func(service string) time.Duration { return f.coldLimit(service).Duration }
 	f.mu.Lock()
 	before := f.registry.Latest()
 	changed := change(f.registry)
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -204,7 +204,7 @@
 		return
 	}
 	f.fleet.mu.Lock()
-	f.fleet.registry.StoreReturned(monotime.Now())
+	f.fleet.registry.StoreRecovered(monotime.Now())
 	f.fleet.mu.Unlock()
 }
 
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -182,7 +182,7 @@
 // Observe implements relay.Fleet.
 func (f *fleet) Observe(server string, outcome placement.Outcome, now monotime.Instant) {
 	if outcome == placement.Unreachable {
-		f.throttle.Lost(server)
+		f.throttle.MarkUnreachable(server)
 		f.noteUnreachable(server, now)
 	}
 	if f.board.Observe(server, outcome, now) {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -127,7 +127,7 @@
 		down := result{err: errors.New("down"), after: time.Second}
 		source.all = []result{{changes: &Changes{Config: config(1), Servers: []servers.Server{entry("a", 1), entry("b", 2)}, Revision: 2}}}
 		source.watch = []result{down, down, down, down,
-			{changes: &Changes{Removals: []servers.Mark{{Name: "a", Revision: 3}, {Name: "b", Revision: 4}}, Revision: 4}},
+			{changes: &Changes{Removals: []servers.EntryRef{{Name: "a", Revision: 3}, {Name: "b", Revision: 4}}, Revision: 4}},
 			{changes: &Changes{Servers: []servers.Server{entry("a", 5)}, Revision: 5}, after: time.Second}}
 		ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second)
 		defer cancel()
@@ -135,7 +135,7 @@
 		if diff := cmp.Diff([]string{"a", "b"}, ready(f)); diff != "" {
 			t.Error("within the grace", diff)
 		}
-		time.Sleep(servers.LapseGrace)
+		time.Sleep(servers.RemovalGrace)
 		f.update(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
 		if diff := cmp.Diff([]string{"a"}, ready(f)); diff != "" {
 			t.Error("after the grace", diff)
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
 		source.all = []result{{changes: &Changes{Servers: []servers.Server{entry("a", 1)}, Revision: 1}}}
-		source.watch = []result{{err: errors.New("timeout")}, {changes: &Changes{Removals: []servers.Mark{{Name: "a", Revision: 2}}, Revision: 2}}}
+		source.watch = []result{{err: errors.New("timeout")}, {changes: &Changes{Removals: []servers.EntryRef{{Name: "a", Revision: 2}}, Revision: 2}}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_ = fd.run(ctx)
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -220,7 +220,7 @@
 func (f *limitedFleet) forget(i *linkedInstance) {
 	for server := range f.rates {
 		i.fleet.update("start", func(r *servers.Registry, now monotime.Instant) []string {
-			r.SetBound(server, servers.Bound{At: now})
+			r.SetRateLimit(server, servers.RateLimit{At: now})
 			return []string{server}
 		})
 	}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -21,7 +21,7 @@
 		return
 	}
 	f.update(fromServer, func(r *servers.Registry, _ monotime.Instant) []string {
-		if r.Hear(server, notice, sent, now) == servers.Unchanged {
+		if r.ApplyNotice(server, notice, sent, now) == servers.Unchanged {
 			return nil
 		}
 		return []string{server}
@@ -45,7 +45,7 @@
 	return f.registry.Limited()
 }
 
-func encodeBound(state *wire.RelayServer, b servers.Bound, now monotime.Instant) {
+func encodeBound(state *wire.RelayServer, b servers.RateLimit, now monotime.Instant) {
 	if b.At == 0 {
 		return
 	}
@@ -58,14 +58,14 @@
 
 // decodeBound reads what a peer says of a limit. Damaged values say nothing: no rate that
 // can't be kept, and no word that would count as newer than those to come.
-func decodeBound(state *wire.RelayServer, now monotime.Instant) servers.Bound {
+func decodeBound(state *wire.RelayServer, now monotime.Instant) servers.RateLimit {
 	rateValid := state.Rate >= 0 && !math.IsInf(state.Rate, 1)
 	if state.LimitAge <= 0 || !rateValid {
-		return servers.Bound{}
+		return servers.RateLimit{}
 	}
 	age := boundAgeMost
 	if state.LimitAge <= int(boundAgeMost.Milliseconds()) {
 		age = milliseconds(state.LimitAge - 1)
 	}
-	return servers.Bound{Limited: state.Limited, Rate: state.Rate, At: now.Add(-age)}
+	return servers.RateLimit{Limited: state.Limited, Rate: state.Rate, At: now.Add(-age)}
 }
--- a/internal/gateway/peernews.go
+++ b/internal/gateway/peernews.go
@@ -65,7 +65,7 @@
 	}
 	for _, r := range news.Begun {
 		board.Begin(placement.RunID{Instance: origin, Number: r.Number}, r.Server, decodeRun(r), r.Unread, now)
-		p.fleet.throttle.Note(r.Server, now)
+		p.fleet.throttle.RecordRequest(r.Server, now)
 	}
 	for _, number := range news.First {
 		board.First(placement.RunID{Instance: origin, Number: number}, now)
@@ -221,7 +221,7 @@
 			}
 			change := servers.Unchanged
 			if s.Gone {
-				change = r.Bury(s.ID, servers.Revision(s.Revision), now)
+				change = r.MarkGone(s.ID, servers.Revision(s.Revision), now)
 			} else {
 				change = r.Put(servers.Server{
 					ID: s.ID, Name: s.Name, Born: int64(s.Born), Service: s.Service, Address: s.Address, DataCentre: s.DataCentre,
@@ -229,13 +229,13 @@
 					ColdLeft: milliseconds(s.ColdMS),
 				}, now)
 			}
-			bound := r.SetBound(s.ID, decodeBound(&s, now))
+			bound := r.SetRateLimit(s.ID, decodeBound(&s, now))
 			if change != servers.Unchanged || bound != servers.Unchanged {
 				ids = append(ids, s.ID)
 			}
 		}
 		if listed != 0 && r.Plausible(listed) {
-			ids = append(ids, r.TakeListed(present, listed, now)...)
+			ids = append(ids, r.ApplyPeerList(present, listed, now)...)
 		}
 		return ids
 	})
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -92,12 +92,12 @@
 // some are left out because they have got what they bear.
 func (f *fleet) candidates(list []servers.Server, service *routing.Service, work *placement.Work, excluded map[string]bool, now monotime.Instant) (out []placement.Candidate, bounded bool) {
 	ask := f.boundAsk(service.Name, work, now)
-	ask.Scarce = f.allBounded(list, ask, now)
+	ask.AllLimited = f.allBounded(list, ask, now)
 	out = make([]placement.Candidate, 0, len(list))
 	for _, s := range list {
 		switch {
 		case excluded[s.ID], !f.regions.allow(work.Homes, s.DataCentre):
-		case !f.throttle.Open(s.ID, ask, now):
+		case !f.throttle.Allows(s.ID, ask, now):
 			bounded = true
 		default:
 			out = append(out, candidate(s, service))
@@ -107,21 +107,21 @@
 }
 
 // boundAsk is what the limiter is asked for a request.
-func (f *fleet) boundAsk(service string, work *placement.Work, now monotime.Instant) throttle.Ask {
-	return throttle.Ask{Limit: f.coldLimit(service), Priority: work.Priority, StoreWord: f.storeWord(now)}
+func (f *fleet) boundAsk(service string, work *placement.Work, now monotime.Instant) throttle.Request {
+	return throttle.Request{ColdLimit: f.coldLimit(service), Priority: work.Priority, StoreConfirmedAt: f.storeWord(now)}
 }
 
 // coldLimit is what cold servers of a service bear; no bound while none is known.
-func (f *fleet) coldLimit(service string) throttle.Limit {
+func (f *fleet) coldLimit(service string) throttle.ColdLimit {
 	table := f.table.Load()
 	if table == nil {
-		return throttle.Limit{}
+		return throttle.ColdLimit{}
 	}
 	published := table.Service(service)
 	if published == nil {
-		return throttle.Limit{}
+		return throttle.ColdLimit{}
 	}
-	return throttle.Limit{Rate: published.ColdRate, Lasts: published.ColdStart}
+	return throttle.ColdLimit{Rate: published.ColdRate, Duration: published.ColdStart}
 }
 
 // coldServers returns the ids of the servers that are cold now.
@@ -138,9 +138,9 @@
 }
 
 // allBounded reports whether each server of a list bears only so much.
-func (f *fleet) allBounded(list []servers.Server, ask throttle.Ask, now monotime.Instant) bool {
+func (f *fleet) allBounded(list []servers.Server, ask throttle.Request, now monotime.Instant) bool {
 	for _, s := range list {
-		if !f.throttle.Bounded(s.ID, ask, now) {
+		if !f.throttle.Limited(s.ID, ask, now) {
 			return false
 		}
 	}
--- a/internal/gateway/regular.go
+++ b/internal/gateway/regular.go
@@ -46,7 +46,7 @@
 		case <-ticker.C:
 		}
 		g.fleet.update(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
-		g.fleet.evacuate(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.SettleEvacuations(monotime.Now()) })
+		g.fleet.evacuate(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.ApplyDeferredEvacuations(monotime.Now()) })
 		g.checkIsolation()
 		g.tellEvidence(monotime.Now())
 		g.peers.tick(monotime.Now())
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -75,7 +75,7 @@
 	f, fd, _ := newFleet()
 	f.adopt(config(1), fromStore)
 	fd.take(&Changes{Servers: []servers.Server{entry("a", 1), entry("b", 2)}, Revision: 2})
-	fd.take(&Changes{Invalid: []servers.Mark{{Name: "a", Revision: 3}}, Revision: 3})
+	fd.take(&Changes{Invalid: []servers.EntryRef{{Name: "a", Revision: 3}}, Revision: 3})
 	if diff := cmp.Diff([]string{"b"}, ready(f)); diff != "" {
 		t.Error("while it is unreadable", diff)
 	}
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -14,8 +14,8 @@
 // is back after it was lost.
 func (f *fleet) Begin(target relay.Target, work placement.Work, now monotime.Instant) (run int, ok bool) {
 	ask := f.boundAsk(target.Service, &work, now)
-	f.throttle.Reached(target.ID, ask.Limit, now)
-	if !f.throttle.Take(target.ID, ask, now) {
+	f.throttle.MarkReachable(target.ID, ask.ColdLimit, now)
+	if !f.throttle.TryAcquire(target.ID, ask, now) {
 		return 0, false
 	}
 	f.outages.reached(target.Service)
--- a/internal/gateway/source.go
+++ b/internal/gateway/source.go
@@ -23,9 +23,9 @@
 	// Servers are entries as they were written.
 	Servers []servers.Server
 	// Removals are entries that ended.
-	Removals []servers.Mark
+	Removals []servers.EntryRef
 	// Invalid are entries that can't be read.
-	Invalid []servers.Mark
+	Invalid []servers.EntryRef
 	// Evacuations are those that began or, in a watch, ended.
 	Evacuations []servers.Evacuation
 	// Revision up to which these are all changes.
--- a/internal/servers/cold.go
+++ b/internal/servers/cold.go
@@ -6,8 +6,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// coldAt returns the end of a time that a server still is cold; 0 for a warm one.
-func coldAt(left time.Duration, now monotime.Instant) monotime.Instant {
+// warmAt returns the end of a time that a server still is cold; 0 for a warm one.
+func warmAt(left time.Duration, now monotime.Instant) monotime.Instant {
 	if left <= 0 {
 		return 0
 	}
@@ -16,11 +16,11 @@
 
 // ColdUntil returns when a server becomes warm; 0 for one that is, or is not known.
 func (r *Registry) ColdUntil(id string) monotime.Instant {
-	known := r.live[id]
-	if known == nil {
+	rec := r.live[id]
+	if rec == nil {
 		return 0
 	}
-	return known.coldUntil
+	return rec.coldUntil
 }
 
 // AssumeCold has the servers of a data centre count as cold from now on, each for as
@@ -32,13 +32,13 @@
 // them at once, since they are idle, and those that are cold would crash.
 func (r *Registry) AssumeCold(dataCentre string, lasts func(service string) time.Duration, revision Revision, now monotime.Instant) (ids []string) {
 	for _, id := range r.ids() {
-		known := r.live[id]
-		if known.server.DataCentre != dataCentre || known.server.Revision > revision {
+		rec := r.live[id]
+		if rec.server.DataCentre != dataCentre || rec.server.Revision > revision {
 			continue
 		}
-		until := coldAt(lasts(known.server.Service), now)
-		if until > known.coldUntil {
-			known.coldUntil = until
+		until := warmAt(lasts(rec.server.Service), now)
+		if until > rec.coldUntil {
+			rec.coldUntil = until
 			ids = append(ids, id)
 		}
 	}
--- a/internal/servers/cold_test.go
+++ b/internal/servers/cold_test.go
@@ -9,7 +9,7 @@
 
 // A server starts cold, and its next entry says that it is warm. An entry that was
 // written before and comes later over a peer does not make it cold again.
-func TestEntriesTellHowLongAServerIsCold(t *testing.T) {
+func TestEntriesSetHowLongAServerIsCold(t *testing.T) {
 	r := New()
 	now := monotime.Instant(time.Hour)
 	s := inDataCentre("a", "north")
@@ -33,7 +33,7 @@
 // An evacuation is taken back. The servers there may have been started again shortly
 // before, which their entries tell a heartbeat later; so they count as cold at first,
 // and those whose entries were written since say themselves what they are.
-func TestServersOfADataCentreThatIsTakenBackCountAsCold(t *testing.T) {
+func TestServersCountAsColdAfterAnEvacuationEnds(t *testing.T) {
 	r := New()
 	now := monotime.Instant(time.Hour)
 	r.Put(inDataCentre("a", "north"), now)
--- a/internal/servers/era_test.go
+++ b/internal/servers/era_test.go
@@ -22,20 +22,20 @@
 	return out
 }
 
-func used(r *Registry) []string {
+func acceptingIDs(r *Registry) []string {
 	out := []string{}
-	for _, s := range r.Taking(func(string) bool { return true }) {
+	for _, s := range r.Accepting(func(string) bool { return true }) {
 		out = append(out, s.ID)
 	}
 	return out
 }
 
 func TestRevisionsAreOrderedByEraAndNumber(t *testing.T) {
-	ordered := []Revision{rev(0, 0), rev(0, 7), rev(0, MostNumber), rev(1, 0), rev(1, 3), rev(2, 1), rev(MostEra, MostNumber)}
+	ordered := []Revision{rev(0, 0), rev(0, 7), rev(0, MaxNumber), rev(1, 0), rev(1, 3), rev(2, 1), rev(MaxEra, MaxNumber)}
 	if !slices.IsSorted(ordered) || rev(3, 9).Era() != 3 || rev(3, 9).Number() != 9 || rev(3, 9).String() != "3.9" || rev(0, 9) != 9 {
 		t.Error(ordered)
 	}
-	for _, bad := range [][2]int64{{-1, 0}, {0, -1}, {MostEra + 1, 0}, {0, MostNumber + 1}} {
+	for _, bad := range [][2]int64{{-1, 0}, {0, -1}, {MaxEra + 1, 0}, {0, MaxNumber + 1}} {
 		if got, ok := NewRevision(bad[0], bad[1]); ok {
 			t.Errorf("%v is taken for %v", bad, got)
 		}
@@ -46,23 +46,23 @@
 // that came since the copy is missing in it and lives; another one came after the return.
 // Callers' requests go on to reach the first while it writes its entry again, and reach the
 // second. A server that lived and does not come back is gone after the grace.
-func TestAStoreBackFromACopyLosesNoServerThatLives(t *testing.T) {
+func TestAStoreRestoredFromACopyLosesNoLiveServer(t *testing.T) {
 	r := New()
 	r.Replace([]Server{server("old", 10)}, nil, 10, at(0))
 	r.Put(server("since", 50), at(0))
 	r.Put(server("dead", 51), at(0))
 	r.Replace([]Server{server("old", rev(1, 10))}, nil, rev(1, 12), at(time.Second))
 	r.Put(server("after", rev(1, 13)), at(time.Second))
-	if diff := cmp.Diff([]string{"after", "dead", "old", "since"}, used(r)); diff != "" {
+	if diff := cmp.Diff([]string{"after", "dead", "old", "since"}, acceptingIDs(r)); diff != "" {
 		t.Error("at the return", diff)
 	}
 	r.Put(server("since", rev(1, 14)), at(2*time.Second))
-	r.Expire(at(time.Second + LapseGrace))
-	if diff := cmp.Diff([]string{"after", "old", "since"}, used(r)); diff != "" {
+	r.Expire(at(time.Second + RemovalGrace))
+	if diff := cmp.Diff([]string{"after", "old", "since"}, acceptingIDs(r)); diff != "" {
 		t.Error("after the grace", diff)
 	}
 	r.Put(server("dead", 52), at(4*time.Second))
-	if diff := cmp.Diff([]string{"after", "old", "since"}, used(r)); diff != "" {
+	if diff := cmp.Diff([]string{"after", "old", "since"}, acceptingIDs(r)); diff != "" {
 		t.Error("after a late word of the era before", diff)
 	}
 }
@@ -82,21 +82,21 @@
 	r.Put(draining, at(0))
 	r.Remove("gone", 21, at(0))
 	r.Replace(copied, nil, rev(1, 5), at(time.Second))
-	if diff := cmp.Diff([]string{"stays"}, used(r)); diff != "" {
+	if diff := cmp.Diff([]string{"stays"}, acceptingIDs(r)); diff != "" {
 		t.Error("at the return", diff)
 	}
 
-	starts := New()
-	starts.Replace(copied, nil, rev(1, 5), at(time.Second))
-	starts.Bury("gone", 21, at(time.Second))
-	starts.Put(draining, at(time.Second))
-	if diff := cmp.Diff([]string{"stays"}, used(starts)); diff != "" {
+	starting := New()
+	starting.Replace(copied, nil, rev(1, 5), at(time.Second))
+	starting.MarkGone("gone", 21, at(time.Second))
+	starting.Put(draining, at(time.Second))
+	if diff := cmp.Diff([]string{"stays"}, acceptingIDs(starting)); diff != "" {
 		t.Error("at an instance that starts", diff)
 	}
-	for _, each := range []*Registry{r, starts} {
+	for _, each := range []*Registry{r, starting} {
 		each.Remove("gone", rev(1, 9), at(4*time.Second))
 		each.Expire(at(time.Minute))
-		if diff := cmp.Diff([]string{"stays"}, used(each)); diff != "" {
+		if diff := cmp.Diff([]string{"stays"}, acceptingIDs(each)); diff != "" {
 			t.Error("long after its entry has run out", diff)
 		}
 	}
@@ -104,7 +104,7 @@
 
 // A server had been given up while it was cut off, and stands in the copy. It lives: it
 // writes its entry again, or its entry outlives what that of a dead one could.
-func TestAServerThatLivesComesBackWithTheNewEra(t *testing.T) {
+func TestALiveServerReappearsInTheNewEra(t *testing.T) {
 	for _, writes := range []bool{false, true} {
 		r := New()
 		r.Put(server("a", 5), at(0))
@@ -115,7 +115,7 @@
 		} else {
 			r.Expire(at(time.Second + copyLife))
 		}
-		if diff := cmp.Diff([]string{"a"}, used(r)); diff != "" {
+		if diff := cmp.Diff([]string{"a"}, acceptingIDs(r)); diff != "" {
 			t.Errorf("writes again %v: %s", writes, diff)
 		}
 	}
@@ -133,18 +133,18 @@
 	}
 	for _, again := range []bool{true, false} {
 		r := New()
-		r.Evacuate(south(true, 3), at(0))
-		r.Evacuate(south(false, 8), at(0))
-		r.Evacuate(north(true, 9), at(0))
+		r.ApplyEvacuation(south(true, 3), at(0))
+		r.ApplyEvacuation(south(false, 8), at(0))
+		r.ApplyEvacuation(north(true, 9), at(0))
 		r.ReplaceEvacuations([]Evacuation{south(true, rev(1, 3))}, rev(1, 4), at(time.Second))
 		if !r.Evacuated("north") || r.Evacuated("south") {
 			t.Errorf("at the return: north %v, south %v", r.Evacuated("north"), r.Evacuated("south"))
 		}
 		if again {
-			r.Evacuate(south(false, rev(1, 5)), at(2*time.Second))
-			r.Evacuate(north(true, rev(1, 6)), at(2*time.Second))
+			r.ApplyEvacuation(south(false, rev(1, 5)), at(2*time.Second))
+			r.ApplyEvacuation(north(true, rev(1, 6)), at(2*time.Second))
 		}
-		r.SettleEvacuations(at(time.Second + EraGrace))
+		r.ApplyDeferredEvacuations(at(time.Second + EraGrace))
 		if r.Evacuated("north") != again || r.Evacuated("south") == again {
 			t.Errorf("written again %v: north %v, south %v", again, r.Evacuated("north"), r.Evacuated("south"))
 		}
@@ -152,7 +152,7 @@
 }
 
 // A process that starts while the store tells of a late era respects an evacuation at once.
-func TestAProcessThatStartsKnowsNoEraBefore(t *testing.T) {
+func TestAStartingProcessAppliesEvacuationsAtOnce(t *testing.T) {
 	r := New()
 	r.ReplaceEvacuations([]Evacuation{{DataCentre: "north", Active: true, Revision: rev(3, 4)}}, rev(3, 9), at(0))
 	if !r.Evacuated("north") {
@@ -184,12 +184,12 @@
 	r.Put(server("a", 5), at(0))
 	r.Put(server("ghost", 6), at(0))
 	r.Put(server("a", rev(1, 4)), at(time.Second))
-	r.TakeListed(map[string]bool{"a": true}, rev(1, 4), at(time.Second))
-	if diff := cmp.Diff([]string{"a", "ghost"}, used(r)); diff != "" {
+	r.ApplyPeerList(map[string]bool{"a": true}, rev(1, 4), at(time.Second))
+	if diff := cmp.Diff([]string{"a", "ghost"}, acceptingIDs(r)); diff != "" {
 		t.Error("while it may come back", diff)
 	}
-	r.Expire(at(time.Second + LapseGrace))
-	if diff := cmp.Diff([]string{"a"}, used(r)); diff != "" {
+	r.Expire(at(time.Second + RemovalGrace))
+	if diff := cmp.Diff([]string{"a"}, acceptingIDs(r)); diff != "" {
 		t.Error("after the grace", diff)
 	}
 }
@@ -211,9 +211,9 @@
 	ended map[string]bool
 	born  int
 
-	readers []*historyReader
-	hearer  *Registry
-	told    []message
+	readers  []*historyReader
+	follower *Registry
+	messages []message
 }
 
 type event struct {
@@ -233,14 +233,14 @@
 	at     monotime.Instant
 	from   int
 	put    []Server
-	buried map[string]Revision
+	gone   map[string]Revision
 	listed Revision
 }
 
 func newHistory(seed uint64) *history {
 	h := &history{
 		rng: rand.New(rand.NewPCG(seed, seed)), now: at(0), items: make(map[string]Server),
-		copy: make(map[string]Server), alive: make(map[string]bool), ended: make(map[string]bool), hearer: New(),
+		copy: make(map[string]Server), alive: make(map[string]bool), ended: make(map[string]bool), follower: New(),
 	}
 	for range 2 {
 		h.readers = append(h.readers, &historyReader{Registry: New(), left: make(map[string]bool)})
@@ -359,7 +359,7 @@
 		m = h.message(n, append(r.ids(), slices.Collect(maps.Keys(r.Tombstones()))...))
 		m.listed = current
 	}
-	h.told = append(h.told, m)
+	h.messages = append(h.messages, m)
 }
 
 // list is what the store lists: also of an entry of the copy it says so in its own era.
@@ -374,15 +374,15 @@
 
 func (h *history) message(from int, ids []string) message {
 	r := h.readers[from]
-	m := message{at: h.now.Add(time.Duration(h.rng.IntN(60)) * time.Millisecond), from: from, buried: make(map[string]Revision)}
-	for _, told := range h.told {
-		if told.from == from {
-			m.at = max(m.at, told.at)
+	m := message{at: h.now.Add(time.Duration(h.rng.IntN(60)) * time.Millisecond), from: from, gone: make(map[string]Revision)}
+	for _, sent := range h.messages {
+		if sent.from == from {
+			m.at = max(m.at, sent.at)
 		}
 	}
 	for _, id := range ids {
 		if revision, gone := r.Gone(id); gone {
-			m.buried[id] = revision
+			m.gone[id] = revision
 		} else if s, ok := r.Get(id); ok {
 			m.put = append(m.put, s)
 		}
@@ -390,9 +390,9 @@
 	return m
 }
 
-func (h *history) hear() {
-	later := h.told[:0]
-	for _, m := range h.told {
+func (h *history) deliver() {
+	later := h.messages[:0]
+	for _, m := range h.messages {
 		if m.at > h.now {
 			later = append(later, m)
 			continue
@@ -400,16 +400,16 @@
 		present := make(map[string]bool)
 		for _, s := range m.put {
 			present[s.ID] = true
-			h.hearer.Put(s, h.now)
+			h.follower.Put(s, h.now)
 		}
-		for id, revision := range m.buried {
-			h.hearer.Bury(id, revision, h.now)
+		for id, revision := range m.gone {
+			h.follower.MarkGone(id, revision, h.now)
 		}
 		if m.listed != 0 {
-			h.hearer.TakeListed(present, m.listed, h.now)
+			h.follower.ApplyPeerList(present, m.listed, h.now)
 		}
 	}
-	h.told = later
+	h.messages = later
 }
 
 func (h *history) step(changes bool) {
@@ -422,10 +422,10 @@
 		if h.rng.IntN(6) == 0 {
 			h.read(n)
 		}
-		h.told = append(h.told, h.message(n, r.Expire(h.now)))
+		h.messages = append(h.messages, h.message(n, r.Expire(h.now)))
 	}
-	h.hearer.Expire(h.now)
-	h.hear()
+	h.follower.Expire(h.now)
+	h.deliver()
 }
 
 // check reports a server that a reader uses although it had known it to leave and it has
@@ -433,7 +433,7 @@
 func (h *history) check(t *testing.T, seed uint64) {
 	t.Helper()
 	for n, r := range h.readers {
-		using := used(r.Registry)
+		using := acceptingIDs(r.Registry)
 		for _, id := range using {
 			if r.left[id] && h.ended[id] {
 				t.Fatalf("seed %d, era %d: reader %d uses %s, which it had known to leave", seed, h.era, n, id)
@@ -455,7 +455,7 @@
 // Servers start, leave and end, the store is copied and comes back from its copy again and
 // again, and instances read it, or only hear of it, late. None uses a server that it knew
 // to leave, and once all is quiet each has the store's view.
-func TestInstancesEndWithTheViewOfAStoreThatCameBack(t *testing.T) {
+func TestInstancesConvergeOnARestoredStore(t *testing.T) {
 	eras := int64(0)
 	for seed := range uint64(25) {
 		h := newHistory(seed)
@@ -474,8 +474,8 @@
 				want = append(want, id)
 			}
 		}
-		for n, r := range []*Registry{h.readers[0].Registry, h.readers[1].Registry, h.hearer} {
-			if diff := cmp.Diff(want, used(r)); diff != "" {
+		for n, r := range []*Registry{h.readers[0].Registry, h.readers[1].Registry, h.follower} {
+			if diff := cmp.Diff(want, acceptingIDs(r)); diff != "" {
 				t.Fatalf("seed %d, era %d, instance %d: %s", seed, h.era, n, diff)
 			}
 		}
--- a/internal/servers/evacuation.go
+++ b/internal/servers/evacuation.go
@@ -19,7 +19,7 @@
 	Revision Revision
 }
 
-// Evacuate takes what the store says of an evacuation, read directly or told by a
+// ApplyEvacuation takes what the store says of an evacuation, read directly or told by a
 // peer. It reports whether the data centre's servers are used differently by it.
 //
 // News of it come over several ways and in any order. The store's revision decides,
@@ -27,36 +27,36 @@
 // again, and neither does an old answer of the store end one that is newer. Where the store
 // has just come back from a copy, what it says against what was known waits a little: the
 // operator may not have written yet what the copy lacks.
-func (r *Registry) Evacuate(e Evacuation, now monotime.Instant) bool {
-	r.enter(e.Revision, now)
-	known := r.evacuations[e.DataCentre]
-	if e.DataCentre == "" || e.Revision <= known.Revision {
+func (r *Registry) ApplyEvacuation(e Evacuation, now monotime.Instant) bool {
+	r.observe(e.Revision, now)
+	current := r.evacuations[e.DataCentre]
+	if e.DataCentre == "" || e.Revision <= current.Revision {
 		return false
 	}
-	if e.Revision < r.waiting[e.DataCentre].Revision {
+	if e.Revision < r.deferred[e.DataCentre].Revision {
 		return false
 	}
-	delete(r.waiting, e.DataCentre)
-	if e.Active == known.Active {
+	delete(r.deferred, e.DataCentre)
+	if e.Active == current.Active {
 		r.evacuations[e.DataCentre] = e
 		return false
 	}
-	if known.Revision != 0 && r.settling(now) {
-		r.waiting[e.DataCentre] = e
+	if current.Revision != 0 && r.eraJustBegan(now) {
+		r.deferred[e.DataCentre] = e
 		return false
 	}
 	r.evacuations[e.DataCentre] = e
 	return true
 }
 
-// SettleEvacuations returns what a new era of the store changed, once there was time to
+// ApplyDeferredEvacuations returns what a new era of the store changed, once there was time to
 // write again what it lacked.
-func (r *Registry) SettleEvacuations(now monotime.Instant) (changed []Evacuation) {
-	if len(r.waiting) == 0 || r.settling(now) {
+func (r *Registry) ApplyDeferredEvacuations(now monotime.Instant) (changed []Evacuation) {
+	if len(r.deferred) == 0 || r.eraJustBegan(now) {
 		return nil
 	}
-	for _, e := range r.waiting {
-		if r.Evacuate(e, now) {
+	for _, e := range r.deferred {
+		if r.ApplyEvacuation(e, now) {
 			changed = append(changed, e)
 		}
 	}
@@ -69,17 +69,17 @@
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
 		listed[e.DataCentre] = true
-		if r.Evacuate(e, now) {
+		if r.ApplyEvacuation(e, now) {
 			changed = append(changed, e)
 		}
 	}
-	for _, known := range r.Evacuations() {
-		if !known.Active || listed[known.DataCentre] {
+	for _, current := range r.Evacuations() {
+		if !current.Active || listed[current.DataCentre] {
 			continue
 		}
-		over := Evacuation{DataCentre: known.DataCentre, Revision: revision}
-		if r.Evacuate(over, now) {
-			changed = append(changed, over)
+		ended := Evacuation{DataCentre: current.DataCentre, Revision: revision}
+		if r.ApplyEvacuation(ended, now) {
+			changed = append(changed, ended)
 		}
 	}
 	return changed
--- a/internal/servers/evacuation_test.go
+++ b/internal/servers/evacuation_test.go
@@ -20,36 +20,36 @@
 	now := monotime.Instant(1)
 	r.Put(inDataCentre("a", "north"), now)
 	r.Put(inDataCentre("b", "south"), now)
-	calm := r.Digest()
-	if !r.Evacuate(Evacuation{DataCentre: "north", Active: true, Revision: 5}, 0) {
+	before := r.Digest()
+	if !r.ApplyEvacuation(Evacuation{DataCentre: "north", Active: true, Revision: 5}, 0) {
 		t.Error("changed nothing")
 	}
-	if diff := cmp.Diff([]string{"b"}, taking(r)); diff != "" {
+	if diff := cmp.Diff([]string{"b"}, acceptingOfS(r)); diff != "" {
 		t.Error(diff)
 	}
-	if r.Digest() == calm {
+	if r.Digest() == before {
 		t.Error("peers would not notice the difference")
 	}
 	r.Put(inDataCentre("c", "north"), now)
-	if diff := cmp.Diff([]string{"b"}, taking(r)); diff != "" {
+	if diff := cmp.Diff([]string{"b"}, acceptingOfS(r)); diff != "" {
 		t.Error("a server that starts there", diff)
 	}
-	r.Evacuate(Evacuation{DataCentre: "north", Revision: 6}, 0)
-	if diff := cmp.Diff([]string{"a", "b", "c"}, taking(r)); diff != "" {
+	r.ApplyEvacuation(Evacuation{DataCentre: "north", Revision: 6}, 0)
+	if diff := cmp.Diff([]string{"a", "b", "c"}, acceptingOfS(r)); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // A peer that was cut off tells late of an evacuation that was taken back meanwhile,
 // and a slow answer of the store knows nothing of a newer one yet. Neither counts.
-func TestOldWordsOfAnEvacuationChangeNothing(t *testing.T) {
+func TestOldEvacuationStatesAreIgnored(t *testing.T) {
 	r := New()
-	r.Evacuate(Evacuation{DataCentre: "north", Active: true, Revision: 5}, 0)
-	r.Evacuate(Evacuation{DataCentre: "north", Revision: 7}, 0)
-	if r.Evacuate(Evacuation{DataCentre: "north", Active: true, Revision: 5}, 0) || r.Evacuated("north") {
+	r.ApplyEvacuation(Evacuation{DataCentre: "north", Active: true, Revision: 5}, 0)
+	r.ApplyEvacuation(Evacuation{DataCentre: "north", Revision: 7}, 0)
+	if r.ApplyEvacuation(Evacuation{DataCentre: "north", Active: true, Revision: 5}, 0) || r.Evacuated("north") {
 		t.Error("an old evacuation is in force again")
 	}
-	r.Evacuate(Evacuation{DataCentre: "north", Active: true, Revision: 9}, 0)
+	r.ApplyEvacuation(Evacuation{DataCentre: "north", Active: true, Revision: 9}, 0)
 	if changed := r.ReplaceEvacuations(nil, 8, 0); len(changed) != 0 || !r.Evacuated("north") {
 		t.Errorf("an old list ended it: %+v", changed)
 	}
@@ -61,24 +61,24 @@
 
 // Changes of three data centres reach two instances in different orders, some of them
 // twice. Both must end with what the store said last of each.
-func TestEvacuationsComeOutTheSameInAnyOrder(t *testing.T) {
+func TestEvacuationsConvergeInAnyOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 9))
 	for range 200 {
-		var said []Evacuation
+		var changes []Evacuation
 		last := make(map[string]bool)
 		for revision := range Revision(12) {
 			e := Evacuation{DataCentre: string(rune('a' + rng.IntN(3))), Active: rng.IntN(2) == 0, Revision: revision + 1}
-			said = append(said, e, e)
+			changes = append(changes, e, e)
 			last[e.DataCentre] = e.Active
 		}
-		rng.Shuffle(len(said), func(i, j int) { said[i], said[j] = said[j], said[i] })
+		rng.Shuffle(len(changes), func(i, j int) { changes[i], changes[j] = changes[j], changes[i] })
 		r := New()
-		for _, e := range said {
-			r.Evacuate(e, 0)
+		for _, e := range changes {
+			r.ApplyEvacuation(e, 0)
 		}
 		for dataCentre, active := range last {
 			if r.Evacuated(dataCentre) != active {
-				t.Fatalf("%s evacuated: %v, of %+v", dataCentre, !active, said)
+				t.Fatalf("%s evacuated: %v, of %+v", dataCentre, !active, changes)
 			}
 		}
 	}
--- a/internal/servers/listing.go
+++ b/internal/servers/listing.go
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Taking returns the servers that take requests, by id: those whose entry is valid
+// Accepting returns the servers that take requests, by id: those whose entry is valid
 // and not draining, of services that are published, outside evacuated data centres.
 //
 // A server that crashed and came back under a new name writes a new entry at once;
@@ -15,38 +15,38 @@
 // reach the new one, which refuses them, and callers would have to come back. So of
 // entries with the same address only the one written last counts. An entry of a
 // service that nobody published comes from another writer and displaces none.
-func (r *Registry) Taking(published func(service string) bool) []Server {
+func (r *Registry) Accepting(published func(service string) bool) []Server {
 	return slices.DeleteFunc(r.usable(published), func(s Server) bool { return r.Evacuated(s.DataCentre) })
 }
 
-// Sheltered returns the servers that would take requests but for the evacuation of their
+// EvacuatedServers returns the servers that would take requests but for the evacuation of their
 // data centre. What they keep can still be fetched from them.
-func (r *Registry) Sheltered(published func(service string) bool) []Server {
+func (r *Registry) EvacuatedServers(published func(service string) bool) []Server {
 	return slices.DeleteFunc(r.usable(published), func(s Server) bool { return !r.Evacuated(s.DataCentre) })
 }
 
 func (r *Registry) usable(published func(service string) bool) []Server {
 	var out []Server
-	holder := make(map[string]Revision) // revision of the newest entry of an address
+	newest := make(map[string]Revision) // revision of the newest entry of an address
 	for _, s := range r.List() {
 		if s.Invalid || !published(s.Service) {
 			continue
 		}
-		holder[s.Address] = max(holder[s.Address], s.Revision)
+		newest[s.Address] = max(newest[s.Address], s.Revision)
 		if !s.Draining {
 			out = append(out, s)
 		}
 	}
-	return slices.DeleteFunc(out, func(s Server) bool { return s.Revision < holder[s.Address] })
+	return slices.DeleteFunc(out, func(s Server) bool { return s.Revision < newest[s.Address] })
 }
 
 // Get returns a live server.
 func (r *Registry) Get(id string) (Server, bool) {
-	known := r.live[id]
-	if known == nil {
+	rec := r.live[id]
+	if rec == nil {
 		return Server{}, false
 	}
-	return known.server, true
+	return rec.server, true
 }
 
 // Gone returns the revision at which an incarnation was removed.
@@ -59,8 +59,8 @@
 // and differs, but for chance, for others.
 func (r *Registry) Digest() uint64 {
 	digest := r.evacuationDigest()
-	for id, known := range r.live {
-		if !known.server.Draining && !known.server.Invalid {
+	for id, rec := range r.live {
+		if !rec.server.Draining && !rec.server.Invalid {
 			digest ^= xxhash.Sum64String(id)
 		}
 	}
@@ -84,8 +84,8 @@
 // List returns the live servers by id, those that are leaving among them.
 func (r *Registry) List() []Server {
 	out := make([]Server, 0, len(r.live))
-	for _, known := range r.live {
-		out = append(out, known.server)
+	for _, rec := range r.live {
+		out = append(out, rec.server)
 	}
 	slices.SortFunc(out, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
 	return out
--- a/internal/servers/notice.go
+++ b/internal/servers/notice.go
@@ -18,8 +18,8 @@
 	Pause time.Duration
 }
 
-// Bound is whether a server names a limit, and which.
-type Bound struct {
+// RateLimit is whether a server names a limit, and which.
+type RateLimit struct {
 	// Limited says that it names one.
 	Limited bool
 	// Rate in requests a second, of all instances together.
@@ -30,59 +30,59 @@
 	At monotime.Instant
 }
 
-// Hear takes what a server said of itself in its answer to a request sent at an instant.
+// ApplyNotice takes what a server said of itself in its answer to a request sent at an instant.
 //
 // Answers of one server overtake each other on their way, and an instance may read one
 // late. An answer without a limit ends one only if its request was sent after the limit
 // was last heard of: then the server wrote it after it had named the limit. That a server
 // leaves is never taken back.
-func (r *Registry) Hear(id string, n Notice, sent, now monotime.Instant) Change {
-	known := r.live[id]
-	if known == nil {
+func (r *Registry) ApplyNotice(id string, n Notice, sent, now monotime.Instant) Change {
+	rec := r.live[id]
+	if rec == nil {
 		return Unchanged
 	}
 	change := Unchanged
 	if n.Leaving {
-		change = known.drain()
+		change = rec.drain()
 	}
 	switch {
 	case n.Limited:
-		return max(change, r.SetBound(id, Bound{Limited: true, Rate: n.Rate, At: now}))
-	case known.bound.Limited:
-		return max(change, r.SetBound(id, Bound{At: sent}))
+		return max(change, r.SetRateLimit(id, RateLimit{Limited: true, Rate: n.Rate, At: now}))
+	case rec.rateLimit.Limited:
+		return max(change, r.SetRateLimit(id, RateLimit{At: sent}))
 	default:
 		return change
 	}
 }
 
-// SetBound takes whether a server names a limit, as its answer or a peer told. Older
+// SetRateLimit takes whether a server names a limit, as its answer or a peer told. Older
 // words than the one known change nothing.
-func (r *Registry) SetBound(id string, b Bound) Change {
-	known := r.live[id]
-	if known == nil || b.At <= known.bound.At {
+func (r *Registry) SetRateLimit(id string, b RateLimit) Change {
+	rec := r.live[id]
+	if rec == nil || b.At <= rec.rateLimit.At {
 		return Unchanged
 	}
-	was := known.bound
-	known.bound = b
-	if was.Limited == b.Limited && was.Rate == b.Rate {
+	previous := rec.rateLimit
+	rec.rateLimit = b
+	if previous.Limited == b.Limited && previous.Rate == b.Rate {
 		return Unchanged
 	}
 	return Updated
 }
 
-// Bound returns whether a server names a limit; the zero value for one that is not known.
-func (r *Registry) Bound(id string) Bound {
-	if known := r.live[id]; known != nil {
-		return known.bound
+// RateLimit returns whether a server names a limit; the zero value for one that is not known.
+func (r *Registry) RateLimit(id string) RateLimit {
+	if rec := r.live[id]; rec != nil {
+		return rec.rateLimit
 	}
-	return Bound{}
+	return RateLimit{}
 }
 
 // Limited returns the ids of the servers that name a limit.
 func (r *Registry) Limited() []string {
 	out := []string{}
 	for _, id := range r.ids() {
-		if r.live[id].bound.Limited {
+		if r.live[id].rateLimit.Limited {
 			out = append(out, id)
 		}
 	}
--- a/internal/servers/notice_test.go
+++ b/internal/servers/notice_test.go
@@ -33,34 +33,34 @@
 		{Notice{}, 46, 60, Updated, false},
 		{Notice{}, 50, 70, Unchanged, false},
 	} {
-		change := r.Hear("a", step.notice, now.Add(step.sent), now.Add(step.at))
-		if bound := r.Bound("a"); change != step.want || bound.Limited != step.limited {
+		change := r.ApplyNotice("a", step.notice, now.Add(step.sent), now.Add(step.at))
+		if bound := r.RateLimit("a"); change != step.want || bound.Limited != step.limited {
 			t.Errorf("at %d: %v, %+v", step.at, change, bound)
 		}
 	}
-	if change := r.Hear("unknown", limit(1), now, now); change != Unchanged {
+	if change := r.ApplyNotice("unknown", limit(1), now, now); change != Unchanged {
 		t.Error("a server that is not known", change)
 	}
 }
 
 // A server names and lifts its limit again and again, and instances hear of it from the
 // server and from each other in any order. All end with the last word.
-func TestWordsOfALimitComeOutTheSameInAnyOrder(t *testing.T) {
+func TestRateLimitsConvergeInAnyOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		var words []Bound
+		var limits []RateLimit
 		for n := range 6 {
-			words = append(words, Bound{Limited: n%2 == 0, Rate: float64(n), At: monotime.Instant(time.Hour) + monotime.Instant(n)})
+			limits = append(limits, RateLimit{Limited: n%2 == 0, Rate: float64(n), At: monotime.Instant(time.Hour) + monotime.Instant(n)})
 		}
-		last := words[len(words)-1]
-		rng.Shuffle(len(words), func(i, k int) { words[i], words[k] = words[k], words[i] })
+		last := limits[len(limits)-1]
+		rng.Shuffle(len(limits), func(i, k int) { limits[i], limits[k] = limits[k], limits[i] })
 		r := New()
 		r.Put(Server{ID: "a", Name: "a", Revision: 1}, 0)
-		for _, b := range slices.Concat(words, words[:2]) {
-			r.SetBound("a", b)
+		for _, b := range slices.Concat(limits, limits[:2]) {
+			r.SetRateLimit("a", b)
 		}
-		if got := r.Bound("a"); got != last {
-			t.Fatalf("%+v after %+v", got, words)
+		if got := r.RateLimit("a"); got != last {
+			t.Fatalf("%+v after %+v", got, limits)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	r := New()
 	now := monotime.Instant(time.Hour)
 	r.Put(Server{ID: "a@1", Name: "a", Born: 1, Revision: 1}, now)
-	r.Hear("a@1", limit(2), now, now)
+	r.ApplyNotice("a@1", limit(2), now, now)
 	r.Put(Server{ID: "a@2", Name: "a", Born: 2, Revision: 2}, now)
 	if got := r.Limited(); len(got) != 0 {
 		t.Error(got)
--- a/internal/servers/registry.go
+++ b/internal/servers/registry.go
@@ -14,11 +14,11 @@
 	server Server
 	// coldUntil is when the server has become warm; 0 for one that is.
 	coldUntil monotime.Instant
-	// lapsesAt is when the server counts as gone unless its entry comes back; 0
+	// graceEndsAt is when the server counts as gone unless its entry comes back; 0
 	// for an entry that the store has.
-	lapsesAt monotime.Instant
-	// bound is whether it names a limit.
-	bound Bound
+	graceEndsAt monotime.Instant
+	// rateLimit is whether it names a limit.
+	rateLimit RateLimit
 	// firstInEra is the first revision of its entry heard of in the era of the entry.
 	firstInEra Revision
 }
@@ -29,15 +29,15 @@
 	gone map[string]tombstone
 	// current is the live incarnation of each name, and newest when the last one
 	// known of it was born.
-	current map[string]string
-	newest  map[string]int64
+	current    map[string]string
+	newestBorn map[string]int64
 	// replaced are incarnations that ended since they were last asked for because
 	// their server has started again.
 	replaced []string
 	// evacuations holds what the store last said of each data centre.
 	evacuations map[string]Evacuation
-	// waiting are what a new era says of data centres against what was known.
-	waiting map[string]Evacuation
+	// deferred are what a new era says of data centres against what was known.
+	deferred map[string]Evacuation
 	// unstableUntil is when removals are final again after the store was away; 0
 	// when it never was.
 	unstableUntil monotime.Instant
@@ -45,21 +45,21 @@
 	// first era that is known here.
 	latest   Revision
 	eraSince monotime.Instant
-	// copies are entries of incarnations that ended in an era before, by id, which may
+	// copiedEntries are entries of incarnations that ended in an era before, by id, which may
 	// stand in the store only because its copy has them.
-	copies map[string]Server
-	// listed is the revision of the last full list, and firstList of the first one of its
+	copiedEntries map[string]Server
+	// listed is the revision of the last full list, and firstListInEra of the first one of its
 	// era.
-	listed, firstList Revision
+	listed, firstListInEra Revision
 }
 
 // New returns an empty Registry.
 func New() *Registry {
 	return &Registry{
 		live: make(map[string]*record), gone: make(map[string]tombstone),
-		current: make(map[string]string), newest: make(map[string]int64),
-		evacuations: make(map[string]Evacuation), waiting: make(map[string]Evacuation),
-		copies: make(map[string]Server),
+		current: make(map[string]string), newestBorn: make(map[string]int64),
+		evacuations: make(map[string]Evacuation), deferred: make(map[string]Evacuation),
+		copiedEntries: make(map[string]Server),
 	}
 }
 
@@ -70,46 +70,46 @@
 // start arrive, from the store or from a peer. Those change nothing: the order of
 // starts goes before the order of writes.
 func (r *Registry) Put(s Server, now monotime.Instant) Change {
-	if s.Born < r.newest[s.Name] {
+	if s.Born < r.newestBorn[s.Name] {
 		return Unchanged
 	}
-	r.enter(s.Revision, now)
-	coldUntil := coldAt(s.ColdLeft, now)
+	r.observe(s.Revision, now)
+	coldUntil := warmAt(s.ColdLeft, now)
 	s.ColdLeft = 0
 	if stone, ok := r.gone[s.ID]; ok {
-		if !r.revives(stone, &s, now) {
+		if !r.endsTombstone(stone, &s, now) {
 			return Unchanged
 		}
 		s.Draining = s.Draining || stone.draining
 		delete(r.gone, s.ID)
 	}
-	known := r.live[s.ID]
-	if known == nil {
-		r.replace(s, now)
+	rec := r.live[s.ID]
+	if rec == nil {
+		r.endFormer(s, now)
 		r.live[s.ID] = &record{server: s, coldUntil: coldUntil, firstInEra: s.Revision}
-		r.current[s.Name], r.newest[s.Name] = s.ID, s.Born
+		r.current[s.Name], r.newestBorn[s.Name] = s.ID, s.Born
 		return Added
 	}
-	return known.take(s, coldUntil)
+	return rec.update(s, coldUntil)
 }
 
-// take takes an entry of the same incarnation.
-func (known *record) take(s Server, coldUntil monotime.Instant) Change {
-	if s.Revision < known.server.Revision {
+// update takes an entry of the same incarnation.
+func (rec *record) update(s Server, coldUntil monotime.Instant) Change {
+	if s.Revision < rec.server.Revision {
 		if s.Draining {
-			return known.drain()
+			return rec.drain()
 		}
 		return Unchanged
 	}
-	s.Draining = s.Draining || known.server.Draining
-	same := known.server == s
-	wasLapsing := known.lapsesAt != 0 && s.Revision > known.server.Revision
-	if s.Revision > known.server.Revision {
-		known.renew(&s, coldUntil)
+	s.Draining = s.Draining || rec.server.Draining
+	same := rec.server == s
+	wasInGrace := rec.graceEndsAt != 0 && s.Revision > rec.server.Revision
+	if s.Revision > rec.server.Revision {
+		rec.renew(&s, coldUntil)
 	}
-	known.server = s
+	rec.server = s
 	switch {
-	case wasLapsing:
+	case wasInGrace:
 		return Added
 	case same:
 		return Unchanged
@@ -119,34 +119,34 @@
 }
 
 // renew notes that the store has a later entry.
-func (known *record) renew(s *Server, coldUntil monotime.Instant) {
-	known.lapsesAt = 0
-	if s.Revision.Era() > known.server.Revision.Era() {
+func (rec *record) renew(s *Server, coldUntil monotime.Instant) {
+	rec.graceEndsAt = 0
+	if s.Revision.Era() > rec.server.Revision.Era() {
 		// The copy may be from before the server turned cold.
-		coldUntil = max(coldUntil, known.coldUntil)
-		known.firstInEra = s.Revision
+		coldUntil = max(coldUntil, rec.coldUntil)
+		rec.firstInEra = s.Revision
 	}
-	known.coldUntil = coldUntil
+	rec.coldUntil = coldUntil
 }
 
 // drain notes that a server leaves. No later word of its incarnation takes that back: it
 // may come from the server itself, which the store and its revisions know nothing of, or
 // from a peer whose entry of the server is older.
-func (known *record) drain() Change {
-	if known.server.Draining {
+func (rec *record) drain() Change {
+	if rec.server.Draining {
 		return Unchanged
 	}
-	known.server.Draining = true
+	rec.server.Draining = true
 	return Updated
 }
 
-// replace ends the former incarnation of a server that has started again.
-func (r *Registry) replace(s Server, now monotime.Instant) {
+// endFormer ends the former incarnation of a server that has started again.
+func (r *Registry) endFormer(s Server, now monotime.Instant) {
 	former, ok := r.current[s.Name]
 	if !ok {
 		return
 	}
-	r.bury(former, s.Revision, now)
+	r.addTombstone(former, s.Revision, now)
 	r.replaced = append(r.replaced, former)
 }
 
@@ -161,22 +161,22 @@
 // Invalidate takes an entry that can't be read. Its name is not used until one
 // that can be read follows; the entries of other names hold. It returns the id of
 // the incarnation that this changes.
-func (r *Registry) Invalidate(m Mark, now monotime.Instant) (id string, change Change) {
-	r.enter(m.Revision, now)
+func (r *Registry) Invalidate(m EntryRef, now monotime.Instant) (id string, change Change) {
+	r.observe(m.Revision, now)
 	id = r.current[m.Name]
-	known := r.live[id]
-	if known == nil || m.Revision <= known.server.Revision {
+	rec := r.live[id]
+	if rec == nil || m.Revision <= rec.server.Revision {
 		return id, Unchanged
 	}
-	known.server.Invalid, known.server.Revision = true, m.Revision
+	rec.server.Invalid, rec.server.Revision = true, m.Revision
 	return id, Updated
 }
 
 // Replace takes a full list of the store, read at a revision: the entries that can
 // be read and marks of those that can't. It returns the ids of what changed,
 // those whose entries are missing among them.
-func (r *Registry) Replace(list []Server, invalid []Mark, revision Revision, now monotime.Instant) (changed []string) {
-	r.list(revision, now)
+func (r *Registry) Replace(list []Server, invalid []EntryRef, revision Revision, now monotime.Instant) (changed []string) {
+	r.observeList(revision, now)
 	present := make(map[string]bool, len(list))
 	for _, s := range list {
 		present[s.Name] = true
@@ -190,13 +190,13 @@
 			changed = append(changed, id)
 		}
 	}
-	maps.DeleteFunc(r.copies, func(_ string, s Server) bool { return !present[s.Name] })
+	maps.DeleteFunc(r.copiedEntries, func(_ string, s Server) bool { return !present[s.Name] })
 	for _, id := range r.ids() {
-		known := r.live[id].server
-		if present[known.Name] || known.Revision > revision {
+		entry := r.live[id].server
+		if present[entry.Name] || entry.Revision > revision {
 			continue
 		}
-		if _, change := r.Remove(known.Name, revision, now); change != Unchanged {
+		if _, change := r.Remove(entry.Name, revision, now); change != Unchanged {
 			changed = append(changed, id)
 		}
 	}
--- a/internal/servers/registry_test.go
+++ b/internal/servers/registry_test.go
@@ -29,14 +29,14 @@
 // thing it says on its return is that all are removed; two write theirs again
 // after a second, one had crashed. Callers see none of the live ones missing,
 // and the crashed one only for the grace.
-func TestEntriesThatLapsedWithTheStoreCountUntilTheyCouldBeBack(t *testing.T) {
+func TestEntriesThatExpiredInAStoreOutageCountDuringTheGrace(t *testing.T) {
 	r := New()
 	for _, id := range []string{"a", "b", "c"} {
 		r.Put(server(id, 1), at(0))
 	}
-	r.StoreReturned(at(5 * time.Second))
+	r.StoreRecovered(at(5 * time.Second))
 	for _, id := range []string{"a", "b", "c"} {
-		if _, got := r.Remove(id, 10, at(5*time.Second)); got != Lapsing {
+		if _, got := r.Remove(id, 10, at(5*time.Second)); got != InGrace {
 			t.Fatalf("removal of %s: %v", id, got)
 		}
 	}
@@ -45,14 +45,14 @@
 	}
 	r.Put(server("a", 11), at(6*time.Second))
 	r.Put(server("b", 12), at(6*time.Second))
-	removed := r.Expire(at(5*time.Second + LapseGrace))
+	removed := r.Expire(at(5*time.Second + RemovalGrace))
 	if diff := cmp.Diff([]string{"c"}, removed); diff != "" {
 		t.Error("expired", diff)
 	}
 	if diff := cmp.Diff([]string{"a", "b"}, ids(r)); diff != "" {
 		t.Error("after the grace", diff)
 	}
-	if LapseGrace >= 2*time.Second {
+	if RemovalGrace >= 2*time.Second {
 		t.Error("a server that left may get requests for two seconds")
 	}
 }
@@ -64,7 +64,7 @@
 	s := server("a", 1)
 	s.Draining = true
 	r.Put(s, at(0))
-	r.StoreReturned(at(time.Second))
+	r.StoreRecovered(at(time.Second))
 	if _, got := r.Remove("a", 5, at(time.Second)); got != Removed {
 		t.Errorf("removal: %v", got)
 	}
@@ -86,7 +86,7 @@
 func TestADrainOutlivesTheEntry(t *testing.T) {
 	r := New()
 	r.Put(server("a", 1), at(0))
-	r.Hear("a", Notice{Leaving: true}, at(0), at(0))
+	r.ApplyNotice("a", Notice{Leaving: true}, at(0), at(0))
 	if _, got := r.Remove("a", 2, at(0)); got != Removed {
 		t.Fatalf("removal: %v", got)
 	}
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestOldNewsOfAPeerDoesNotBringAServerBack(t *testing.T) {
+func TestAnOldPeerUpdateDoesNotRestoreAServer(t *testing.T) {
 	r := New()
 	r.Put(server("a", 5), at(0))
 	r.Remove("a", 9, at(0))
@@ -106,7 +106,7 @@
 	if got := r.Put(server("a", 12), at(time.Second)); got != Added {
 		t.Errorf("entry written after the removal: %v", got)
 	}
-	if got := r.Bury("a", 9, at(time.Second)); got != Unchanged {
+	if got := r.MarkGone("a", 9, at(time.Second)); got != Unchanged {
 		t.Errorf("a peer's older word: %v", got)
 	}
 }
@@ -136,19 +136,19 @@
 	}
 	r.Put(same("old", 1), at(0))
 	r.Put(same("new", 7), at(2*time.Second))
-	if diff := cmp.Diff([]string{"new"}, taking(r)); diff != "" {
+	if diff := cmp.Diff([]string{"new"}, acceptingOfS(r)); diff != "" {
 		t.Error("of two incarnations at an address", diff)
 	}
 	r.Put(same("older", 3), at(3*time.Second))
-	if diff := cmp.Diff([]string{"new"}, taking(r)); diff != "" {
+	if diff := cmp.Diff([]string{"new"}, acceptingOfS(r)); diff != "" {
 		t.Error("after late news of an incarnation before the newest", diff)
 	}
 }
 
-// taking lists the servers that take requests where service s is published.
-func taking(r *Registry) []string {
+// acceptingOfS lists the servers that take requests where service s is published.
+func acceptingOfS(r *Registry) []string {
 	var out []string
-	for _, s := range r.Taking(func(service string) bool { return service == "s" }) {
+	for _, s := range r.Accepting(func(service string) bool { return service == "s" }) {
 		out = append(out, s.ID)
 	}
 	return out
@@ -169,7 +169,7 @@
 	if got := r.Put(born("a", 2000, 9), at(time.Second)); got != Added {
 		t.Errorf("the new start: %v", got)
 	}
-	if diff := cmp.Diff([]string{"a@2000"}, taking(r)); diff != "" {
+	if diff := cmp.Diff([]string{"a@2000"}, acceptingOfS(r)); diff != "" {
 		t.Error(diff)
 	}
 	if diff := cmp.Diff([]string{"a@1000"}, r.Replaced()); diff != "" {
@@ -183,7 +183,7 @@
 // A server has started again. A late write of its former start reaches the store
 // after that of the new one, and a slow peer tells of the former start too. The
 // new start goes on taking requests, and the former one gets none.
-func TestLateNewsOfAFormerStartChangeNothing(t *testing.T) {
+func TestLateUpdatesOfAFormerStartAreIgnored(t *testing.T) {
 	r := New()
 	r.Put(born("a", 2000, 9), at(0))
 	late := born("a", 1000, 12)
@@ -191,12 +191,12 @@
 	if got := r.Put(late, at(time.Second)); got != Unchanged {
 		t.Errorf("late entry: %v", got)
 	}
-	r.Bury("a@1000", 12, at(time.Second))
+	r.MarkGone("a@1000", 12, at(time.Second))
 	changed := r.Replace([]Server{late}, nil, 20, at(2*time.Second))
 	if len(changed) > 0 {
 		t.Errorf("a list with the late entry changes %v", changed)
 	}
-	if diff := cmp.Diff([]string{"a@2000"}, taking(r)); diff != "" {
+	if diff := cmp.Diff([]string{"a@2000"}, acceptingOfS(r)); diff != "" {
 		t.Error(diff)
 	}
 	if id, got := r.Remove("a", 21, at(3*time.Second)); got != Removed || id != "a@2000" {
@@ -213,37 +213,37 @@
 	stranger := born("stranger", 0, 8)
 	stranger.Service = "nobody's"
 	r.Put(stranger, at(0))
-	if diff := cmp.Diff([]string{"a"}, taking(r)); diff != "" {
+	if diff := cmp.Diff([]string{"a"}, acceptingOfS(r)); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // An entry turns unreadable and is written well again a second later. In between
 // its server gets no requests, the others do, and an older word does not help.
-func TestAnUnreadableEntryNamesNoServerUntilItIsWrittenWell(t *testing.T) {
+func TestAnUnreadableEntryIsNotUsedUntilItIsReadable(t *testing.T) {
 	r := New()
 	other := born("b", 0, 2)
 	other.Address = "10.0.0.2:1"
 	r.Put(born("a", 0, 1), at(0))
 	r.Put(other, at(0))
-	if id, got := r.Invalidate(Mark{"a", 5}, 0); got != Updated || id != "a" {
+	if id, got := r.Invalidate(EntryRef{"a", 5}, 0); got != Updated || id != "a" {
 		t.Errorf("unreadable entry: %s %v", id, got)
 	}
 	r.Put(born("a", 0, 3), at(0))
-	if diff := cmp.Diff([]string{"b"}, taking(r)); diff != "" {
+	if diff := cmp.Diff([]string{"b"}, acceptingOfS(r)); diff != "" {
 		t.Error("while it is unreadable", diff)
 	}
-	if changed := r.Replace([]Server{other}, []Mark{{"a", 5}}, 6, at(0)); len(changed) > 0 {
+	if changed := r.Replace([]Server{other}, []EntryRef{{"a", 5}}, 6, at(0)); len(changed) > 0 {
 		t.Errorf("a list with the unreadable entry changes %v", changed)
 	}
 	if _, ok := r.Get("a"); !ok {
 		t.Error("the server is taken for gone")
 	}
 	r.Put(born("a", 0, 7), at(time.Second))
-	if diff := cmp.Diff([]string{"a", "b"}, taking(r)); diff != "" {
+	if diff := cmp.Diff([]string{"a", "b"}, acceptingOfS(r)); diff != "" {
 		t.Error("written well again", diff)
 	}
-	if _, got := r.Invalidate(Mark{"unknown", 9}, 0); got != Unchanged {
+	if _, got := r.Invalidate(EntryRef{"unknown", 9}, 0); got != Unchanged {
 		t.Errorf("an unreadable entry of a name that is not known: %v", got)
 	}
 }
@@ -253,7 +253,7 @@
 	r.Put(born("a", 1000, 1), at(0))
 	r.Remove("a", 2, at(0))
 	r.Expire(at(tombstoneLife + time.Second))
-	if len(r.newest) > 0 || len(r.gone) > 0 || len(r.current) > 0 {
-		t.Errorf("still known: %v %v %v", r.newest, r.gone, r.current)
+	if len(r.newestBorn) > 0 || len(r.gone) > 0 || len(r.current) > 0 {
+		t.Errorf("still known: %v %v %v", r.newestBorn, r.gone, r.current)
 	}
 }
--- a/internal/servers/removal.go
+++ b/internal/servers/removal.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// LapseGrace is how long an entry that is missing after the store was away
+	// RemovalGrace is how long an entry that is missing after the store was away
 	// still counts: servers that live write theirs again within 2 s. Somewhat
 	// less, because a server that did leave must get no request later than 2 s
 	// after its removal was acknowledged.
-	LapseGrace = 1700 * time.Millisecond
+	RemovalGrace = 1700 * time.Millisecond
 	// tombstoneLife is how long an incarnation that is gone is remembered, so
 	// that late news of a peer does not bring it back.
 	tombstoneLife = 5 * time.Minute
@@ -35,51 +35,51 @@
 // outage. So a removal seen shortly after one only counts when the entry does
 // not come back; that of a server that was leaving counts at once.
 func (r *Registry) Remove(name string, revision Revision, now monotime.Instant) (id string, change Change) {
-	r.enter(revision, now)
+	r.observe(revision, now)
 	r.dropCopies(name)
 	id = r.current[name]
-	known := r.live[id]
-	if known == nil || revision < known.server.Revision {
+	rec := r.live[id]
+	if rec == nil || revision < rec.server.Revision {
 		return id, Unchanged
 	}
-	if r.unstableUntil != 0 && now < r.unstableUntil && !known.server.Draining {
-		if known.lapsesAt != 0 {
+	if r.unstableUntil != 0 && now < r.unstableUntil && !rec.server.Draining {
+		if rec.graceEndsAt != 0 {
 			return id, Unchanged
 		}
-		known.lapsesAt = r.unstableUntil
-		known.server.Revision = revision
-		return id, Lapsing
+		rec.graceEndsAt = r.unstableUntil
+		rec.server.Revision = revision
+		return id, InGrace
 	}
-	r.bury(id, revision, now)
+	r.addTombstone(id, revision, now)
 	return id, Removed
 }
 
-// Bury takes a peer's word that an incarnation is gone for good. One that left in an era
+// MarkGone takes a peer's word that an incarnation is gone for good. One that left in an era
 // before is gone although the store's copy still has it.
-func (r *Registry) Bury(id string, revision Revision, now monotime.Instant) Change {
-	r.enter(revision, now)
-	known := r.live[id]
-	if known != nil && revision < known.server.Revision && !r.endedBefore(known, revision) {
+func (r *Registry) MarkGone(id string, revision Revision, now monotime.Instant) Change {
+	r.observe(revision, now)
+	rec := r.live[id]
+	if rec != nil && revision < rec.server.Revision && !r.endedInEarlierEra(rec, revision) {
 		return Unchanged
 	}
 	if stone, ok := r.gone[id]; ok {
-		r.buryAgain(id, stone, revision)
+		r.extendTombstone(id, stone, revision)
 		return Unchanged
 	}
-	r.bury(id, revision, now)
-	if known == nil {
+	r.addTombstone(id, revision, now)
+	if rec == nil {
 		return Unchanged
 	}
 	return Removed
 }
 
-func (r *Registry) bury(id string, revision Revision, now monotime.Instant) {
+func (r *Registry) addTombstone(id string, revision Revision, now monotime.Instant) {
 	stone := tombstone{revision: revision, at: now}
 	stone.name, _, _ = strings.Cut(id, bornSeparator)
-	if known := r.live[id]; known != nil {
-		stone.name, stone.draining = known.server.Name, known.server.Draining
-		if r.endedBefore(known, revision) {
-			r.copies[id] = known.server
+	if rec := r.live[id]; rec != nil {
+		stone.name, stone.draining = rec.server.Name, rec.server.Draining
+		if r.endedInEarlierEra(rec, revision) {
+			r.copiedEntries[id] = rec.server
 		}
 	}
 	if r.current[stone.name] == id {
@@ -89,19 +89,19 @@
 	r.gone[id] = stone
 }
 
-// StoreReturned tells that the store answers again after it was away.
-func (r *Registry) StoreReturned(now monotime.Instant) {
-	r.unstableUntil = now.Add(LapseGrace)
+// StoreRecovered tells that the store answers again after it was away.
+func (r *Registry) StoreRecovered(now monotime.Instant) {
+	r.unstableUntil = now.Add(RemovalGrace)
 }
 
 // Expire drops servers whose entries did not come back, takes entries back that were
 // doubted, forgets old tombstones, and returns the ids of what changed.
 func (r *Registry) Expire(now monotime.Instant) (changed []string) {
-	changed = r.trustCopies(now)
+	changed = r.restoreCopies(now)
 	for _, id := range r.ids() {
-		known := r.live[id]
-		if known.lapsesAt != 0 && now >= known.lapsesAt {
-			r.bury(id, known.server.Revision, now)
+		rec := r.live[id]
+		if rec.graceEndsAt != 0 && now >= rec.graceEndsAt {
+			r.addTombstone(id, rec.server.Revision, now)
 			changed = append(changed, id)
 		}
 	}
@@ -110,19 +110,19 @@
 			delete(r.gone, id)
 		}
 	}
-	r.forgetNames()
+	r.dropUnusedNames()
 	return changed
 }
 
-// forgetNames drops the births of names of which nothing else is known any more.
-func (r *Registry) forgetNames() {
-	buried := make(map[string]bool, len(r.gone))
+// dropUnusedNames drops the births of names of which nothing else is known any more.
+func (r *Registry) dropUnusedNames() {
+	hasTombstone := make(map[string]bool, len(r.gone))
 	for _, stone := range r.gone {
-		buried[stone.name] = true
+		hasTombstone[stone.name] = true
 	}
-	for name := range r.newest {
-		if r.current[name] == "" && !buried[name] {
-			delete(r.newest, name)
+	for name := range r.newestBorn {
+		if r.current[name] == "" && !hasTombstone[name] {
+			delete(r.newestBorn, name)
 		}
 	}
 }
--- a/internal/servers/revision.go
+++ b/internal/servers/revision.go
@@ -12,15 +12,15 @@
 
 const (
 	numberBits = 47
-	// MostNumber and MostEra are the largest that a Revision holds.
-	MostNumber = 1<<numberBits - 1
-	MostEra    = 1<<(63-numberBits) - 1
+	// MaxNumber and MostEra are the largest that a Revision holds.
+	MaxNumber = 1<<numberBits - 1
+	MaxEra    = 1<<(63-numberBits) - 1
 )
 
 // NewRevision returns the revision of an era and a number; false when one of them is
 // negative or too large.
 func NewRevision(era, number int64) (r Revision, ok bool) {
-	if era < 0 || era > MostEra || number < 0 || number > MostNumber {
+	if era < 0 || era > MaxEra || number < 0 || number > MaxNumber {
 		return 0, false
 	}
 	return Revision(era<<numberBits | number), true
@@ -30,7 +30,7 @@
 func (r Revision) Era() int64 { return int64(r) >> numberBits }
 
 // Number that the store gives it.
-func (r Revision) Number() int64 { return int64(r) & MostNumber }
+func (r Revision) Number() int64 { return int64(r) & MaxNumber }
 
 // String is the number, with the era before it where there has been more than one.
 func (r Revision) String() string {
--- a/internal/servers/server.go
+++ b/internal/servers/server.go
@@ -48,8 +48,8 @@
 // bornSeparator stands between name and birth in the id of an incarnation.
 const bornSeparator = "@"
 
-// Mark is an entry without content: one that ended, or one that can't be read.
-type Mark struct {
+// EntryRef is an entry without content: one that ended, or one that can't be read.
+type EntryRef struct {
 	// Name of the server.
 	Name string
 	// Revision of the store at which this was so.
@@ -67,8 +67,8 @@
 	Added
 	// Updated: an entry changed.
 	Updated
-	// Lapsing: the entry is missing, and may come back.
-	Lapsing
+	// InGrace: the entry is missing, and may come back.
+	InGrace
 	// Removed: the server is gone.
 	Removed
 )
--- a/internal/throttle/owners.go
+++ b/internal/throttle/owners.go
@@ -6,19 +6,19 @@
 // server, by rendezvous hashing: instances with the same members agree, and when one
 // leaves only the servers that it owned get another owner.
 func owns(v *view, id string, owners int) bool {
-	mine := affinity(v.self, id)
-	before := 0
+	mine := hashWeight(v.self, id)
+	preceding := 0
 	for _, member := range v.members {
 		if member == v.self {
 			continue
 		}
-		if a := affinity(member, id); a < mine || a == mine && member < v.self {
-			before++
+		if a := hashWeight(member, id); a < mine || a == mine && member < v.self {
+			preceding++
 		}
 	}
-	return before < owners
+	return preceding < owners
 }
 
-func affinity(member, server string) uint64 {
+func hashWeight(member, server string) uint64 {
 	return xxhash.Sum64String(member + "\x00" + server)
 }
--- a/internal/throttle/server.go
+++ b/internal/throttle/server.go
@@ -8,13 +8,13 @@
 
 // server is what is known of one incarnation.
 type server struct {
-	// until is when it is warm, as its entry says; suspectUntil when it is although
-	// it may have started again since suspectAt, of which no entry tells yet.
-	until, suspectUntil, suspectAt monotime.Instant
-	// lost says that no connection to it could be made, so that it may come back cold.
-	lost bool
-	// named is the rate that it says it takes, at least trialRate; 0 when it names none.
-	named float64
+	// coldUntil is when it is warm, as its entry says; assumedColdUntil when it is although
+	// it may have started again since assumedColdSince, of which no entry tells yet.
+	coldUntil, assumedColdUntil, assumedColdSince monotime.Instant
+	// unreachable says that no connection to it could be made, so that it may come back cold.
+	unreachable bool
+	// rateLimit is the rate that it says it takes, at least trialRate; 0 when it names none.
+	rateLimit float64
 	// pausedUntil is when it takes requests of this instance again, as it says.
 	pausedUntil monotime.Instant
 	// nextAt is when this instance may send the next request.
@@ -23,25 +23,25 @@
 	recent []monotime.Instant
 	// owned is whether this instance is one of the owners, by the view and for the rate
 	// for which that was worked out.
-	owned     bool
-	ownedIn   *view
-	ownedRate float64
-	owners    int
+	owned      bool
+	ownedView  *view
+	ownedRate  float64
+	ownerCount int
 }
 
-// watched reports whether the server has or may have a bound.
-func (s *server) watched() bool {
-	return s.until != 0 || s.suspectUntil != 0 || s.lost || s.named != 0 || s.pausedUntil != 0
+// mayBeLimited reports whether the server has or may have a bound.
+func (s *server) mayBeLimited() bool {
+	return s.coldUntil != 0 || s.assumedColdUntil != 0 || s.unreachable || s.rateLimit != 0 || s.pausedUntil != 0
 }
 
-func (s *server) note(now monotime.Instant) {
-	s.forgetBefore(now)
-	if len(s.recent) < recentMost {
+func (s *server) record(now monotime.Instant) {
+	s.dropOld(now)
+	if len(s.recent) < maxRecent {
 		s.recent = append(s.recent, now)
 	}
 }
 
-func (s *server) forgetBefore(now monotime.Instant) {
+func (s *server) dropOld(now monotime.Instant) {
 	n := 0
 	for n < len(s.recent) && now.Sub(s.recent[n]) >= window {
 		n++
@@ -49,27 +49,27 @@
 	s.recent = s.recent[:copy(s.recent, s.recent[n:])]
 }
 
-func (s *server) cold(storeWord, now monotime.Instant) bool {
-	if now < s.until {
+func (s *server) cold(storeConfirmedAt, now monotime.Instant) bool {
+	if now < s.coldUntil {
 		return true
 	}
 	// The store has since said that it is the same incarnation as before.
-	same := storeWord >= s.suspectAt.Add(wordLag)
-	return now < s.suspectUntil && !same
+	same := storeConfirmedAt >= s.assumedColdSince.Add(confirmationLag)
+	return now < s.assumedColdUntil && !same
 }
 
 // rate is what the server bears now, in requests a second; 0 for no bound.
-func (s *server) rate(ask *Ask, now monotime.Instant) float64 {
-	if ask.Limit.Rate <= 0 || !s.cold(ask.StoreWord, now) {
-		return s.named
+func (s *server) rate(r *Request, now monotime.Instant) float64 {
+	if r.ColdLimit.Rate <= 0 || !s.cold(r.StoreConfirmedAt, now) {
+		return s.rateLimit
 	}
-	if s.named > 0 {
-		return min(s.named, ask.Limit.Rate)
+	if s.rateLimit > 0 {
+		return min(s.rateLimit, r.ColdLimit.Rate)
 	}
-	return ask.Limit.Rate
+	return r.ColdLimit.Rate
 }
 
-// pause is the time between two requests of one owner.
-func (s *server) pause(rate float64) time.Duration {
-	return time.Duration(float64(s.owners) / rate * float64(time.Second))
+// interval is the time between two requests of one owner.
+func (s *server) interval(rate float64) time.Duration {
+	return time.Duration(float64(s.ownerCount) / rate * float64(time.Second))
 }
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -24,53 +24,53 @@
 )
 
 const (
-	// ownerRate is how many requests a second one owner sends to a cold server at most.
+	// maxOwnerRate is how many requests a second one owner sends to a cold server at most.
 	// Then no second holds two of one owner, so that all owners together send no more
 	// in it than the server bears, and an instance that takes only a few requests a
 	// second from its callers has enough of them to use its part.
-	ownerRate = 1.0
+	maxOwnerRate = 1.0
 	// window is the span in which a server bears its rate.
 	window = time.Second
-	// settleTime is how long a process that starts sends nothing to cold servers: it
+	// startupDelay is how long a process that starts sends nothing to cold servers: it
 	// knows few members yet and would own all of them. Links to all others stand
 	// within a second.
-	settleTime = 1500 * time.Millisecond
-	// wordLag is how long after a server answered again the store's word that it is
+	startupDelay = 1500 * time.Millisecond
+	// confirmationLag is how long after a server answered again the store's word that it is
 	// the same one counts. The entry of one that has started again is known to all
 	// instances within some 300 ms.
-	wordLag = 500 * time.Millisecond
-	// restraint is how much of the time between two requests of an owner is left to
+	confirmationLag = 500 * time.Millisecond
+	// priorityDelayStep is how much of the time between two requests of an owner is left to
 	// more urgent ones, for each step of priority, where all servers are cold. With a
 	// quarter the third priority still gets what the first two leave.
-	restraint = 0.25
-	// restraintMost bounds that for the lowest priorities, so that they are served.
-	restraintMost = 0.75
-	// inUseFor is how long after a request a server counts as in use: many times the delay
+	priorityDelayStep = 0.25
+	// maxPriorityDelay bounds that for the lowest priorities, so that they are served.
+	maxPriorityDelay = 0.75
+	// inUseWindow is how long after a request a server counts as in use: many times the delay
 	// of news, and a fleet that serves a service sends it some requests in that time.
-	inUseFor = 300 * time.Millisecond
-	// trialRate is what a server gets that names a lower rate, in requests a second. Only
+	inUseWindow = 300 * time.Millisecond
+	// probeRate is what a server gets that names a lower rate, in requests a second. Only
 	// an answer tells that its limit is over, so one that got nothing would for good.
-	trialRate = 0.2
-	// recentMost bounds the requests remembered of a server: more than any cold one
+	probeRate = 0.2
+	// maxRecent bounds the requests remembered of a server: more than any cold one
 	// bears in a second.
-	recentMost = 256
+	maxRecent = 256
 )
 
-// Limit is what a cold server of a service bears.
-type Limit struct {
+// ColdLimit is what a cold server of a service bears.
+type ColdLimit struct {
 	// Rate in requests a second; 0 for no bound.
 	Rate float64
-	// Lasts is how long a server is cold after it starts.
-	Lasts time.Duration
+	// Duration is how long a server is cold after it starts.
+	Duration time.Duration
 }
 
 // Limiter decides when this instance may send to servers that bear few requests. It is
 // safe for concurrent use.
 type Limiter struct {
-	begun monotime.Instant
-	// watched is the number of servers that have or may have a bound, so that the others
+	startedAt monotime.Instant
+	// limitedCount is the number of servers that have or may have a bound, so that the others
 	// cost nothing.
-	watched atomic.Int64
+	limitedCount atomic.Int64
 
 	mu      sync.Mutex
 	view    *view
@@ -85,7 +85,7 @@
 
 // New returns a Limiter of a process that starts now and knows no other instance.
 func New(self string, now monotime.Instant) *Limiter {
-	return &Limiter{begun: now, view: &view{self: self, members: []string{self}}, servers: make(map[string]*server)}
+	return &Limiter{startedAt: now, view: &view{self: self, members: []string{self}}, servers: make(map[string]*server)}
 }
 
 // SetMembers replaces the instances that share servers, this one among them.
@@ -110,21 +110,21 @@
 func (l *Limiter) SetCold(id string, until monotime.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.change(id, func(s *server) { s.until = until })
+	l.update(id, func(s *server) { s.coldUntil = until })
 }
 
-// SetNamed notes the rate that a server says it takes of all instances together.
-func (l *Limiter) SetNamed(id string, rate float64) {
+// SetRateLimit notes the rate that a server says it takes of all instances together.
+func (l *Limiter) SetRateLimit(id string, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.change(id, func(s *server) { s.named = max(rate, trialRate) })
+	l.update(id, func(s *server) { s.rateLimit = max(rate, probeRate) })
 }
 
-// ClearNamed notes that a server names no rate.
-func (l *Limiter) ClearNamed(id string) {
+// ClearRateLimit notes that a server names no rate.
+func (l *Limiter) ClearRateLimit(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.change(id, func(s *server) { s.named = 0 })
+	l.update(id, func(s *server) { s.rateLimit = 0 })
 }
 
 // Pause notes that a server wants nothing from this instance until an instant. A shorter
@@ -132,73 +132,73 @@
 func (l *Limiter) Pause(id string, until monotime.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.change(id, func(s *server) { s.pausedUntil = max(s.pausedUntil, until) })
+	l.update(id, func(s *server) { s.pausedUntil = max(s.pausedUntil, until) })
 }
 
 // Forget drops what is known of an incarnation that is gone.
 func (l *Limiter) Forget(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.change(id, func(s *server) { *s = server{} })
+	l.update(id, func(s *server) { *s = server{} })
 	delete(l.servers, id)
 }
 
-// Lost notes that a server can't be reached. When it answers again it may have
+// MarkUnreachable notes that a server can't be reached. When it answers again it may have
 // started again, and requests of all instances would reach it before its entry does.
-func (l *Limiter) Lost(id string) {
+func (l *Limiter) MarkUnreachable(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.change(id, func(s *server) { s.lost = true })
+	l.update(id, func(s *server) { s.unreachable = true })
 }
 
-// Reached notes that a connection to a server was made. One that had been lost counts
+// MarkReachable notes that a connection to a server was made. One that had been lost counts
 // as cold until its entry says otherwise, see Take.
-func (l *Limiter) Reached(id string, limit Limit, now monotime.Instant) {
-	if l.watched.Load() == 0 {
+func (l *Limiter) MarkReachable(id string, limit ColdLimit, now monotime.Instant) {
+	if l.limitedCount.Load() == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.servers[id]
-	if s == nil || !s.lost {
+	if s == nil || !s.unreachable {
 		return
 	}
-	l.change(id, func(s *server) {
-		s.lost = false
+	l.update(id, func(s *server) {
+		s.unreachable = false
 		if limit.Rate > 0 {
-			s.suspectAt, s.suspectUntil = now, now.Add(limit.Lasts)
+			s.assumedColdSince, s.assumedColdUntil = now, now.Add(limit.Duration)
 		}
 	})
 }
 
-// change changes what is known of a server and keeps watched right; mu is held. A fleet
+// update changes what is known of a server and keeps watched right; mu is held. A fleet
 // that starts learns thousands of servers at once, so the others are not looked at.
-func (l *Limiter) change(id string, f func(*server)) {
+func (l *Limiter) update(id string, f func(*server)) {
 	s := l.server(id)
-	was := s.watched()
+	was := s.mayBeLimited()
 	f(s)
-	switch now := s.watched(); {
+	switch now := s.mayBeLimited(); {
 	case now && !was:
-		l.watched.Add(1)
+		l.limitedCount.Add(1)
 	case was && !now:
-		l.watched.Add(-1)
+		l.limitedCount.Add(-1)
 	}
 }
 
-// refresh ends what is over for a server, so that it is no longer watched; mu is held.
+// clearExpired ends what is over for a server, so that it is no longer watched; mu is held.
 // Else one that was cold once would cost every later choice a look at each server.
-func (l *Limiter) refresh(id string, s *server, storeWord, now monotime.Instant) {
-	over := !s.lost && s.named == 0 && now >= s.pausedUntil && !s.cold(storeWord, now)
-	if s.watched() && over {
-		l.change(id, func(s *server) { s.until, s.suspectUntil, s.pausedUntil = 0, 0, 0 })
+func (l *Limiter) clearExpired(id string, s *server, storeConfirmedAt, now monotime.Instant) {
+	expired := !s.unreachable && s.rateLimit == 0 && now >= s.pausedUntil && !s.cold(storeConfirmedAt, now)
+	if s.mayBeLimited() && expired {
+		l.update(id, func(s *server) { s.coldUntil, s.assumedColdUntil, s.pausedUntil = 0, 0, 0 })
 	}
 }
 
-// Note notes that a request of any instance began on a server.
-func (l *Limiter) Note(id string, now monotime.Instant) {
+// RecordRequest notes that a request of any instance began on a server.
+func (l *Limiter) RecordRequest(id string, now monotime.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.server(id).note(now)
+	l.server(id).record(now)
 }
 
 // InUse reports whether any instance has sent a request to one of the servers lately, and
@@ -212,108 +212,108 @@
 			continue
 		}
 		last := s.recent[len(s.recent)-1]
-		if last >= since && now.Sub(last) < inUseFor {
+		if last >= since && now.Sub(last) < inUseWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// Ask is a request that is to be sent.
-type Ask struct {
-	// Limit of the service's cold servers.
-	Limit Limit
+// Request is a request that is to be sent.
+type Request struct {
+	// ColdLimit of the service's cold servers.
+	ColdLimit ColdLimit
 	// Priority, 0 first.
 	Priority int
-	// Scarce says that all servers of the service are bounded, so that what they bear is
+	// AllLimited says that all servers of the service are bounded, so that what they bear is
 	// left to the more urgent requests first.
-	Scarce bool
-	// StoreWord is when what is known of servers was last known to be the newest.
-	StoreWord monotime.Instant
+	AllLimited bool
+	// StoreConfirmedAt is when what is known of servers was last known to be the newest.
+	StoreConfirmedAt monotime.Instant
 }
 
 // Cold reports whether a server is cold.
-func (l *Limiter) Cold(id string, storeWord, now monotime.Instant) bool {
-	if l.watched.Load() == 0 {
+func (l *Limiter) Cold(id string, storeConfirmedAt, now monotime.Instant) bool {
+	if l.limitedCount.Load() == 0 {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.servers[id]
-	return s != nil && s.cold(storeWord, now)
+	return s != nil && s.cold(storeConfirmedAt, now)
 }
 
-// Bounded reports whether a server bears only so many requests a second, or wants none.
-func (l *Limiter) Bounded(id string, ask Ask, now monotime.Instant) bool {
-	if l.watched.Load() == 0 {
+// Limited reports whether a server bears only so many requests a second, or wants none.
+func (l *Limiter) Limited(id string, r Request, now monotime.Instant) bool {
+	if l.limitedCount.Load() == 0 {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.servers[id]
-	return s != nil && (now < s.pausedUntil || s.rate(&ask, now) > 0)
+	return s != nil && (now < s.pausedUntil || s.rate(&r, now) > 0)
 }
 
-// Open reports whether this instance may send a request to a server now.
-func (l *Limiter) Open(id string, ask Ask, now monotime.Instant) bool {
-	if l.watched.Load() == 0 {
+// Allows reports whether this instance may send a request to a server now.
+func (l *Limiter) Allows(id string, r Request, now monotime.Instant) bool {
+	if l.limitedCount.Load() == 0 {
 		return true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.servers[id]
-	return s == nil || l.open(id, s, &ask, now)
+	return s == nil || l.allows(id, s, &r, now)
 }
 
-// Take is Open, and counts the request as sent if it may be.
-func (l *Limiter) Take(id string, ask Ask, now monotime.Instant) bool {
+// TryAcquire is Open, and counts the request as sent if it may be.
+func (l *Limiter) TryAcquire(id string, r Request, now monotime.Instant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.server(id)
-	if !l.open(id, s, &ask, now) {
+	if !l.allows(id, s, &r, now) {
 		return false
 	}
-	if rate := s.rate(&ask, now); rate > 0 {
-		s.nextAt = now.Add(s.pause(rate))
+	if rate := s.rate(&r, now); rate > 0 {
+		s.nextAt = now.Add(s.interval(rate))
 	}
-	s.note(now)
+	s.record(now)
 	return true
 }
 
-// open decides; mu is held.
-func (l *Limiter) open(id string, s *server, ask *Ask, now monotime.Instant) bool {
-	l.refresh(id, s, ask.StoreWord, now)
+// allows decides; mu is held.
+func (l *Limiter) allows(id string, s *server, r *Request, now monotime.Instant) bool {
+	l.clearExpired(id, s, r.StoreConfirmedAt, now)
 	if now < s.pausedUntil {
 		return false
 	}
-	rate := s.rate(ask, now)
+	rate := s.rate(r, now)
 	if rate <= 0 {
 		return true
 	}
-	if now.Sub(l.begun) < settleTime {
+	if now.Sub(l.startedAt) < startupDelay {
 		return false
 	}
 	if !l.owns(id, s, rate) {
 		return false
 	}
 	due := s.nextAt
-	if ask.Scarce {
-		share := math.Min(restraintMost, restraint*float64(max(0, ask.Priority)))
-		due = due.Add(time.Duration(share * float64(s.pause(rate))))
+	if r.AllLimited {
+		share := math.Min(maxPriorityDelay, priorityDelayStep*float64(max(0, r.Priority)))
+		due = due.Add(time.Duration(share * float64(s.interval(rate))))
 	}
 	if now < due {
 		return false
 	}
-	s.forgetBefore(now)
+	s.dropOld(now)
 	return float64(len(s.recent)) < rate
 }
 
 // owns reports whether this instance is one of the server's owners; mu is held.
 func (l *Limiter) owns(id string, s *server, rate float64) bool {
-	if s.ownedIn != l.view || s.ownedRate != rate {
-		s.owners = int(min(math.Ceil(rate/ownerRate), float64(len(l.view.members))))
-		s.owned = owns(l.view, id, s.owners)
-		s.ownedIn, s.ownedRate = l.view, rate
+	if s.ownedView != l.view || s.ownedRate != rate {
+		s.ownerCount = int(min(math.Ceil(rate/maxOwnerRate), float64(len(l.view.members))))
+		s.owned = owns(l.view, id, s.ownerCount)
+		s.ownedView, s.ownedRate = l.view, rate
 	}
 	return s.owned
 }
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -13,31 +13,31 @@
 
 const start = monotime.Instant(time.Hour)
 
-var coldEngine = Limit{Rate: 5.9, Lasts: 3 * time.Second}
+var coldLimit = ColdLimit{Rate: 5.9, Duration: 3 * time.Second}
 
 // simulation is a fleet before one cold server: every instance wants to send all the
 // time, hears of the others' requests late, and learns late who is a member.
 type simulation struct {
-	rng       *rand.Rand
-	limiters  map[string]*Limiter
-	newsDelay time.Duration
-	pending   []news
-	arrivals  []monotime.Instant
+	rng         *rand.Rand
+	limiters    map[string]*Limiter
+	updateDelay time.Duration
+	pending     []update
+	arrivals    []monotime.Instant
 }
 
-type news struct {
+type update struct {
 	at   monotime.Instant
 	from string
 }
 
-func newSimulation(seed uint64, instances int, newsDelay time.Duration) *simulation {
+func newSimulation(seed uint64, instances int, updateDelay time.Duration) *simulation {
 	s := &simulation{
-		rng: rand.New(rand.NewPCG(seed, seed)), limiters: make(map[string]*Limiter), newsDelay: newsDelay,
+		rng: rand.New(rand.NewPCG(seed, seed)), limiters: make(map[string]*Limiter), updateDelay: updateDelay,
 	}
 	for i := range instances {
 		s.start(fmt.Sprintf("i%d", i), start)
 	}
-	s.agree()
+	s.shareMembers()
 	return s
 }
 
@@ -57,23 +57,23 @@
 	return out
 }
 
-// agree has all instances know all others.
-func (s *simulation) agree() {
+// shareMembers has all instances know all others.
+func (s *simulation) shareMembers() {
 	all := s.members()
 	for _, l := range s.limiters {
 		l.SetMembers(all)
 	}
 }
 
-// play runs for a while from an instant in steps of a millisecond, with so many
+// run runs for a while from an instant in steps of a millisecond, with so many
 // requests a second at each instance.
-func (s *simulation) play(from monotime.Instant, lasts time.Duration, perSecond float64, limit Limit) monotime.Instant {
+func (s *simulation) run(from monotime.Instant, lasts time.Duration, perSecond float64, limit ColdLimit) monotime.Instant {
 	ids := s.members()
 	for t := from; t < from.Add(lasts); t = t.Add(time.Millisecond) {
 		for len(s.pending) > 0 && s.pending[0].at <= t {
 			for _, id := range ids {
 				if id != s.pending[0].from {
-					s.limiters[id].Note("srv", t)
+					s.limiters[id].RecordRequest("srv", t)
 				}
 			}
 			s.pending = s.pending[1:]
@@ -82,20 +82,20 @@
 			if s.rng.Float64() >= perSecond/1000 {
 				continue
 			}
-			if s.limiters[id].Take("srv", Ask{Limit: limit, Priority: s.rng.IntN(3)}, t) {
+			if s.limiters[id].TryAcquire("srv", Request{ColdLimit: limit, Priority: s.rng.IntN(3)}, t) {
 				s.arrivals = append(s.arrivals, t)
-				s.pending = append(s.pending, news{t.Add(s.newsDelay), id})
+				s.pending = append(s.pending, update{t.Add(s.updateDelay), id})
 			}
 		}
 	}
 	return from.Add(lasts)
 }
 
-// most returns the largest number of arrivals in any second.
-func (s *simulation) most() int { return s.mostIn(time.Second) }
+// maxPerSecond returns the largest number of arrivals in any second.
+func (s *simulation) maxPerSecond() int { return s.maxIn(time.Second) }
 
-// mostIn returns the largest number of arrivals in any span of a length.
-func (s *simulation) mostIn(span time.Duration) int {
+// maxIn returns the largest number of arrivals in any span of a length.
+func (s *simulation) maxIn(span time.Duration) int {
 	most := 0
 	for i, from := range s.arrivals {
 		n := 0
@@ -111,19 +111,19 @@
 
 // allowed is what a cold server gets in a second at most: half more than its rate, and
 // five for what happens by chance. Beyond that it crashes.
-func allowed(limit Limit) float64 { return 1.5*limit.Rate + 5 }
+func allowed(limit ColdLimit) float64 { return 1.5*limit.Rate + 5 }
 
 // A server comes back cold in a burst: each of up to 300 instances has work for it all
 // the time, and news of what others sent come 5 ms to a second late. No second may
 // hold more than the server bears, and what it bears is used.
-func TestAColdServerGetsWhatItBears(t *testing.T) {
+func TestAColdServerIsUsedWithinItsRate(t *testing.T) {
 	for _, instances := range []int{1, 2, 9, 60, 300} {
 		for _, delay := range []time.Duration{5 * time.Millisecond, 100 * time.Millisecond, time.Second} {
 			for _, rate := range []float64{1, 5.9, 20} {
-				limit := Limit{Rate: rate, Lasts: 3 * time.Second}
+				limit := ColdLimit{Rate: rate, Duration: 3 * time.Second}
 				s := newSimulation(uint64(instances), instances, delay)
-				s.play(start.Add(settleTime), 10*time.Second, max(4, 400/float64(instances)), limit)
-				if most := s.most(); float64(most) > allowed(limit) {
+				s.run(start.Add(startupDelay), 10*time.Second, max(4, 400/float64(instances)), limit)
+				if most := s.maxPerSecond(); float64(most) > allowed(limit) {
 					t.Errorf("%d instances, news after %v: %d in a second, rate %v", instances, delay, most, rate)
 				}
 				if used := float64(len(s.arrivals)) / 10; used < 0.6*rate {
@@ -138,10 +138,10 @@
 // that know nobody, some instances are cut off and believe in themselves alone later
 // than the others notice, and no news get through. Still no second holds more than
 // the server bears.
-func TestAColdServerBearsAFleetThatDisagrees(t *testing.T) {
+func TestAColdServerIsNotOverrunByDisagreeingMemberLists(t *testing.T) {
 	for seed := range uint64(40) {
 		s := newSimulation(seed, 60, time.Hour)
-		now := s.play(start.Add(settleTime), time.Second, 6, coldEngine)
+		now := s.run(start.Add(startupDelay), time.Second, 6, coldLimit)
 		all := s.members()
 		third := all[:20]
 		for _, id := range third {
@@ -154,16 +154,16 @@
 		for _, id := range third {
 			s.limiters[id].SetMembers([]string{id})
 		}
-		now = s.play(now, 400*time.Millisecond, 6, coldEngine)
+		now = s.run(now, 400*time.Millisecond, 6, coldLimit)
 		// The new processes find each other in groups before they find the rest.
 		for i, id := range third {
 			group := third[i/5*5 : i/5*5+5]
 			s.limiters[id].SetMembers(group)
 		}
-		now = s.play(now, 600*time.Millisecond, 6, coldEngine)
-		s.agree()
-		s.play(now, 3*time.Second, 6, coldEngine)
-		if most := s.most(); float64(most) > allowed(coldEngine) {
+		now = s.run(now, 600*time.Millisecond, 6, coldLimit)
+		s.shareMembers()
+		s.run(now, 3*time.Second, 6, coldLimit)
+		if most := s.maxPerSecond(); float64(most) > allowed(coldLimit) {
 			t.Errorf("seed %d: %d in a second", seed, most)
 		}
 	}
@@ -171,10 +171,10 @@
 
 // A fleet is cut in two halves that both reach a cold server and not each other. Each
 // half takes owners of its own.
-func TestTwoHalvesOfAFleetShareAColdServer(t *testing.T) {
+func TestAColdServerIsNotOverrunByASplitFleet(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(seed, 60, time.Hour)
-		now := s.play(start.Add(settleTime), time.Second, 6, coldEngine)
+		now := s.run(start.Add(startupDelay), time.Second, 6, coldLimit)
 		all := s.members()
 		for i, id := range all {
 			half := all[:30]
@@ -183,8 +183,8 @@
 			}
 			s.limiters[id].SetMembers(half)
 		}
-		s.play(now, 5*time.Second, 6, coldEngine)
-		if most := s.most(); float64(most) > allowed(coldEngine) {
+		s.run(now, 5*time.Second, 6, coldLimit)
+		if most := s.maxPerSecond(); float64(most) > allowed(coldLimit) {
 			t.Errorf("seed %d: %d in a second", seed, most)
 		}
 	}
@@ -193,8 +193,8 @@
 // A server crashes and is back within a second under its name. Instances that found it
 // unreachable reach it before its entry tells that it has started again. They must not
 // all send at once; once the store has said that it is the same server, they may.
-func TestAServerThatWasLostCountsAsColdUntilTheStoreSaysOtherwise(t *testing.T) {
-	now := start.Add(settleTime)
+func TestAnUnreachableServerCountsAsColdUntilConfirmed(t *testing.T) {
+	now := start.Add(startupDelay)
 	ids := make([]string, 60)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("i%d", i)
@@ -203,20 +203,20 @@
 	for _, id := range ids {
 		l := New(id, start)
 		l.SetMembers(ids)
-		l.Lost("srv")
-		l.Reached("srv", coldEngine, now)
-		ask := Ask{Limit: coldEngine, StoreWord: now.Add(-100 * time.Millisecond)}
+		l.MarkUnreachable("srv")
+		l.MarkReachable("srv", coldLimit, now)
+		ask := Request{ColdLimit: coldLimit, StoreConfirmedAt: now.Add(-100 * time.Millisecond)}
 		for range 5 {
-			if l.Take("srv", ask, now) {
+			if l.TryAcquire("srv", ask, now) {
 				sent++
 			}
 		}
-		ask.StoreWord = now.Add(wordLag)
-		if l.Take("srv", ask, now.Add(wordLag)) {
+		ask.StoreConfirmedAt = now.Add(confirmationLag)
+		if l.TryAcquire("srv", ask, now.Add(confirmationLag)) {
 			later++
 		}
 	}
-	if float64(sent) > math.Ceil(coldEngine.Rate) {
+	if float64(sent) > math.Ceil(coldLimit.Rate) {
 		t.Errorf("%d sent at once", sent)
 	}
 	if later != len(ids) {
@@ -226,13 +226,13 @@
 
 // All servers are cold after a whole fleet of them started. What they bear goes to the
 // urgent requests first, and the others get what is left.
-func TestWhatColdServersBearIsLeftToUrgentRequests(t *testing.T) {
+func TestColdCapacityIsReservedForUrgentRequests(t *testing.T) {
 	l := New("me", start)
 	l.SetCold("srv", start.Add(time.Minute))
 	served := make(map[int]int)
 	rng := rand.New(rand.NewPCG(1, 1))
 	urgent := 0
-	for now := start.Add(settleTime); now < start.Add(20*time.Second); now = now.Add(5 * time.Millisecond) {
+	for now := start.Add(startupDelay); now < start.Add(20*time.Second); now = now.Add(5 * time.Millisecond) {
 		priority := rng.IntN(3)
 		if rng.Float64() > 0.1 {
 			continue // 20 requests a second for 5.9 that the server bears
@@ -240,7 +240,7 @@
 		if priority == 0 {
 			urgent++
 		}
-		if l.Take("srv", Ask{Limit: coldEngine, Priority: priority, Scarce: true}, now) {
+		if l.TryAcquire("srv", Request{ColdLimit: coldLimit, Priority: priority, AllLimited: true}, now) {
 			served[priority]++
 		}
 	}
@@ -253,17 +253,17 @@
 // of up to 300 instances has work for it all the time, and for five of the fifteen seconds
 // they disagree on who is a member, so that two sets of owners send to it. In no four
 // seconds may it get more than half as much again and five, and it gets half of what it takes at least.
-func TestAServerGetsTheRateThatItNames(t *testing.T) {
+func TestAServerIsUsedWithinItsRateLimit(t *testing.T) {
 	const span = 4 * time.Second
 	for _, instances := range []int{2, 9, 60, 300} {
 		for _, rate := range []float64{0, 0.3, 1.7, 6, 40} {
 			s := newSimulation(uint64(instances), instances, 50*time.Millisecond)
 			for _, l := range s.limiters {
 				l.SetCold("srv", 0)
-				l.SetNamed("srv", rate)
+				l.SetRateLimit("srv", rate)
 			}
 			const perSecond = 400
-			now := s.play(start.Add(settleTime), 10*time.Second, perSecond/float64(instances), Limit{})
+			now := s.run(start.Add(startupDelay), 10*time.Second, perSecond/float64(instances), ColdLimit{})
 			if got := float64(len(s.arrivals)); got < rate*10/2-1 || got == 0 {
 				t.Errorf("%d instances, rate %v: %v requests in 10 s", instances, rate, got)
 			}
@@ -271,8 +271,8 @@
 			for n, id := range s.members() {
 				s.limiters[id].SetMembers(most[n%2*len(most)/2:])
 			}
-			s.play(now, 5*time.Second, perSecond/float64(instances), Limit{})
-			if most := s.mostIn(span); float64(most) > 1.5*rate*span.Seconds()+5 {
+			s.run(now, 5*time.Second, perSecond/float64(instances), ColdLimit{})
+			if most := s.maxIn(span); float64(most) > 1.5*rate*span.Seconds()+5 {
 				t.Errorf("%d instances, rate %v: %d in %v", instances, rate, most, span)
 			}
 		}
@@ -280,12 +280,12 @@
 }
 
 // A server that starts again, and names a rate besides, bears the lower of the two.
-func TestTheLowerOfTwoBoundsHolds(t *testing.T) {
+func TestTheLowerOfTwoLimitsHolds(t *testing.T) {
 	for _, named := range []float64{1, 20} {
 		s := newSimulation(1, 1, 0)
-		s.limiters["i0"].SetNamed("srv", named)
-		s.play(start.Add(settleTime), 10*time.Second, 400, coldEngine)
-		if got, most := float64(len(s.arrivals)), 10*min(named, coldEngine.Rate)+1; got > most || got < 0.8*most {
+		s.limiters["i0"].SetRateLimit("srv", named)
+		s.run(start.Add(startupDelay), 10*time.Second, 400, coldLimit)
+		if got, most := float64(len(s.arrivals)), 10*min(named, coldLimit.Rate)+1; got > most || got < 0.8*most {
 			t.Errorf("named %v: %v requests in 10 s", named, got)
 		}
 	}
@@ -296,10 +296,10 @@
 	l := New("me", start)
 	l.SetCold("srv", start.Add(time.Second))
 	for range 50 {
-		if !l.Take("srv", Ask{}, start) {
+		if !l.TryAcquire("srv", Request{}, start) {
 			t.Fatal("a service without a rate is limited")
 		}
-		if !l.Take("srv", Ask{Limit: coldEngine}, start.Add(time.Second)) {
+		if !l.TryAcquire("srv", Request{ColdLimit: coldLimit}, start.Add(time.Second)) {
 			t.Fatal("a warm server is limited")
 		}
 	}
@@ -308,7 +308,7 @@
 // A fleet that starts learns of all servers at once. What one of them costs must not grow
 // with their number: small instances would be busy with it for seconds, lose their links
 // and be told everything again.
-func TestLearningServersCostsTheSameForEach(t *testing.T) {
+func TestAddingAServerCostsTheSameAtAnyNumber(t *testing.T) {
 	took := func(servers int) time.Duration {
 		best := time.Hour
 		for range 5 {
@@ -329,7 +329,7 @@
 
 // The number of servers that need a look follows every change: with a wrong one warm
 // servers would cost each request, or cold ones be taken for warm.
-func TestServersThatNeedALookAreCounted(t *testing.T) {
+func TestLimitedServersAreCounted(t *testing.T) {
 	l := New("me", start)
 	for _, step := range []struct {
 		do   func()
@@ -337,22 +337,22 @@
 	}{
 		{func() { l.SetCold("a", start.Add(time.Second)) }, 1},
 		{func() { l.SetCold("a", start.Add(time.Minute)) }, 1},
-		{func() { l.Lost("b") }, 2},
-		{func() { l.Lost("a") }, 2},
-		{func() { l.Reached("b", Limit{}, start) }, 1},
+		{func() { l.MarkUnreachable("b") }, 2},
+		{func() { l.MarkUnreachable("a") }, 2},
+		{func() { l.MarkReachable("b", ColdLimit{}, start) }, 1},
 		{func() { l.Forget("a") }, 0},
 		{func() { l.Forget("unknown") }, 0},
 		{func() { l.Pause("e", start.Add(time.Second)) }, 1},
-		{func() { l.Take("e", Ask{}, start.Add(time.Second)) }, 0},
+		{func() { l.TryAcquire("e", Request{}, start.Add(time.Second)) }, 0},
 		{func() { l.SetCold("f", start.Add(time.Second)) }, 1},
-		{func() { l.Take("f", Ask{Limit: coldEngine}, start.Add(time.Second)) }, 0},
-		{func() { l.SetNamed("d", 2); l.SetNamed("d", 3) }, 1},
-		{func() { l.ClearNamed("d"); l.ClearNamed("d") }, 0},
-		{func() { l.Lost("c"); l.Reached("c", coldEngine, start) }, 1},
+		{func() { l.TryAcquire("f", Request{ColdLimit: coldLimit}, start.Add(time.Second)) }, 0},
+		{func() { l.SetRateLimit("d", 2); l.SetRateLimit("d", 3) }, 1},
+		{func() { l.ClearRateLimit("d"); l.ClearRateLimit("d") }, 0},
+		{func() { l.MarkUnreachable("c"); l.MarkReachable("c", coldLimit, start) }, 1},
 		{func() { l.SetCold("c", 0); l.Forget("c") }, 0},
 	} {
 		step.do()
-		if got := l.watched.Load(); got != step.want {
+		if got := l.limitedCount.Load(); got != step.want {
 			t.Errorf("%d need a look, want %d", got, step.want)
 		}
 	}
--- a/internal/throttle/ways_test.go
+++ b/internal/throttle/variants_test.go
@@ -9,22 +9,22 @@
 	"basilrudder/internal/monotime"
 )
 
-// way is one that instances could share a cold server in: it says when one of them may
+// variant is one that instances could share a cold server in: it says when one of them may
 // send, by what it has sent and heard itself.
-type way interface {
+type variant interface {
 	take(instances int, rate float64, now monotime.Instant) bool
-	note(now monotime.Instant)
+	record(now monotime.Instant)
 }
 
-// bucket gives every instance an equal part of the rate, and one request at the start.
-type bucket struct {
+// bucketVariant gives every instance an equal part of the rate, and one request at the start.
+type bucketVariant struct {
 	at     monotime.Instant
 	tokens float64
 }
 
-func (b *bucket) note(monotime.Instant) {}
+func (b *bucketVariant) record(monotime.Instant) {}
 
-func (b *bucket) take(instances int, rate float64, now monotime.Instant) bool {
+func (b *bucketVariant) take(instances int, rate float64, now monotime.Instant) bool {
 	if b.at == 0 {
 		b.tokens = 1
 	} else {
@@ -38,48 +38,48 @@
 	return true
 }
 
-// counted sends while fewer than the rate are known of the last second.
-type counted struct{ server }
+// countingVariant sends while fewer than the rate are known of the last second.
+type countingVariant struct{ server }
 
-func (c *counted) take(_ int, rate float64, now monotime.Instant) bool {
-	c.forgetBefore(now)
+func (c *countingVariant) take(_ int, rate float64, now monotime.Instant) bool {
+	c.dropOld(now)
 	if float64(len(c.recent)) >= rate {
 		return false
 	}
-	c.server.note(now)
+	c.server.record(now)
 	return true
 }
 
-// playWay returns the most requests of a span, and the mean of a second, in ten seconds in
+// simulateVariant returns the most requests of a span, and the mean of a second, in ten seconds in
 // which 400 requests a second at all instances together would go to one server.
-func playWay(newWay func() way, instances int, rate float64, delay, span time.Duration) (most int, mean float64) {
+func simulateVariant(newVariant func() variant, instances int, rate float64, delay, span time.Duration) (most int, mean float64) {
 	rng := rand.New(rand.NewPCG(7, 7))
-	ways := makeWays(instances, newWay)
-	var pending []news
+	variants := newVariants(instances, newVariant)
+	var pending []update
 	s := &simulation{}
 	for now := start; now < start.Add(10*time.Second); now = now.Add(time.Millisecond) {
 		for len(pending) > 0 && pending[0].at <= now {
-			for i, w := range ways {
+			for i, w := range variants {
 				if fmt.Sprint(i) != pending[0].from {
-					w.note(now)
+					w.record(now)
 				}
 			}
 			pending = pending[1:]
 		}
-		for i, w := range ways {
+		for i, w := range variants {
 			if rng.Float64() < 0.4/float64(instances) && w.take(instances, rate, now) {
 				s.arrivals = append(s.arrivals, now)
-				pending = append(pending, news{now.Add(delay), fmt.Sprint(i)})
+				pending = append(pending, update{now.Add(delay), fmt.Sprint(i)})
 			}
 		}
 	}
-	return s.mostIn(span), float64(len(s.arrivals)) / 10
+	return s.maxIn(span), float64(len(s.arrivals)) / 10
 }
 
-func makeWays(n int, newWay func() way) []way {
-	var out []way
+func newVariants(n int, newVariant func() variant) []variant {
+	var out []variant
 	for range n {
-		out = append(out, newWay())
+		out = append(out, newVariant())
 	}
 	return out
 }
@@ -87,22 +87,22 @@
 // Every instance for itself, with an equal part of the rate or with what it hears of the
 // others, sends a cold server more than it bears: one request of each of 60 instances in
 // the first second, or all that come within the delay of the news.
-func TestOtherWaysOverrunAColdServer(t *testing.T) {
+func TestOtherVariantsOverrunAColdServer(t *testing.T) {
 	for _, instances := range []int{9, 60, 300} {
 		for _, delay := range []time.Duration{20 * time.Millisecond, 200 * time.Millisecond} {
-			bucketMost, bucketMean := playWay(func() way { return &bucket{} }, instances, 5.9, delay, time.Second)
-			countedMost, countedMean := playWay(func() way { return &counted{} }, instances, 5.9, delay, time.Second)
+			bucketMost, bucketMean := simulateVariant(func() variant { return &bucketVariant{} }, instances, 5.9, delay, time.Second)
+			countedMost, countedMean := simulateVariant(func() variant { return &countingVariant{} }, instances, 5.9, delay, time.Second)
 			s := newSimulation(1, instances, delay)
-			s.play(start.Add(settleTime), 10*time.Second, 400/float64(instances), coldEngine)
+			s.run(start.Add(startupDelay), 10*time.Second, 400/float64(instances), coldLimit)
 			t.Logf("%3d instances, news after %v: equal parts %d (%.1f), counted %d (%.1f), owners %d (%.1f)",
-				instances, delay, bucketMost, bucketMean, countedMost, countedMean, s.most(), float64(len(s.arrivals))/10)
+				instances, delay, bucketMost, bucketMean, countedMost, countedMean, s.maxPerSecond(), float64(len(s.arrivals))/10)
 			if delay >= 200*time.Millisecond && instances >= 60 {
-				if float64(bucketMost) <= allowed(coldEngine) || float64(countedMost) <= allowed(coldEngine) {
+				if float64(bucketMost) <= allowed(coldLimit) || float64(countedMost) <= allowed(coldLimit) {
 					t.Error("another way keeps to the bound too: compare anew")
 				}
 			}
-			if float64(s.most()) > allowed(coldEngine) {
-				t.Errorf("owners: %d in a second", s.most())
+			if float64(s.maxPerSecond()) > allowed(coldLimit) {
+				t.Errorf("owners: %d in a second", s.maxPerSecond())
 			}
 		}
 	}
@@ -111,28 +111,28 @@
 // The same ways before a server that names a limit of 1.7 requests a second, of which four
 // seconds count: equal parts send one request of each instance at once, and counting sends
 // what comes within the delay of the news. Owners keep to the limit.
-func TestOtherWaysOverrunALimitedServer(t *testing.T) {
+func TestOtherVariantsOverrunALimitedServer(t *testing.T) {
 	const rate, span = 1.7, 4 * time.Second
 	allowed := 1.5*rate*span.Seconds() + 5
 	for _, instances := range []int{9, 60, 300} {
 		for _, delay := range []time.Duration{20 * time.Millisecond, 200 * time.Millisecond} {
-			bucketMost, bucketMean := playWay(func() way { return &bucket{} }, instances, rate, delay, span)
-			countedMost, countedMean := playWay(func() way { return &counted{} }, instances, rate, delay, span)
+			bucketMost, bucketMean := simulateVariant(func() variant { return &bucketVariant{} }, instances, rate, delay, span)
+			countedMost, countedMean := simulateVariant(func() variant { return &countingVariant{} }, instances, rate, delay, span)
 			s := newSimulation(1, instances, delay)
 			for _, l := range s.limiters {
 				l.SetCold("srv", 0)
-				l.SetNamed("srv", rate)
+				l.SetRateLimit("srv", rate)
 			}
-			s.play(start.Add(settleTime), 10*time.Second, 400/float64(instances), Limit{})
+			s.run(start.Add(startupDelay), 10*time.Second, 400/float64(instances), ColdLimit{})
 			t.Logf("%3d instances, news after %v: equal parts %d (%.1f), counted %d (%.1f), owners %d (%.1f)",
-				instances, delay, bucketMost, bucketMean, countedMost, countedMean, s.mostIn(span), float64(len(s.arrivals))/10)
+				instances, delay, bucketMost, bucketMean, countedMost, countedMean, s.maxIn(span), float64(len(s.arrivals))/10)
 			if delay >= 200*time.Millisecond && instances >= 60 {
 				if float64(bucketMost) <= allowed || float64(countedMost) <= allowed {
 					t.Error("another way keeps to the limit too: compare anew")
 				}
 			}
-			if float64(s.mostIn(span)) > allowed {
-				t.Errorf("owners: %d in %v", s.mostIn(span), span)
+			if float64(s.maxIn(span)) > allowed {
+				t.Errorf("owners: %d in %v", s.maxIn(span), span)
 			}
 		}
 	}
