--- a/internal/crashes/crashes.go
+++ b/internal/crashes/crashes.go
@@ -1,9 +1,9 @@
-// Package crashes tells which requests crash the servers that run them, from what all
-// instances have seen of servers that ended. It is pure.
+// Package crashes identifies poison requests, which crash the servers that run them, from
+// the ends of servers that all instances have seen. It does no I/O.
 //
-// A request is known by a fingerprint of what it asks, not by its id: callers send it again
-// as a new one. It counts as a culprit once servers enough have crashed soon after they
-// began to run it, and none has run it without.
+// A request is identified by a fingerprint of its content, not by its id: callers send it
+// again under a new one. It counts as poison once enough servers have crashed soon after
+// they began to run it, and none has run it without a crash.
 package crashes
 
 import (
@@ -14,24 +14,27 @@
 )
 
 const (
-	// poisonCrashes is the number of servers that must have crashed.
+	// poisonCrashes is the number of crashed servers that make a request poison. A lower
+	// number would refuse more requests that merely ran on a server that crashed; a
+	// higher one costs more servers.
 	poisonCrashes = 3
-	// servedValidity is how long a run that did not crash its server speaks for a request.
+	// servedValidity is how long a run without a crash exonerates a request. If it never
+	// expired, a request that ran once would never be suspected again.
 	servedValidity = time.Minute
-	// Retention is how long a request is remembered that does not come.
+	// Retention is how long an absent request is tracked. Older crashes are ignored.
 	Retention = 10 * time.Minute
-	// MaxPerCustomer bounds the requests remembered of one customer, and mostRequests those
-	// of all.
+	// MaxPerCustomer bounds the tracked requests of one customer, and maxRequests those
+	// of all, so that neither one customer nor made-up requests displace the others.
 	MaxPerCustomer = 32
 	maxRequests    = 4096
 )
 
-// Fingerprint stands for what a request asks.
+// Fingerprint identifies the content of a request.
 type Fingerprint [16]byte
 
-// Crash is the end of a server during a request, as one instance has seen it.
+// Crash is the end of a server during a request, as seen by one instance.
 type Crash struct {
-	// Request that the server had been sent.
+	// Request that had been sent to the server.
 	Request Fingerprint
 	// Customer of the request; empty for none.
 	Customer string
@@ -41,33 +44,34 @@
 	At monotime.Instant
 }
 
-// requestState is what is known of one request.
+// requestState is the state of one tracked request.
 type requestState struct {
 	customer string
-	// crashes holds when each server ended.
+	// crashes holds when each server ended, by its id.
 	crashes map[string]monotime.Instant
 	// servedAt is when it last ran without a crash; 0 for never.
 	servedAt monotime.Instant
-	// seenAt is when it last came or crashed a server.
+	// seenAt is when it last arrived or crashed a server.
 	seenAt monotime.Instant
 }
 
-// Tracker is what one instance knows. It is not safe for concurrent use.
+// Tracker holds the suspected requests of one instance. It is not safe for concurrent
+// use.
 type Tracker struct {
 	requests    map[Fingerprint]*requestState
 	perCustomer map[string]int // requests by customer
 }
 
-// NewTracker returns a Book that knows of no request.
+// NewTracker returns an empty Tracker.
 func NewTracker() *Tracker {
 	return &Tracker{requests: make(map[Fingerprint]*requestState), perCustomer: make(map[string]int)}
 }
 
-// Len returns the number of requests remembered.
+// Len returns the number of tracked requests.
 func (t *Tracker) Len() int { return len(t.requests) }
 
-// Add takes a crash. It reports whether it is news, and whether the request is a culprit
-// by it.
+// Add records a crash. It reports whether the crash is new, and whether it makes the
+// request poison.
 func (t *Tracker) Add(c Crash, now monotime.Instant) (isNew, isPoison bool) {
 	if now.Sub(c.At) > Retention {
 		return false, false
@@ -88,8 +92,9 @@
 	return true, s.poison()
 }
 
-// Served notes that a request ran without crashing its server. It reports whether that is
-// news of a request that is remembered.
+// Served records that a request ran without crashing its server. It reports whether this
+// should be sent to peers: the request is tracked, and its last such run is none or more
+// than half of servedValidity before.
 func (t *Tracker) Served(request Fingerprint, at monotime.Instant) bool {
 	s := t.requests[request]
 	if s == nil || at <= s.servedAt {
@@ -105,12 +110,13 @@
 	return isNew
 }
 
-// exonerates reports whether a run without a crash speaks against a crash being the request's.
+// exonerates reports whether a run without a crash shows that a crash was not caused by
+// the request.
 func (s *requestState) exonerates(crashedAt monotime.Instant) bool {
 	return s.servedAt != 0 && crashedAt.Sub(s.servedAt) <= servedValidity
 }
 
-// Poison reports whether a request that comes is known to crash servers.
+// Poison reports whether an arriving request is poison.
 func (t *Tracker) Poison(request Fingerprint, now monotime.Instant) bool {
 	s := t.requests[request]
 	if s == nil || !s.poison() {
@@ -122,7 +128,7 @@
 
 func (s *requestState) poison() bool { return len(s.crashes) >= poisonCrashes }
 
-// Crashes returns all crashes that are remembered, for an instance that may have missed some.
+// Crashes returns all recorded crashes, for an instance that may have missed some.
 func (t *Tracker) Crashes() (out []Crash) {
 	for request, s := range t.requests {
 		for server, at := range s.crashes {
@@ -132,7 +138,7 @@
 	return out
 }
 
-// ServedAt returns the requests remembered that ran without a crash, and when they last did.
+// ServedAt returns the tracked requests that ran without a crash, and when they last did.
 func (t *Tracker) ServedAt() map[Fingerprint]monotime.Instant {
 	out := make(map[Fingerprint]monotime.Instant)
 	for request, s := range t.requests {
@@ -143,7 +149,7 @@
 	return out
 }
 
-// PoisonCount returns how many requests are known to crash servers.
+// PoisonCount returns the number of poison requests.
 func (t *Tracker) PoisonCount() (n int) {
 	for _, s := range t.requests {
 		if s.poison() {
@@ -153,7 +159,7 @@
 	return n
 }
 
-// Expire forgets requests that have not come for long.
+// Expire drops requests that have been absent for longer than Retention.
 func (t *Tracker) Expire(now monotime.Instant) {
 	for request, s := range t.requests {
 		if now.Sub(s.seenAt) > Retention {
@@ -162,8 +168,8 @@
 	}
 }
 
-// evict makes room for a request that was added: the one goes that is least suspect, of the
-// same customer where that has too many, or else of all.
+// evict removes a request if there are too many after one was added: the least suspected
+// other one, of the same customer if that has too many, or else of all.
 func (t *Tracker) evict(added Fingerprint) {
 	customer := t.requests[added].customer
 	switch {
@@ -197,7 +203,7 @@
 	}
 }
 
-// lessSuspected orders requests by how suspect they are.
+// lessSuspected orders requests by how strongly they are suspected.
 func (t *Tracker) lessSuspected(x, y Fingerprint) bool {
 	p, q := t.requests[x], t.requests[y]
 	if p.poison() != q.poison() {
--- a/internal/crashes/crashes_test.go
+++ b/internal/crashes/crashes_test.go
@@ -20,31 +20,32 @@
 	return Crash{Request: fingerprint(request), Customer: customer, Server: server, At: at}
 }
 
-// Guards against a request that goes on crashing servers, and against one blamed before the third.
+// Guards against a request that goes on crashing servers, and against one that counts as
+// poison before the third crash.
 func TestThreeCrashesMakeAPoisonRequest(t *testing.T) {
 	b := NewTracker()
 	for n := range 3 {
 		if b.Poison(fingerprint(1), start) {
-			t.Fatalf("a culprit after %d crashes", n)
+			t.Fatalf("poison after %d crashes", n)
 		}
 		isNew, poison := b.Add(crash(1, "a", fmt.Sprint("s", n), start), start)
 		if !isNew || poison != (n == 2) {
-			t.Errorf("crash %d: news %v, culprit %v", n, isNew, poison)
+			t.Errorf("crash %d: new %v, poison %v", n, isNew, poison)
 		}
-		if news, _ := b.Add(crash(1, "a", fmt.Sprint("s", n), start), start); news {
-			t.Error("one crash told twice counts twice")
+		if isNew, _ := b.Add(crash(1, "a", fmt.Sprint("s", n), start), start); isNew {
+			t.Error("a crash reported twice counts twice")
 		}
 	}
 	if !b.Poison(fingerprint(1), start) || b.Poison(fingerprint(2), start) {
-		t.Error("the wrong request is a culprit")
+		t.Error("the wrong request is poison")
 	}
 }
 
-// Guards against a request refused for crashes of servers that others had run it without.
+// Guards against a request refused for crashes although other servers ran it without one.
 func TestARunWithoutACrashExoneratesARequest(t *testing.T) {
 	for name, c := range map[string]struct {
-		served  time.Duration // after the second of three crashes, a second apart
-		culprit bool
+		served time.Duration // after the second of three crashes, a second apart
+		poison bool
 	}{
 		"in between":   {500 * time.Millisecond, false},
 		"afterwards":   {5 * time.Second, false},
@@ -58,13 +59,13 @@
 			b.Add(crash(1, "a", fmt.Sprint("s", n), at), at)
 		}
 		b.Served(fingerprint(1), start.Add(c.served))
-		if got := b.Poison(fingerprint(1), start.Add(6*time.Second)); got != c.culprit {
-			t.Errorf("served %s: culprit %v", name, got)
+		if got := b.Poison(fingerprint(1), start.Add(6*time.Second)); got != c.poison {
+			t.Errorf("served %s: poison %v", name, got)
 		}
 	}
 }
 
-// Guards against instances that come to different beliefs from the same crashes.
+// Guards against instances that reach different states from the same crashes.
 func TestTrackersConvergeInAnyOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -80,19 +81,19 @@
 				b.Add(list[i], now)
 			}
 		}
-		// What one still lacks the other one tells.
+		// Send the crashes that the first has to the second.
 		for _, c := range books[0].Crashes() {
 			books[1].Add(c, now)
 		}
 		for request := range 4 {
 			if a, b := books[0].Poison(fingerprint(request), now), books[1].Poison(fingerprint(request), now); a != b {
-				t.Fatalf("seed %d: request %d is a culprit: %v and %v", seed, request, a, b)
+				t.Fatalf("seed %d: request %d is poison: %v and %v", seed, request, a, b)
 			}
 		}
 	}
 }
 
-// Guards against one customer, or made-up requests, that push out what is known of others.
+// Guards against one customer, or made-up requests, that displace the state of others.
 func TestTheNumberOfTrackedRequestsIsBounded(t *testing.T) {
 	b := NewTracker()
 	for n := range 3 {
@@ -108,7 +109,7 @@
 		}
 		b.Add(crash(100+n, customer, "s", now), now)
 		if b.Len() > maxRequests {
-			t.Fatalf("%d requests remembered", b.Len())
+			t.Fatalf("%d requests tracked", b.Len())
 		}
 	}
 	of := 0
@@ -118,10 +119,10 @@
 		}
 	}
 	if of > MaxPerCustomer {
-		t.Errorf("%d requests of one customer remembered", of)
+		t.Errorf("%d requests of one customer tracked", of)
 	}
 	if !b.Poison(fingerprint(1), now) || !b.Poison(fingerprint(2), now) {
-		t.Error("a culprit was pushed out")
+		t.Error("a poison request was evicted")
 	}
 }
 
@@ -134,11 +135,11 @@
 			b.Add(crash(1, "a", fmt.Sprint("s", round, n), at), at)
 		}
 		if !b.Poison(fingerprint(1), at) {
-			t.Fatalf("no culprit in round %d", round)
+			t.Fatalf("not poison in round %d", round)
 		}
 		b.Served(fingerprint(1), at)
 		if b.Poison(fingerprint(1), at) {
-			t.Fatalf("a culprit although it ran in round %d", round)
+			t.Fatalf("poison although it ran in round %d", round)
 		}
 		at = at.Add(servedValidity + time.Second)
 	}
@@ -152,31 +153,32 @@
 	late := start.Add(Retention - time.Second)
 	b.Expire(late)
 	if !b.Poison(fingerprint(1), late) {
-		t.Error("forgotten too early")
+		t.Error("dropped too early")
 	}
 	b.Expire(late.Add(Retention - time.Second))
 	if !b.Poison(fingerprint(1), late) {
-		t.Error("forgotten although it came again")
+		t.Error("dropped although it arrived again")
 	}
 	b.Expire(late.Add(2*Retention + time.Second))
 	if b.Len() != 0 {
-		t.Error("remembered for ever")
+		t.Error("never dropped")
 	}
-	if news, _ := b.Add(crash(1, "a", "s9", start), start.Add(2*Retention)); news {
-		t.Error("a crash of long ago is news")
+	if isNew, _ := b.Add(crash(1, "a", "s9", start), start.Add(2*Retention)); isNew {
+		t.Error("a crash before the retention time counts as new")
 	}
 }
 
-// attributionVariant is a way to tell which of the requests that a server had are suspect.
+// attributionVariant is a rule for which requests of a crashed server are suspected.
 type attributionVariant struct {
 	name string
-	// young takes only those that had just begun to run; served clears those that ran.
+	// young suspects only those that had just begun to run; served exonerates those that
+	// ran.
 	young, served bool
 }
 
-// simulateAttribution plays a fleet whose servers crash for other reasons for two minutes, and returns
-// how many of the requests asked count as culprits in the end, and after how many crashes
-// one does that crashes servers.
+// simulateAttribution simulates a fleet whose servers crash for other reasons for two
+// minutes. It returns how many of the asked requests wrongly count as poison in the end,
+// and the number of crashes recorded for the request that does crash servers.
 func simulateAttribution(seed uint64, attribution attributionVariant) (innocent, asked, poisonAfter int) {
 	const (
 		size        = 18
@@ -184,9 +186,9 @@
 		lasts       = 2 * time.Minute
 		perStep     = 1.5  // requests
 		crashChance = 0.02 // of some server in a step: one a second
-		popular     = 40   // requests that are asked again and again
+		popular     = 40   // requests that are repeated
 		tries       = 3
-		lookups     = 0.2 // share of the popular ones
+		lookups     = 0.2 // share of popular requests
 		poison      = 7
 	)
 	type run struct {
@@ -270,7 +272,7 @@
 	return innocent, asked, poisonAfter
 }
 
-// Guards against requests blamed for crashes that they only were beside.
+// Guards against requests marked as poison that merely ran on servers when these crashed.
 func TestUnrelatedRequestsAreNotMarkedAsPoison(t *testing.T) {
 	variants := []attributionVariant{
 		{"all that ran there", false, false},
@@ -284,12 +286,12 @@
 			i, a, after := simulateAttribution(seed, variant)
 			innocent, asked = innocent+i, asked+a
 			if after != poisonCrashes {
-				t.Errorf("%s: the culprit is known after %d crashes", variant.name, after)
+				t.Errorf("%s: the poison request has %d recorded crashes", variant.name, after)
 			}
 		}
-		t.Logf("%s: %d of %d requests blamed", variant.name, innocent, asked)
+		t.Logf("%s: %d of %d requests wrongly marked", variant.name, innocent, asked)
 		if last := variant.young && variant.served; last && innocent*10_000 > asked {
-			t.Errorf("%s: %d of %d requests blamed, at most one in 10,000 wanted", variant.name, innocent, asked)
+			t.Errorf("%s: %d of %d requests wrongly marked, at most one in 10,000 wanted", variant.name, innocent, asked)
 		}
 	}
 }
--- a/internal/servers/cold.go
+++ b/internal/servers/cold.go
@@ -6,7 +6,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// warmAt returns the end of a time that a server still is cold; 0 for a warm one.
+// warmAt returns the instant at which a server that stays cold for the given time becomes
+// warm; 0 for a warm one.
 func warmAt(left time.Duration, now monotime.Instant) monotime.Instant {
 	if left <= 0 {
 		return 0
@@ -14,7 +15,8 @@
 	return now.Add(left)
 }
 
-// ColdUntil returns when a server becomes warm; 0 for one that is, or is not known.
+// ColdUntil returns the instant at which a server becomes warm; 0 for a warm or unknown
+// one.
 func (r *Registry) ColdUntil(id string) monotime.Instant {
 	rec := r.live[id]
 	if rec == nil {
@@ -23,13 +25,13 @@
 	return rec.coldUntil
 }
 
-// AssumeCold has the servers of a data centre count as cold from now on, each for as
-// long as those of its service are after a start, unless an entry written after the
-// revision says otherwise. It returns their ids.
+// AssumeCold marks the servers of a data centre as cold from now on, each for the time
+// that lasts returns for its service. It skips servers whose entry is later than the
+// revision or that already are cold for longer, and returns the ids that it changed.
 //
-// Servers of an evacuated data centre may have been started again before it is taken
-// back, and write that into their entries a heartbeat later. The whole fleet turns to
-// them at once, since they are idle, and those that are cold would crash.
+// It is used when an evacuation ends. Servers may have been restarted during it and
+// publish that only with their next heartbeat. As they are idle, the whole fleet sends to
+// them at once, and cold ones would crash.
 func (r *Registry) AssumeCold(dataCentre string, lasts func(service string) time.Duration, revision Revision, now monotime.Instant) (ids []string) {
 	for _, id := range r.ids() {
 		rec := r.live[id]
--- a/internal/servers/cold_test.go
+++ b/internal/servers/cold_test.go
@@ -7,8 +7,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// A server starts cold, and its next entry says that it is warm. An entry that was
-// written before and comes later over a peer does not make it cold again.
+// Guards against an older entry, received late from a peer, that makes a warm server cold
+// again. A server starts cold and its next entry says that it is warm.
 func TestEntriesSetHowLongAServerIsCold(t *testing.T) {
 	r := New()
 	now := monotime.Instant(time.Hour)
@@ -19,7 +19,7 @@
 		t.Errorf("cold until %v", until)
 	}
 	if got, _ := r.Get("a"); got.ColdLeft != 0 {
-		t.Error("an age is kept as if it were one")
+		t.Error("the entry keeps a remaining time that does not advance")
 	}
 	warm := inDataCentre("a", "north")
 	warm.Revision = 5
@@ -30,9 +30,9 @@
 	}
 }
 
-// An evacuation is taken back. The servers there may have been started again shortly
-// before, which their entries tell a heartbeat later; so they count as cold at first,
-// and those whose entries were written since say themselves what they are.
+// Guards against a rush to restarted servers when an evacuation ends. They may have
+// restarted shortly before, which their entries show a heartbeat later. So servers count
+// as cold, except those whose entry was written since.
 func TestServersCountAsColdAfterAnEvacuationEnds(t *testing.T) {
 	r := New()
 	now := monotime.Instant(time.Hour)
@@ -46,7 +46,7 @@
 		t.Errorf("%v count as cold", ids)
 	}
 	if r.ColdUntil("a") != now.Add(3*time.Second) || r.ColdUntil("b") != 0 || r.ColdUntil("c") != 0 {
-		t.Error("others are cold too")
+		t.Error("the wrong servers are cold")
 	}
 	r.AssumeCold("south", func(string) time.Duration { return 0 }, 8, now)
 	if r.ColdUntil("c") != 0 {
--- a/internal/servers/era.go
+++ b/internal/servers/era.go
@@ -8,27 +8,29 @@
 	"basilrudder/internal/monotime"
 )
 
-// EraGrace is how long after a new era is first heard of what it says of evacuations waits
-// where it contradicts what was known, and its word that nothing changed counts for nothing: operators write again within about two seconds what
-// the copy lacks. It is short against the five seconds in which a change must be in force.
+// EraGrace is how long after the first observation of a new era evacuation states that
+// contradict earlier ones are deferred, and a report of the store that nothing changed is
+// ignored. Operators repeat within about two seconds what the copy lacks; a shorter grace
+// would apply the copy's outdated states. A change must be in force within five seconds,
+// which a much longer grace would exceed.
 const EraGrace = 2 * time.Second
 
-// copyLife is how long after a new era is first heard of an entry may stand in the store
-// only because it is in the copy: that of a server that is gone runs out after three
-// heartbeats.
+// copyLife is how long after the first observation of a new era an entry may be in the
+// store only because its copy has it. The entry of a server that is gone expires after
+// three heartbeats; with a shorter time it would count as that of a live server.
 const copyLife = 5 * time.Second
 
-// MaxEraStep is how much the era may rise at once. It rises by one at a time; one that is
-// far too high would have all that is said later count as old.
+// MaxEraStep bounds how far the era may rise at once. It normally rises by one. Accepting
+// a far too high era would make all later revisions count as old.
 const MaxEraStep = 100
 
-// Plausible reports whether a revision that a peer tells may be one of the store's.
+// Plausible reports whether a revision received from a peer can be one of the store's.
 func (r *Registry) Plausible(revision Revision) bool {
 	return revision >= 0 && (r.latest == 0 || revision.Era() <= r.latest.Era()+MaxEraStep)
 }
 
-// observe notes a revision that the store or a peer told of. In a new era entries that are
-// missing may come back, as after an outage.
+// observe records a revision received from the store or a peer. In a new era missing
+// entries may reappear, as after an outage.
 func (r *Registry) observe(revision Revision, now monotime.Instant) {
 	if r.latest != 0 && revision.Era() > r.latest.Era() {
 		r.eraSince = now
@@ -38,13 +40,13 @@
 	r.latest = max(r.latest, revision)
 }
 
-// Latest returns the highest revision heard of.
+// Latest returns the highest revision observed.
 func (r *Registry) Latest() Revision { return r.latest }
 
-// Listed returns the revision of the last full list of the store that is known here.
+// Listed returns the revision of the last full list of the store that was applied.
 func (r *Registry) Listed() Revision { return r.listed }
 
-// CountInGrace returns the number of servers whose entries are missing and may come back.
+// CountInGrace returns the number of servers whose entries are missing but may reappear.
 func (r *Registry) CountInGrace() int {
 	n := 0
 	for _, rec := range r.live {
@@ -55,18 +57,19 @@
 	return n
 }
 
-// eraJustBegan reports whether the store has just begun an era, so that it may still lack what
-// it had acknowledged before.
+// eraJustBegan reports whether the store began an era less than EraGrace ago, so that it
+// may still lack writes that it had acknowledged before.
 func (r *Registry) eraJustBegan(now monotime.Instant) bool {
 	return r.eraSince != 0 && now < r.eraSince.Add(EraGrace)
 }
 
-// endsTombstone reports whether an entry brings an incarnation back that ended.
+// endsTombstone reports whether an entry restores an incarnation that is marked as gone.
 //
-// Within an era any later entry does: it had run out. In a later one the entry may be the
-// copy's, of a server that left after the copy was made; requests would reach a server
-// that is gone, or one that was given its address. A server that lives writes its entry
-// again, and that of one that does not runs out.
+// Within an era any later entry does, since the earlier one had expired. In a later era
+// the entry may come from the copy although its server left after the copy was made.
+// Requests would then reach a server that is gone, or another one at its address. So such
+// an entry is kept aside: a live server writes it again or outlasts copyLife, and that of
+// a gone server expires.
 func (r *Registry) endsTombstone(stone tombstone, s *Server, now monotime.Instant) bool {
 	switch {
 	case s.Revision <= stone.revision:
@@ -82,8 +85,8 @@
 	return false
 }
 
-// restoreCopies takes the entries that may have been the copy's and have outlived it. It
-// returns the ids of those that this brings back.
+// restoreCopies applies the entries kept aside that have outlasted copyLife. It returns
+// the ids of the incarnations restored.
 func (r *Registry) restoreCopies(now monotime.Instant) (restored []string) {
 	if len(r.copiedEntries) == 0 || now < r.eraSince.Add(copyLife) {
 		return nil
@@ -98,8 +101,8 @@
 	return restored
 }
 
-// extendTombstone takes a later end of an incarnation that is gone: its entry in the copy has run
-// out too.
+// extendTombstone records a later removal of an incarnation that is gone: its entry in
+// the copy has expired too.
 func (r *Registry) extendTombstone(id string, stone tombstone, revision Revision) {
 	if r.copiedEntries[id].Revision <= revision {
 		delete(r.copiedEntries, id)
@@ -108,25 +111,26 @@
 	r.gone[id] = stone
 }
 
-// dropCopies forgets the entries under a name that may have been the copy's.
+// dropCopies drops the entries kept aside under a name.
 func (r *Registry) dropCopies(name string) {
 	maps.DeleteFunc(r.copiedEntries, func(_ string, s Server) bool { return s.Name == name })
 }
 
-// mayBeCopied reports whether an entry at a revision may be the copy's with which its era
-// began: all that the first list of the era held may be.
+// mayBeCopied reports whether an entry at a revision may stem from the copy with which
+// its era began. That holds for revisions up to that of the first full list of the era,
+// and for all as long as there is none.
 func (r *Registry) mayBeCopied(revision Revision) bool {
 	return r.firstListInEra.Era() != revision.Era() || revision <= r.firstListInEra
 }
 
-// endedInEarlierEra reports whether a server ended at a revision of an era before that of its
-// entry, which may be the copy's.
+// endedInEarlierEra reports whether a server ended at a revision of an era before that of
+// its entry, and the entry may stem from the copy.
 func (r *Registry) endedInEarlierEra(rec *record, ended Revision) bool {
 	entry := rec.server.Revision
 	return ended.Era() < entry.Era() && entry == rec.firstInEra && r.mayBeCopied(entry)
 }
 
-// observeList notes that a full observeList of the store at a revision is known here.
+// observeList records that a full list of the store at a revision was received.
 func (r *Registry) observeList(revision Revision, now monotime.Instant) {
 	r.observe(revision, now)
 	if r.firstListInEra.Era() < revision.Era() || r.firstListInEra == 0 {
@@ -135,12 +139,12 @@
 	r.listed = max(r.listed, revision)
 }
 
-// ApplyPeerList takes a peer's word of a full list of the store: the servers that it holds are
-// those of the same message. Entries of earlier eras that are not among them are missing in
-// the store. It returns the ids of what changed.
+// ApplyPeerList applies a full list of the store that a peer received; present are the
+// ids of the servers sent in the same message. Entries of earlier eras that are not among
+// them are missing in the store. It returns the ids of what changed.
 //
-// An instance that does not read the store has no other way to learn of them: nobody can
-// tell it of the removal of an entry that no reader ever knew.
+// An instance that does not read the store has no other way to find them: no peer can
+// report the removal of an entry that no reader ever received.
 func (r *Registry) ApplyPeerList(present map[string]bool, revision Revision, now monotime.Instant) (changed []string) {
 	r.observeList(revision, now)
 	for _, id := range r.ids() {
--- a/internal/servers/era_test.go
+++ b/internal/servers/era_test.go
@@ -13,11 +13,11 @@
 	"basilrudder/internal/monotime"
 )
 
-// rev is a revision of an era.
+// rev returns the revision of a number in an era.
 func rev(era, number int64) Revision {
 	out, ok := NewRevision(era, number)
 	if !ok {
-		panic("no revision")
+		panic("era or number out of range")
 	}
 	return out
 }
@@ -37,15 +37,15 @@
 	}
 	for _, bad := range [][2]int64{{-1, 0}, {0, -1}, {MaxEra + 1, 0}, {0, MaxNumber + 1}} {
 		if got, ok := NewRevision(bad[0], bad[1]); ok {
-			t.Errorf("%v is taken for %v", bad, got)
+			t.Errorf("%v gives revision %v", bad, got)
 		}
 	}
 }
 
-// The store comes back from a copy some seconds old, and its revisions with it. A server
-// that came since the copy is missing in it and lives; another one came after the return.
-// Callers' requests go on to reach the first while it writes its entry again, and reach the
-// second. A server that lived and does not come back is gone after the grace.
+// Guards against live servers lost when the store is restored from a copy some seconds
+// old. A server registered since the copy is missing in it and keeps getting requests
+// until it writes its entry again, as does one registered after the restore. A server
+// that does not reappear is gone after the grace.
 func TestAStoreRestoredFromACopyLosesNoLiveServer(t *testing.T) {
 	r := New()
 	r.Replace([]Server{server("old", 10)}, nil, 10, at(0))
@@ -54,7 +54,7 @@
 	r.Replace([]Server{server("old", rev(1, 10))}, nil, rev(1, 12), at(time.Second))
 	r.Put(server("after", rev(1, 13)), at(time.Second))
 	if diff := cmp.Diff([]string{"after", "dead", "old", "since"}, acceptingIDs(r)); diff != "" {
-		t.Error("at the return", diff)
+		t.Error("at the restore", diff)
 	}
 	r.Put(server("since", rev(1, 14)), at(2*time.Second))
 	r.Expire(at(time.Second + RemovalGrace))
@@ -63,13 +63,13 @@
 	}
 	r.Put(server("dead", 52), at(4*time.Second))
 	if diff := cmp.Diff([]string{"after", "old", "since"}, acceptingIDs(r)); diff != "" {
-		t.Error("after a late word of the era before", diff)
+		t.Error("after a late update of the era before", diff)
 	}
 }
 
-// Servers left after the copy was made: one had been acknowledged as draining, one as gone.
-// Both stand in the copy as if they took requests. They get none, here and at an instance
-// that starts in the gap, reads the copy and hears of a peer that they have left.
+// Guards against requests to servers that left after the copy was made: one was draining,
+// one gone, and the copy has both as accepting. This also holds for an instance that
+// starts then, reads the copy and gets the departures from a peer.
 func TestServersThatLeftStayGoneWhenTheCopyHasThem(t *testing.T) {
 	copied := []Server{server("drained", rev(1, 1)), server("gone", rev(1, 2)), server("stays", rev(1, 3))}
 	r := New()
@@ -83,7 +83,7 @@
 	r.Remove("gone", 21, at(0))
 	r.Replace(copied, nil, rev(1, 5), at(time.Second))
 	if diff := cmp.Diff([]string{"stays"}, acceptingIDs(r)); diff != "" {
-		t.Error("at the return", diff)
+		t.Error("at the restore", diff)
 	}
 
 	starting := New()
@@ -91,19 +91,20 @@
 	starting.MarkGone("gone", 21, at(time.Second))
 	starting.Put(draining, at(time.Second))
 	if diff := cmp.Diff([]string{"stays"}, acceptingIDs(starting)); diff != "" {
-		t.Error("at an instance that starts", diff)
+		t.Error("at a starting instance", diff)
 	}
 	for _, each := range []*Registry{r, starting} {
 		each.Remove("gone", rev(1, 9), at(4*time.Second))
 		each.Expire(at(time.Minute))
 		if diff := cmp.Diff([]string{"stays"}, acceptingIDs(each)); diff != "" {
-			t.Error("long after its entry has run out", diff)
+			t.Error("long after its entry has expired", diff)
 		}
 	}
 }
 
-// A server had been given up while it was cut off, and stands in the copy. It lives: it
-// writes its entry again, or its entry outlives what that of a dead one could.
+// Guards against a live server that stays marked as gone. It was marked while it was cut
+// off, and is in the copy. It writes its entry again, or the entry outlasts that of a
+// dead server.
 func TestALiveServerReappearsInTheNewEra(t *testing.T) {
 	for _, writes := range []bool{false, true} {
 		r := New()
@@ -121,9 +122,9 @@
 	}
 }
 
-// The copy is from before one data centre was evacuated and before another was taken back.
-// The operator writes both again a second after the store's return. In between callers'
-// requests reach neither; what the operator does not write again counts after the grace.
+// Guards against evacuations that a restored copy undoes. The copy is older than the
+// evacuation of one data centre and the end of another's. The operator repeats both a
+// second after the restore; what is not repeated applies after the grace.
 func TestEvacuationsHoldWhileTheOperatorWritesAgain(t *testing.T) {
 	north := func(active bool, revision Revision) Evacuation {
 		return Evacuation{DataCentre: "north", Active: active, Revision: revision}
@@ -138,7 +139,7 @@
 		r.ApplyEvacuation(north(true, 9), at(0))
 		r.ReplaceEvacuations([]Evacuation{south(true, rev(1, 3))}, rev(1, 4), at(time.Second))
 		if !r.Evacuated("north") || r.Evacuated("south") {
-			t.Errorf("at the return: north %v, south %v", r.Evacuated("north"), r.Evacuated("south"))
+			t.Errorf("at the restore: north %v, south %v", r.Evacuated("north"), r.Evacuated("south"))
 		}
 		if again {
 			r.ApplyEvacuation(south(false, rev(1, 5)), at(2*time.Second))
@@ -151,17 +152,18 @@
 	}
 }
 
-// A process that starts while the store tells of a late era respects an evacuation at once.
+// Guards against a process that defers an evacuation because the first era that it
+// observes is not 0.
 func TestAStartingProcessAppliesEvacuationsAtOnce(t *testing.T) {
 	r := New()
 	r.ReplaceEvacuations([]Evacuation{{DataCentre: "north", Active: true, Revision: rev(3, 4)}}, rev(3, 9), at(0))
 	if !r.Evacuated("north") {
-		t.Error("the evacuation waits")
+		t.Error("the evacuation is deferred")
 	}
 }
 
-// A server turned cold after the copy was made, in which it is warm. Requests to it are
-// held back until its own word.
+// Guards against a cold server that counts as warm because the copy, older than its
+// start, says so. It stays cold until its own next entry.
 func TestAColdServerStaysColdInANewEra(t *testing.T) {
 	r := New()
 	cold := server("a", 5)
@@ -173,12 +175,13 @@
 	}
 	r.Put(server("a", rev(1, 3)), at(2*time.Second))
 	if got := r.ColdUntil("a"); got != 0 {
-		t.Errorf("cold until %v after its own word", got)
+		t.Errorf("cold until %v after its own entry", got)
 	}
 }
 
-// An instance that does not read the store knows a server that no reader ever knew, and
-// that is not in the copy. It learns from a peer's full list that the store lacks it.
+// Guards against a server kept for ever by an instance that does not read the store: the
+// server is not in the copy and no reader ever received its entry. A peer's full list
+// shows that the store lacks it.
 func TestAFullListOfAPeerEndsEntriesOfEarlierEras(t *testing.T) {
 	r := New()
 	r.Put(server("a", 5), at(0))
@@ -186,7 +189,7 @@
 	r.Put(server("a", rev(1, 4)), at(time.Second))
 	r.ApplyPeerList(map[string]bool{"a": true}, rev(1, 4), at(time.Second))
 	if diff := cmp.Diff([]string{"a", "ghost"}, acceptingIDs(r)); diff != "" {
-		t.Error("while it may come back", diff)
+		t.Error("during the grace", diff)
 	}
 	r.Expire(at(time.Second + RemovalGrace))
 	if diff := cmp.Diff([]string{"a"}, acceptingIDs(r)); diff != "" {
@@ -194,8 +197,8 @@
 	}
 }
 
-// history is a store with its servers, and instances that follow it: two read it, one only
-// hears what the others tell, late.
+// history simulates a store with its servers, and instances that follow it: two read the
+// store, one only receives the others' updates, late.
 type history struct {
 	rng      *rand.Rand
 	now      monotime.Instant
@@ -206,7 +209,8 @@
 	copy     map[string]Server
 	copied   int64
 	restored monotime.Instant
-	// alive are servers that run, with whether they leave; ended are those that left.
+	// alive holds the running servers and whether they are draining; ended holds those
+	// that left.
 	alive map[string]bool
 	ended map[string]bool
 	born  int
@@ -225,7 +229,7 @@
 type historyReader struct {
 	*Registry
 	at Revision
-	// left are the incarnations that it has known to leave.
+	// left holds the incarnations that this reader has recorded as leaving.
 	left map[string]bool
 }
 
@@ -269,7 +273,8 @@
 	return s
 }
 
-// change has servers start, leave and end, and the store be copied and come back.
+// change makes a random change: a server starts, drains or ends, or the store is copied
+// or restored.
 func (h *history) change() {
 	ids := slices.Sorted(maps.Keys(h.alive))
 	switch pick := h.rng.IntN(12); {
@@ -283,7 +288,7 @@
 		h.alive[id] = true
 		h.write(h.own(id))
 	case pick < 8:
-		// Most leave first; some end without a word.
+		// Most drain first; some end without notice.
 		for _, id := range ids {
 			if h.alive[id] || h.rng.IntN(12) == 0 {
 				h.remove(id)
@@ -299,14 +304,14 @@
 	}
 }
 
-// restore brings the store back from its copy. Servers that live write again within two
-// seconds, and what they left unwritten runs out.
+// restore restores the store from its copy. Live servers write their entries again within
+// two seconds, and those of ended servers expire.
 func (h *history) restore() {
 	h.era, h.number, h.items, h.events = h.era+1, h.copied, maps.Clone(h.copy), nil
 	h.restored = h.now
 }
 
-// repair writes again what the copy lacks, bit by bit.
+// repair gradually writes again what the copy lacks.
 func (h *history) repair() {
 	if h.restored == 0 {
 		return
@@ -330,7 +335,8 @@
 	}
 }
 
-// read has a reader take what it has not seen, as a watch or, after a new era, a list.
+// read applies what a reader has not received yet, as a watch does or, after a new era, a
+// list.
 func (h *history) read(n int) {
 	r := h.readers[n]
 	current := rev(h.era, h.number)
@@ -362,7 +368,8 @@
 	h.messages = append(h.messages, m)
 }
 
-// list is what the store lists: also of an entry of the copy it says so in its own era.
+// list returns the store's list. Entries from the copy also have revisions of the current
+// era.
 func (h *history) list() (out []Server) {
 	for _, id := range slices.Sorted(maps.Keys(h.items)) {
 		s := h.items[id]
@@ -428,15 +435,15 @@
 	h.deliver()
 }
 
-// check reports a server that a reader uses although it had known it to leave and it has
-// ended, and one that lives, is in the store and is used by nobody.
+// check reports a reader that uses a server which it recorded as leaving and which has
+// ended.
 func (h *history) check(t *testing.T, seed uint64) {
 	t.Helper()
 	for n, r := range h.readers {
 		using := acceptingIDs(r.Registry)
 		for _, id := range using {
 			if r.left[id] && h.ended[id] {
-				t.Fatalf("seed %d, era %d: reader %d uses %s, which it had known to leave", seed, h.era, n, id)
+				t.Fatalf("seed %d, era %d: reader %d uses %s, which it recorded as leaving", seed, h.era, n, id)
 			}
 		}
 		for _, id := range r.ids() {
@@ -452,9 +459,10 @@
 	}
 }
 
-// Servers start, leave and end, the store is copied and comes back from its copy again and
-// again, and instances read it, or only hear of it, late. None uses a server that it knew
-// to leave, and once all is quiet each has the store's view.
+// Guards against lasting disagreement with a store that is repeatedly restored from its
+// copy while servers start, drain and end, and instances read it, or only receive updates
+// of it, late. No reader may use a server that it recorded as leaving, and once changes
+// stop each instance must have the store's view.
 func TestInstancesConvergeOnARestoredStore(t *testing.T) {
 	eras := int64(0)
 	for seed := range uint64(25) {
@@ -481,6 +489,6 @@
 		}
 	}
 	if eras < 20 {
-		t.Errorf("only %d returns", eras)
+		t.Errorf("only %d restores", eras)
 	}
 }
--- a/internal/servers/evacuation.go
+++ b/internal/servers/evacuation.go
@@ -9,24 +9,25 @@
 	"basilrudder/internal/monotime"
 )
 
-// Evacuation says whether operators want a data centre's servers to get nothing.
+// Evacuation is the state of a data centre's evacuation: whether operators have withdrawn
+// its servers from use.
 type Evacuation struct {
-	// DataCentre whose servers are meant.
+	// DataCentre is the name of the data centre.
 	DataCentre string
-	// Active evacuations hold; others were taken back.
+	// Active is true while the evacuation is in force and false once it has ended.
 	Active bool
-	// Revision of the store at which this was so.
+	// Revision of the store at which this state was read.
 	Revision Revision
 }
 
-// ApplyEvacuation takes what the store says of an evacuation, read directly or told by a
-// peer. It reports whether the data centre's servers are used differently by it.
+// ApplyEvacuation applies the state of an evacuation, read from the store or received
+// from a peer. It reports whether this changes the use of the data centre's servers.
 //
-// News of it come over several ways and in any order. The store's revision decides,
-// so that late news of an evacuation that was taken back do not bring it into force
-// again, and neither does an old answer of the store end one that is newer. Where the store
-// has just come back from a copy, what it says against what was known waits a little: the
-// operator may not have written yet what the copy lacks.
+// Updates arrive over several paths and in any order. The store's revision decides: a
+// late update can't reactivate an evacuation that has ended, nor can an old answer of the
+// store end a newer one. Shortly after the store was restored from a copy, a state that
+// contradicts the current one is deferred, because the operator may not have repeated yet
+// what the copy lacks.
 func (r *Registry) ApplyEvacuation(e Evacuation, now monotime.Instant) bool {
 	r.observe(e.Revision, now)
 	current := r.evacuations[e.DataCentre]
@@ -49,8 +50,8 @@
 	return true
 }
 
-// ApplyDeferredEvacuations returns what a new era of the store changed, once there was time to
-// write again what it lacked.
+// ApplyDeferredEvacuations applies the deferred states once EraGrace has passed. It
+// returns the changes.
 func (r *Registry) ApplyDeferredEvacuations(now monotime.Instant) (changed []Evacuation) {
 	if len(r.deferred) == 0 || r.eraJustBegan(now) {
 		return nil
@@ -63,8 +64,8 @@
 	return changed
 }
 
-// ReplaceEvacuations takes all evacuations in force as the store listed them at a
-// revision. It returns what changed, with those that are no longer listed.
+// ReplaceEvacuations applies the store's full list of active evacuations at a revision
+// and ends those that are no longer listed. It returns the changes.
 func (r *Registry) ReplaceEvacuations(list []Evacuation, revision Revision, now monotime.Instant) (changed []Evacuation) {
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
@@ -85,8 +86,8 @@
 	return changed
 }
 
-// Evacuations returns what is known of each data centre of which the store has ever
-// said anything, by name.
+// Evacuations returns the last state of each data centre for which one was received, by
+// name.
 func (r *Registry) Evacuations() []Evacuation {
 	out := make([]Evacuation, 0, len(r.evacuations))
 	for _, e := range r.evacuations {
@@ -101,7 +102,7 @@
 	return r.evacuations[dataCentre].Active
 }
 
-// evacuationDigest is the part of Digest that tells of evacuations in force.
+// evacuationDigest is the part of Digest that covers active evacuations.
 func (r *Registry) evacuationDigest() uint64 {
 	var digest uint64
 	for _, e := range r.evacuations {
@@ -112,5 +113,6 @@
 	return digest
 }
 
-// evacuationPrefix keeps the name of a data centre from counting like a server's.
+// evacuationPrefix distinguishes the name of a data centre from the id of a server in
+// Digest. Instances compare digests, so those with another prefix would differ.
 const evacuationPrefix = "evacuated\x00"
--- a/internal/servers/evacuation_test.go
+++ b/internal/servers/evacuation_test.go
@@ -13,8 +13,8 @@
 	return Server{ID: id, Name: id, Service: "s", Address: "10.0.0.1:" + id, DataCentre: dataCentre, Slots: 4, Revision: 1}
 }
 
-// Operators empty a data centre before they work on its power. Callers must get
-// nothing from its servers until it is taken back, and everything at once then.
+// Guards against requests to an evacuated data centre, whose power operators may work on,
+// and against servers left unused once the evacuation ends.
 func TestServersOfAnEvacuatedDataCentreGetNothing(t *testing.T) {
 	r := New()
 	now := monotime.Instant(1)
@@ -22,17 +22,17 @@
 	r.Put(inDataCentre("b", "south"), now)
 	before := r.Digest()
 	if !r.ApplyEvacuation(Evacuation{DataCentre: "north", Active: true, Revision: 5}, 0) {
-		t.Error("changed nothing")
+		t.Error("the evacuation changed nothing")
 	}
 	if diff := cmp.Diff([]string{"b"}, acceptingOfS(r)); diff != "" {
 		t.Error(diff)
 	}
 	if r.Digest() == before {
-		t.Error("peers would not notice the difference")
+		t.Error("the digest is the same as before the evacuation")
 	}
 	r.Put(inDataCentre("c", "north"), now)
 	if diff := cmp.Diff([]string{"b"}, acceptingOfS(r)); diff != "" {
-		t.Error("a server that starts there", diff)
+		t.Error("a server started there accepts requests", diff)
 	}
 	r.ApplyEvacuation(Evacuation{DataCentre: "north", Revision: 6}, 0)
 	if diff := cmp.Diff([]string{"a", "b", "c"}, acceptingOfS(r)); diff != "" {
@@ -40,8 +40,8 @@
 	}
 }
 
-// A peer that was cut off tells late of an evacuation that was taken back meanwhile,
-// and a slow answer of the store knows nothing of a newer one yet. Neither counts.
+// Guards against outdated states: a peer that was cut off sends an evacuation that has
+// ended since, and a slow answer of the store lacks a newer one.
 func TestOldEvacuationStatesAreIgnored(t *testing.T) {
 	r := New()
 	r.ApplyEvacuation(Evacuation{DataCentre: "north", Active: true, Revision: 5}, 0)
@@ -51,7 +51,7 @@
 	}
 	r.ApplyEvacuation(Evacuation{DataCentre: "north", Active: true, Revision: 9}, 0)
 	if changed := r.ReplaceEvacuations(nil, 8, 0); len(changed) != 0 || !r.Evacuated("north") {
-		t.Errorf("an old list ended it: %+v", changed)
+		t.Errorf("an old list ended the evacuation: %+v", changed)
 	}
 	want := []Evacuation{{DataCentre: "north", Revision: 12}}
 	if diff := cmp.Diff(want, r.ReplaceEvacuations(nil, 12, 0)); diff != "" {
@@ -59,8 +59,8 @@
 	}
 }
 
-// Changes of three data centres reach two instances in different orders, some of them
-// twice. Both must end with what the store said last of each.
+// Guards against instances that disagree after updates of three data centres in different
+// orders, each received twice. All must end with the store's last state.
 func TestEvacuationsConvergeInAnyOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 9))
 	for range 200 {
--- a/internal/servers/listing.go
+++ b/internal/servers/listing.go
@@ -7,20 +7,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Accepting returns the servers that take requests, by id: those whose entry is valid
-// and not draining, of services that are published, outside evacuated data centres.
+// Accepting returns the servers that accept requests, by id: those with a valid entry
+// that is not draining, of published services, outside evacuated data centres.
 //
-// A server that crashed and came back under a new name writes a new entry at once;
-// its old one lapses three heartbeats later. Requests meant for the old one would
-// reach the new one, which refuses them, and callers would have to come back. So of
-// entries with the same address only the one written last counts. An entry of a
-// service that nobody published comes from another writer and displaces none.
+// A server that crashed and restarted under a new name writes a new entry at once, while
+// its old one expires three heartbeats later. Requests for the old incarnation would
+// reach the new one, which refuses them, and callers would have to retry. So of entries
+// with the same address only the one written last counts. An entry of a service that is
+// not published comes from another writer and displaces none.
 func (r *Registry) Accepting(published func(service string) bool) []Server {
 	return slices.DeleteFunc(r.usable(published), func(s Server) bool { return r.Evacuated(s.DataCentre) })
 }
 
-// EvacuatedServers returns the servers that would take requests but for the evacuation of their
-// data centre. What they keep can still be fetched from them.
+// EvacuatedServers returns the servers that would accept requests if their data centre
+// were not evacuated. Data that they keep can still be fetched from them.
 func (r *Registry) EvacuatedServers(published func(service string) bool) []Server {
 	return slices.DeleteFunc(r.usable(published), func(s Server) bool { return !r.Evacuated(s.DataCentre) })
 }
@@ -40,7 +40,7 @@
 	return slices.DeleteFunc(out, func(s Server) bool { return s.Revision < newest[s.Address] })
 }
 
-// Get returns a live server.
+// Get returns a live server by id.
 func (r *Registry) Get(id string) (Server, bool) {
 	rec := r.live[id]
 	if rec == nil {
@@ -55,8 +55,8 @@
 	return stone.revision, ok
 }
 
-// Digest is the same for registries in which the same servers take requests,
-// and differs, but for chance, for others.
+// Digest returns a hash of the servers that accept requests and of the active
+// evacuations, for comparison between registries. Collisions are possible.
 func (r *Registry) Digest() uint64 {
 	digest := r.evacuationDigest()
 	for id, rec := range r.live {
@@ -67,8 +67,7 @@
 	return digest
 }
 
-// Tombstones returns the incarnations that are gone, with the revisions at which
-// they were removed.
+// Tombstones returns the revisions at which incarnations were removed, by id.
 func (r *Registry) Tombstones() map[string]Revision {
 	out := make(map[string]Revision, len(r.gone))
 	for id, stone := range r.gone {
@@ -77,11 +76,11 @@
 	return out
 }
 
-// Len returns the number of live servers, those that are leaving and those of
-// evacuated data centres among them.
+// Len returns the number of live servers, including draining ones and those of evacuated
+// data centres.
 func (r *Registry) Len() int { return len(r.live) }
 
-// List returns the live servers by id, those that are leaving among them.
+// List returns the live servers by id, including draining ones.
 func (r *Registry) List() []Server {
 	out := make([]Server, 0, len(r.live))
 	for _, rec := range r.live {
--- a/internal/servers/notice.go
+++ b/internal/servers/notice.go
@@ -6,36 +6,36 @@
 	"basilrudder/internal/monotime"
 )
 
-// Notice is what a server says of itself in an answer.
+// Notice is what a server states about itself in an answer.
 type Notice struct {
-	// Leaving says that it is about to end and wants no new requests.
+	// Leaving is true if the server is about to end and accepts no new requests.
 	Leaving bool
-	// Limited says that it takes no more than Rate requests a second, of all instances
-	// together, for as long as its answers say so.
+	// Limited is true if the server accepts at most Rate requests a second of all
+	// instances together. It holds for as long as its answers state it.
 	Limited bool
 	Rate    float64
-	// Pause is how long it wants nothing more from this instance; 0 for no such wish.
+	// Pause is how long the server accepts nothing more from this instance; 0 for no
+	// pause.
 	Pause time.Duration
 }
 
-// RateLimit is whether a server names a limit, and which.
+// RateLimit is the limit that a server states, if any.
 type RateLimit struct {
-	// Limited says that it names one.
+	// Limited is true if it states one.
 	Limited bool
 	// Rate in requests a second, of all instances together.
 	Rate float64
-	// At is when it was last known to say so: a limit counts from when its answer came,
-	// the end of one from when the request was sent whose answer named none. Never
-	// named: 0.
+	// At is when this was last confirmed: for a limit, when the answer that stated it
+	// arrived; for the end of one, when the request was sent whose answer stated none. 0
+	// if no limit was ever stated.
 	At monotime.Instant
 }
 
-// ApplyNotice takes what a server said of itself in its answer to a request sent at an instant.
+// ApplyNotice applies what a server stated in its answer to a request sent at an instant.
 //
-// Answers of one server overtake each other on their way, and an instance may read one
-// late. An answer without a limit ends one only if its request was sent after the limit
-// was last heard of: then the server wrote it after it had named the limit. That a server
-// leaves is never taken back.
+// Answers of one server may arrive out of order, and an instance may read one late. An
+// answer without a limit ends one only if its request was sent after the limit was last
+// received: then the server wrote it after stating the limit. Leaving is never undone.
 func (r *Registry) ApplyNotice(id string, n Notice, sent, now monotime.Instant) Change {
 	rec := r.live[id]
 	if rec == nil {
@@ -55,8 +55,8 @@
 	}
 }
 
-// SetRateLimit takes whether a server names a limit, as its answer or a peer told. Older
-// words than the one known change nothing.
+// SetRateLimit applies a limit, or its end, received from a server or a peer. One that is
+// older than the current state is ignored.
 func (r *Registry) SetRateLimit(id string, b RateLimit) Change {
 	rec := r.live[id]
 	if rec == nil || b.At <= rec.rateLimit.At {
@@ -70,7 +70,7 @@
 	return Updated
 }
 
-// RateLimit returns whether a server names a limit; the zero value for one that is not known.
+// RateLimit returns the limit that a server states; the zero value for an unknown server.
 func (r *Registry) RateLimit(id string) RateLimit {
 	if rec := r.live[id]; rec != nil {
 		return rec.rateLimit
@@ -78,7 +78,7 @@
 	return RateLimit{}
 }
 
-// Limited returns the ids of the servers that name a limit.
+// Limited returns the ids of the servers that state a limit.
 func (r *Registry) Limited() []string {
 	out := []string{}
 	for _, id := range r.ids() {
--- a/internal/servers/notice_test.go
+++ b/internal/servers/notice_test.go
@@ -11,10 +11,9 @@
 
 func limit(rate float64) Notice { return Notice{Limited: true, Rate: rate} }
 
-// A server names a limit. An answer that it wrote before, to a request sent before, is
-// read after it, as by an instance that stood still for a moment. It must not end the
-// limit: all instances would send as before until the next answer. One whose request was
-// sent since does end it.
+// Guards against a limit ended by an answer that the server wrote before it, read late by
+// an instance that had stalled. All instances would exceed the limit until the next
+// answer. An answer to a request sent since does end it.
 func TestALateAnswerDoesNotEndALimit(t *testing.T) {
 	r := New()
 	now := monotime.Instant(time.Hour)
@@ -39,12 +38,12 @@
 		}
 	}
 	if change := r.ApplyNotice("unknown", limit(1), now, now); change != Unchanged {
-		t.Error("a server that is not known", change)
+		t.Error("an unknown server changed", change)
 	}
 }
 
-// A server names and lifts its limit again and again, and instances hear of it from the
-// server and from each other in any order. All end with the last word.
+// Guards against instances that disagree on a limit that is set and lifted repeatedly,
+// received from the server and from peers in any order. All must end with the last state.
 func TestRateLimitsConvergeInAnyOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
@@ -65,7 +64,8 @@
 	}
 }
 
-// A server starts again under its name. What its former start needed is forgotten.
+// Guards against a limit that outlives its incarnation when the server restarts under its
+// name.
 func TestALimitEndsWithItsIncarnation(t *testing.T) {
 	r := New()
 	now := monotime.Instant(time.Hour)
--- a/internal/servers/registry.go
+++ b/internal/servers/registry.go
@@ -1,6 +1,6 @@
-// Package servers keeps what is known of the incarnations of upstream servers:
-// which take requests, which are leaving and which are gone. It is pure: it
-// takes the current instant and does no I/O.
+// Package servers tracks the incarnations of upstream servers: which accept requests,
+// which are draining and which are gone. It does no I/O and takes the current instant as
+// a parameter.
 package servers
 
 import (
@@ -9,47 +9,48 @@
 	"basilrudder/internal/monotime"
 )
 
-// record is a server with what is believed of it beyond its entry.
+// record is the state of a live server: its entry and what this instance derived or
+// received besides.
 type record struct {
 	server Server
-	// coldUntil is when the server has become warm; 0 for one that is.
+	// coldUntil is the instant at which the server becomes warm; 0 for a warm one.
 	coldUntil monotime.Instant
-	// graceEndsAt is when the server counts as gone unless its entry comes back; 0
-	// for an entry that the store has.
+	// graceEndsAt is when the server counts as gone unless its entry reappears; 0 while
+	// the store has the entry.
 	graceEndsAt monotime.Instant
-	// rateLimit is whether it names a limit.
+	// rateLimit is the limit that the server states, if any.
 	rateLimit RateLimit
-	// firstInEra is the first revision of its entry heard of in the era of the entry.
+	// firstInEra is the first revision observed of its entry in the entry's era.
 	firstInEra Revision
 }
 
-// Registry is the set of known servers. It is not safe for concurrent use.
+// Registry tracks servers and evacuations. It is not safe for concurrent use.
 type Registry struct {
 	live map[string]*record
 	gone map[string]tombstone
-	// current is the live incarnation of each name, and newest when the last one
-	// known of it was born.
+	// current is the live incarnation of each name, and newestBorn the birth of the
+	// newest incarnation observed of it.
 	current    map[string]string
 	newestBorn map[string]int64
-	// replaced are incarnations that ended since they were last asked for because
-	// their server has started again.
+	// replaced are the incarnations that ended by a restart of their server since the
+	// last call of Replaced.
 	replaced []string
-	// evacuations holds what the store last said of each data centre.
+	// evacuations holds the state in force of each data centre.
 	evacuations map[string]Evacuation
-	// deferred are what a new era says of data centres against what was known.
+	// deferred holds states of a new era that contradict those in evacuations.
 	deferred map[string]Evacuation
-	// unstableUntil is when removals are final again after the store was away; 0
-	// when it never was.
+	// unstableUntil is when removals are final again after an outage of the store; 0 if
+	// there was none.
 	unstableUntil monotime.Instant
-	// latest is the highest revision heard of, and eraSince when its era was; 0 for the
-	// first era that is known here.
+	// latest is the highest revision observed, and eraSince when its era was first
+	// observed; 0 for the first era observed.
 	latest   Revision
 	eraSince monotime.Instant
-	// copiedEntries are entries of incarnations that ended in an era before, by id, which may
-	// stand in the store only because its copy has them.
+	// copiedEntries are entries, by id, of incarnations that ended in an earlier era.
+	// They may be in the store only because its copy has them.
 	copiedEntries map[string]Server
-	// listed is the revision of the last full list, and firstListInEra of the first one of its
-	// era.
+	// listed is the revision of the last full list, and firstListInEra that of the first
+	// list of its era.
 	listed, firstListInEra Revision
 }
 
@@ -63,12 +64,12 @@
 	}
 }
 
-// Put takes an entry of the store, read directly or told by a peer. A server
-// that was seen draining takes no requests again before its next start.
+// Put applies an entry read from the store or received from a peer. A server that was
+// draining accepts no requests again before its next start.
 //
-// A server that started again may write its entry before late ones of its former
-// start arrive, from the store or from a peer. Those change nothing: the order of
-// starts goes before the order of writes.
+// A restarted server may write its entry before late ones of its former start arrive,
+// from the store or from a peer. Those are ignored: the order of starts takes precedence
+// over the order of writes.
 func (r *Registry) Put(s Server, now monotime.Instant) Change {
 	if s.Born < r.newestBorn[s.Name] {
 		return Unchanged
@@ -93,7 +94,7 @@
 	return rec.update(s, coldUntil)
 }
 
-// update takes an entry of the same incarnation.
+// update applies an entry of the same incarnation.
 func (rec *record) update(s Server, coldUntil monotime.Instant) Change {
 	if s.Revision < rec.server.Revision {
 		if s.Draining {
@@ -118,19 +119,19 @@
 	}
 }
 
-// renew notes that the store has a later entry.
+// renew applies a later entry: it ends the grace period and replaces the cold time.
 func (rec *record) renew(s *Server, coldUntil monotime.Instant) {
 	rec.graceEndsAt = 0
 	if s.Revision.Era() > rec.server.Revision.Era() {
-		// The copy may be from before the server turned cold.
+		// The copy may be older than the server's cold start.
 		coldUntil = max(coldUntil, rec.coldUntil)
 		rec.firstInEra = s.Revision
 	}
 	rec.coldUntil = coldUntil
 }
 
-// drain notes that a server leaves. No later word of its incarnation takes that back: it
-// may come from the server itself, which the store and its revisions know nothing of, or
+// drain marks the server as draining. No later entry of the incarnation undoes that: the
+// notice may come from the server itself, which the store's revisions do not cover, or
 // from a peer whose entry of the server is older.
 func (rec *record) drain() Change {
 	if rec.server.Draining {
@@ -140,7 +141,7 @@
 	return Updated
 }
 
-// endFormer ends the former incarnation of a server that has started again.
+// endFormer ends the former incarnation of a restarted server.
 func (r *Registry) endFormer(s Server, now monotime.Instant) {
 	former, ok := r.current[s.Name]
 	if !ok {
@@ -150,17 +151,17 @@
 	r.replaced = append(r.replaced, former)
 }
 
-// Replaced returns the incarnations that ended since the last call because their
-// server has started again.
+// Replaced returns the incarnations that ended by a restart of their server since the
+// last call.
 func (r *Registry) Replaced() []string {
 	out := r.replaced
 	r.replaced = nil
 	return out
 }
 
-// Invalidate takes an entry that can't be read. Its name is not used until one
-// that can be read follows; the entries of other names hold. It returns the id of
-// the incarnation that this changes.
+// Invalidate applies an unreadable entry. Its name is not used until a readable one
+// follows; entries of other names are unaffected. It returns the id of the incarnation
+// concerned.
 func (r *Registry) Invalidate(m EntryRef, now monotime.Instant) (id string, change Change) {
 	r.observe(m.Revision, now)
 	id = r.current[m.Name]
@@ -172,9 +173,9 @@
 	return id, Updated
 }
 
-// Replace takes a full list of the store, read at a revision: the entries that can
-// be read and marks of those that can't. It returns the ids of what changed,
-// those whose entries are missing among them.
+// Replace applies a full list of the store, read at a revision: the readable entries and
+// references to unreadable ones. It returns the ids of what changed, including those
+// whose entries are missing.
 func (r *Registry) Replace(list []Server, invalid []EntryRef, revision Revision, now monotime.Instant) (changed []string) {
 	r.observeList(revision, now)
 	present := make(map[string]bool, len(list))
--- a/internal/servers/registry_test.go
+++ b/internal/servers/registry_test.go
@@ -25,10 +25,10 @@
 	return Server{ID: id, Name: id, Service: "s", Address: "10.0.0.1:" + id, Revision: revision}
 }
 
-// While the store is away the entries of three live servers run out. The first
-// thing it says on its return is that all are removed; two write theirs again
-// after a second, one had crashed. Callers see none of the live ones missing,
-// and the crashed one only for the grace.
+// Guards against live servers dropped after a store outage in which their entries
+// expired. The store first reports all three as removed; two write their entries again
+// after a second, one had crashed. The live ones stay in use, and the crashed one only
+// for the grace.
 func TestEntriesThatExpiredInAStoreOutageCountDuringTheGrace(t *testing.T) {
 	r := New()
 	for _, id := range []string{"a", "b", "c"} {
@@ -41,7 +41,7 @@
 		}
 	}
 	if diff := cmp.Diff([]string{"a", "b", "c"}, ids(r)); diff != "" {
-		t.Error("right after the return", diff)
+		t.Error("right after the recovery", diff)
 	}
 	r.Put(server("a", 11), at(6*time.Second))
 	r.Put(server("b", 12), at(6*time.Second))
@@ -57,8 +57,8 @@
 	}
 }
 
-// A server reports that it drains and its entry ends while the store is away.
-// It was leaving for good, so nothing is sent to it in the grace.
+// Guards against requests in the grace to a server that drained and whose entry ended
+// during a store outage.
 func TestADrainingServerIsGoneAtOnce(t *testing.T) {
 	r := New()
 	s := server("a", 1)
@@ -77,12 +77,13 @@
 	r.Put(s, at(0))
 	r.Put(server("a", 2), at(0))
 	if got, _ := r.Get("a"); !got.Draining {
-		t.Error("the server takes requests again after it drained")
+		t.Error("the server accepts requests again after it drained")
 	}
 }
 
-// A server that leaves can't reach the store, its entry runs out and an earlier one is
-// written again. It gets nothing: it is the same incarnation, and it leaves.
+// Guards against requests to a leaving server that could not reach the store: its entry
+// expires and an earlier one is written again. It is the same incarnation and stays
+// draining.
 func TestADrainOutlivesTheEntry(t *testing.T) {
 	r := New()
 	r.Put(server("a", 1), at(0))
@@ -92,7 +93,7 @@
 	}
 	r.Put(server("a", 3), at(time.Second))
 	if got, live := r.Get("a"); !live || !got.Draining {
-		t.Errorf("the server takes requests again after it drained: %+v", got)
+		t.Errorf("the server accepts requests again after it drained: %+v", got)
 	}
 }
 
@@ -107,7 +108,7 @@
 		t.Errorf("entry written after the removal: %v", got)
 	}
 	if got := r.MarkGone("a", 9, at(time.Second)); got != Unchanged {
-		t.Errorf("a peer's older word: %v", got)
+		t.Errorf("an older report of a peer: %v", got)
 	}
 }
 
@@ -124,9 +125,8 @@
 	}
 }
 
-// A server crashes and is back after two seconds under a new name at the same
-// address. The old entry stands for a while; requests for it would be
-// refused by the new one.
+// Guards against requests to the old entry of a server that crashed and restarted under a
+// new name at the same address. The new incarnation would refuse them.
 func TestANewIncarnationAtAnAddressEndsTheOldOne(t *testing.T) {
 	r := New()
 	same := func(id string, revision Revision) Server {
@@ -141,11 +141,11 @@
 	}
 	r.Put(same("older", 3), at(3*time.Second))
 	if diff := cmp.Diff([]string{"new"}, acceptingOfS(r)); diff != "" {
-		t.Error("after late news of an incarnation before the newest", diff)
+		t.Error("after a late update of an earlier incarnation", diff)
 	}
 }
 
-// acceptingOfS lists the servers that take requests where service s is published.
+// acceptingOfS lists the servers that accept requests if only service s is published.
 func acceptingOfS(r *Registry) []string {
 	var out []string
 	for _, s := range r.Accepting(func(service string) bool { return service == "s" }) {
@@ -154,13 +154,13 @@
 	return out
 }
 
-// born is a start of a server that keeps its name and address.
+// born returns an incarnation of a server that keeps its name and address.
 func born(name string, at int64, revision Revision) Server {
 	return Server{ID: Incarnation(name, at), Name: name, Born: at, Service: "s", Address: "10.0.0.1:1", Revision: revision}
 }
 
-// A server drains, stops and starts again under its name. Callers are served by
-// its new start: what was known of the former one does not bind it.
+// Guards against a restarted server that is not used because its former start, under the
+// same name, was draining.
 func TestAServerThatStartsAgainUnderItsNameIsNotDraining(t *testing.T) {
 	r := New()
 	former := born("a", 1000, 5)
@@ -176,13 +176,12 @@
 		t.Error("ended", diff)
 	}
 	if _, gone := r.Gone("a@1000"); !gone {
-		t.Error("the former start is not known to be gone")
+		t.Error("the former start is not marked as gone")
 	}
 }
 
-// A server has started again. A late write of its former start reaches the store
-// after that of the new one, and a slow peer tells of the former start too. The
-// new start goes on taking requests, and the former one gets none.
+// Guards against a former start that replaces the new one: its late write reaches the
+// store after that of the new start, and a slow peer reports the former start too.
 func TestLateUpdatesOfAFormerStartAreIgnored(t *testing.T) {
 	r := New()
 	r.Put(born("a", 2000, 9), at(0))
@@ -204,9 +203,8 @@
 	}
 }
 
-// Two servers share an address that was given again, one of them of a service that
-// nobody published. Its entry comes from another writer, is newer, and must not
-// take the requests of the other away.
+// Guards against an entry of an unpublished service, by another writer, that displaces a
+// server with the same address because it is newer.
 func TestAnEntryOfAnUnknownServiceDisplacesNone(t *testing.T) {
 	r := New()
 	r.Put(born("a", 0, 1), at(0))
@@ -218,8 +216,9 @@
 	}
 }
 
-// An entry turns unreadable and is written well again a second later. In between
-// its server gets no requests, the others do, and an older word does not help.
+// Guards against use of a server whose newest entry is unreadable. It gets no requests
+// until a later readable entry; older entries don't restore it, and other servers are
+// unaffected.
 func TestAnUnreadableEntryIsNotUsedUntilItIsReadable(t *testing.T) {
 	r := New()
 	other := born("b", 0, 2)
@@ -237,14 +236,14 @@
 		t.Errorf("a list with the unreadable entry changes %v", changed)
 	}
 	if _, ok := r.Get("a"); !ok {
-		t.Error("the server is taken for gone")
+		t.Error("the server counts as gone")
 	}
 	r.Put(born("a", 0, 7), at(time.Second))
 	if diff := cmp.Diff([]string{"a", "b"}, acceptingOfS(r)); diff != "" {
-		t.Error("written well again", diff)
+		t.Error("readable again", diff)
 	}
 	if _, got := r.Invalidate(EntryRef{"unknown", 9}, 0); got != Unchanged {
-		t.Errorf("an unreadable entry of a name that is not known: %v", got)
+		t.Errorf("an unreadable entry of an unknown name: %v", got)
 	}
 }
 
@@ -254,6 +253,6 @@
 	r.Remove("a", 2, at(0))
 	r.Expire(at(tombstoneLife + time.Second))
 	if len(r.newestBorn) > 0 || len(r.gone) > 0 || len(r.current) > 0 {
-		t.Errorf("still known: %v %v %v", r.newestBorn, r.gone, r.current)
+		t.Errorf("still recorded: %v %v %v", r.newestBorn, r.gone, r.current)
 	}
 }
--- a/internal/servers/removal.go
+++ b/internal/servers/removal.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// RemovalGrace is how long an entry that is missing after the store was away
-	// still counts: servers that live write theirs again within 2 s. Somewhat
-	// less, because a server that did leave must get no request later than 2 s
-	// after its removal was acknowledged.
+	// RemovalGrace is how long an entry that is missing after a store outage still
+	// counts. Live servers write theirs again within 2 s; a much shorter grace would drop
+	// them. It is below 2 s because a server that did leave must get no request later
+	// than 2 s after its removal was acknowledged.
 	RemovalGrace = 1700 * time.Millisecond
-	// tombstoneLife is how long an incarnation that is gone is remembered, so
-	// that late news of a peer does not bring it back.
+	// tombstoneLife is how long an incarnation that is gone is remembered. With a shorter
+	// time a late update of a peer would restore it.
 	tombstoneLife = 5 * time.Minute
 )
 
@@ -23,17 +23,17 @@
 	name     string
 	revision Revision
 	at       monotime.Instant
-	// draining says that it was leaving, which an entry that comes back can't change.
+	// draining is whether it was draining, which a reappearing entry can't undo.
 	draining bool
 }
 
-// Remove takes the removal of the entry under a name at a revision. It returns the
-// id of the incarnation that this changes.
+// Remove applies the removal of the entry under a name at a revision. It returns the id
+// of the incarnation concerned.
 //
-// While the store is away the entries of servers that live may run out. Were
-// they dropped at once, a whole service could vanish for two seconds after each
-// outage. So a removal seen shortly after one only counts when the entry does
-// not come back; that of a server that was leaving counts at once.
+// During a store outage the entries of live servers may expire. If they were dropped at
+// once, a whole service could vanish for two seconds after each outage. So a removal
+// received shortly after one counts only if the entry does not reappear; that of a
+// draining server counts at once.
 func (r *Registry) Remove(name string, revision Revision, now monotime.Instant) (id string, change Change) {
 	r.observe(revision, now)
 	r.dropCopies(name)
@@ -54,8 +54,8 @@
 	return id, Removed
 }
 
-// MarkGone takes a peer's word that an incarnation is gone for good. One that left in an era
-// before is gone although the store's copy still has it.
+// MarkGone applies a peer's report that an incarnation is gone for good. One that left in
+// an earlier era is gone even if the store's copy still has it.
 func (r *Registry) MarkGone(id string, revision Revision, now monotime.Instant) Change {
 	r.observe(revision, now)
 	rec := r.live[id]
@@ -89,13 +89,14 @@
 	r.gone[id] = stone
 }
 
-// StoreRecovered tells that the store answers again after it was away.
+// StoreRecovered starts the grace period: the store answers again after an outage.
 func (r *Registry) StoreRecovered(now monotime.Instant) {
 	r.unstableUntil = now.Add(RemovalGrace)
 }
 
-// Expire drops servers whose entries did not come back, takes entries back that were
-// doubted, forgets old tombstones, and returns the ids of what changed.
+// Expire drops servers whose entries did not reappear in the grace period, restores
+// entries that outlasted copyLife, drops old tombstones, and returns the ids of what
+// changed.
 func (r *Registry) Expire(now monotime.Instant) (changed []string) {
 	changed = r.restoreCopies(now)
 	for _, id := range r.ids() {
@@ -114,7 +115,7 @@
 	return changed
 }
 
-// dropUnusedNames drops the births of names of which nothing else is known any more.
+// dropUnusedNames drops the births of names without a live incarnation or a tombstone.
 func (r *Registry) dropUnusedNames() {
 	hasTombstone := make(map[string]bool, len(r.gone))
 	for _, stone := range r.gone {
--- a/internal/servers/revision.go
+++ b/internal/servers/revision.go
@@ -2,22 +2,24 @@
 
 import "strconv"
 
-// Revision orders what the store says: by its era first, then by the number that it counts
-// in each era. A store that comes back from an older copy begins a new era and gives
-// numbers out again, so the number alone would have what it says then count as old.
+// Revision orders the states of the store: first by era, then by the number that the
+// store counts in each era. A store restored from an older copy begins a new era and
+// assigns numbers again, so by the number alone its new states would count as old.
 //
-// It is one integer, so that it is compared as one and costs links no more than a number.
-// In the first era, 0, it is the number.
+// It is a single integer, so that one comparison orders it and it takes no more bytes on
+// links than a number. In the first era, 0, it equals the number.
 type Revision int64
 
 const (
+	// numberBits is the width of the number; the 16 bits above it hold the era. Instances
+	// exchange revisions as integers, so all must use the same width.
 	numberBits = 47
-	// MaxNumber and MostEra are the largest that a Revision holds.
+	// MaxNumber and MaxEra are the largest values that a Revision holds.
 	MaxNumber = 1<<numberBits - 1
 	MaxEra    = 1<<(63-numberBits) - 1
 )
 
-// NewRevision returns the revision of an era and a number; false when one of them is
+// NewRevision returns the revision of an era and a number; false if one of them is
 // negative or too large.
 func NewRevision(era, number int64) (r Revision, ok bool) {
 	if era < 0 || era > MaxEra || number < 0 || number > MaxNumber {
@@ -26,13 +28,13 @@
 	return Revision(era<<numberBits | number), true
 }
 
-// Era of the store.
+// Era returns the era of the store.
 func (r Revision) Era() int64 { return int64(r) >> numberBits }
 
-// Number that the store gives it.
+// Number returns the store's number within the era.
 func (r Revision) Number() int64 { return int64(r) & MaxNumber }
 
-// String is the number, with the era before it where there has been more than one.
+// String returns the number, preceded by the era if that is not the first.
 func (r Revision) String() string {
 	number := strconv.FormatInt(r.Number(), 10)
 	if r.Era() == 0 {
--- a/internal/servers/server.go
+++ b/internal/servers/server.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Server is one incarnation of an upstream server. Values are not changed once
-// they are in a Registry.
+// Server is one incarnation of an upstream server. Values are not changed once they are
+// in a Registry.
 type Server struct {
-	// ID of the incarnation, see Incarnation; a new start has a new one.
+	// ID of the incarnation, see Incarnation; each start has its own.
 	ID string
-	// Name of the server, which it keeps when it starts again.
+	// Name of the server, which it keeps over restarts.
 	Name string
-	// Born is the Unix millisecond of its start by its own clock; 0 when it does
-	// not tell. Of two incarnations of a name the one born later is the newer.
+	// Born is the Unix millisecond of its start by its own clock; 0 if unknown. Of two
+	// incarnations of a name the one with the higher value is the newer.
 	Born int64
-	// Service it belongs to.
+	// Service is the name of the service that it runs.
 	Service string
 	// Address is host and port. It may be given to another service later.
 	Address string
-	// DataCentre it stands in.
+	// DataCentre in which it is located.
 	DataCentre string
-	// Slots is the number of requests it runs at once.
+	// Slots is the number of requests that it runs at once.
 	Slots int
-	// ColdLeft is how much longer it is cold, as of when this is learned: it bears few
-	// requests then, see Registry.ColdUntil. A Registry returns it as 0.
+	// ColdLeft is how much longer it is cold, as of when this is received. A cold server
+	// sustains few requests, see Registry.ColdUntil. A Registry returns it as 0.
 	ColdLeft time.Duration
-	// Draining servers take no new requests.
+	// Draining is true if it accepts no new requests.
 	Draining bool
-	// Invalid says that the newest entry under the name can't be read. It names no
-	// server to use until one that can be read follows.
+	// Invalid is true if the newest entry under the name is unreadable. The server is not
+	// used until a readable one follows.
 	Invalid bool
-	// Revision of the store at which this was so.
+	// Revision of the store at which this was read.
 	Revision Revision
 }
 
-// Incarnation returns the id of one start of a named server. Everything that is
-// known of a server hangs on it, so that a server which starts again under its
-// name is not taken to keep, to run or to refuse what its former start did.
+// Incarnation returns the id of one start of a named server. All state is recorded under
+// this id, so that what a former start kept, ran or refused is not attributed to the new
+// one.
 func Incarnation(name string, born int64) string {
 	if born == 0 {
 		return name
@@ -45,35 +45,36 @@
 	return name + bornSeparator + strconv.FormatInt(born, 10)
 }
 
-// bornSeparator stands between name and birth in the id of an incarnation.
+// bornSeparator separates name and birth in the id of an incarnation. Instances exchange
+// these ids, so all must use the same one.
 const bornSeparator = "@"
 
-// EntryRef is an entry without content: one that ended, or one that can't be read.
+// EntryRef refers to an entry without its content: one that was removed, or one that is
+// unreadable.
 type EntryRef struct {
 	// Name of the server.
 	Name string
-	// Revision of the store at which this was so.
+	// Revision of the store at which this was read.
 	Revision Revision
 }
 
-// Change tells what an update did.
+// Change is the effect of an update.
 type Change uint8
 
-// Changes.
 const (
-	// Unchanged: the update was known or older than what is known.
+	// Unchanged: the update was already applied or is outdated.
 	Unchanged Change = iota
-	// Added: the server is new, or came back.
+	// Added: the server is new or has reappeared.
 	Added
-	// Updated: an entry changed.
+	// Updated: its state changed.
 	Updated
-	// InGrace: the entry is missing, and may come back.
+	// InGrace: its entry is missing but may reappear.
 	InGrace
 	// Removed: the server is gone.
 	Removed
 )
 
-// String names the change for logs.
+// String returns the name of the change in logs.
 func (c Change) String() string {
 	return [...]string{"unchanged", "added", "updated", "lapsing", "removed"}[c]
 }
--- a/internal/throttle/owners.go
+++ b/internal/throttle/owners.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// owns reports whether the view's own instance is one of the first few members for a
+// owns reports whether the view's own instance is among the given number of owners of a
 // server, by rendezvous hashing: instances with the same members agree, and when one
-// leaves only the servers that it owned get another owner.
+// leaves, only the servers that it owned get another owner.
 func owns(v *view, id string, owners int) bool {
 	mine := hashWeight(v.self, id)
 	preceding := 0
--- a/internal/throttle/server.go
+++ b/internal/throttle/server.go
@@ -6,30 +6,32 @@
 	"basilrudder/internal/monotime"
 )
 
-// server is what is known of one incarnation.
+// server is the state of one incarnation.
 type server struct {
-	// coldUntil is when it is warm, as its entry says; assumedColdUntil when it is although
-	// it may have started again since assumedColdSince, of which no entry tells yet.
+	// coldUntil is when it becomes warm according to its entry. assumedColdUntil is when
+	// it does if it restarted before assumedColdSince, which no entry shows yet.
 	coldUntil, assumedColdUntil, assumedColdSince monotime.Instant
-	// unreachable says that no connection to it could be made, so that it may come back cold.
+	// unreachable is true if no connection to it could be made, so that it may be cold
+	// when it recovers.
 	unreachable bool
-	// rateLimit is the rate that it says it takes, at least trialRate; 0 when it names none.
+	// rateLimit is the rate that it states, at least probeRate; 0 if it states none.
 	rateLimit float64
-	// pausedUntil is when it takes requests of this instance again, as it says.
+	// pausedUntil is when it accepts requests of this instance again, as it stated.
 	pausedUntil monotime.Instant
 	// nextAt is when this instance may send the next request.
 	nextAt monotime.Instant
-	// recent are the requests of all instances within the window, oldest first.
+	// recent holds the times of all instances' requests within the window, oldest first.
 	recent []monotime.Instant
-	// owned is whether this instance is one of the owners, by the view and for the rate
-	// for which that was worked out.
+	// owned is whether this instance is one of the ownerCount owners, as computed for
+	// ownedView and ownedRate.
 	owned      bool
 	ownedView  *view
 	ownedRate  float64
 	ownerCount int
 }
 
-// mayBeLimited reports whether the server has or may have a bound.
+// mayBeLimited reports whether the server is or may be limited, or has state that is to
+// expire.
 func (s *server) mayBeLimited() bool {
 	return s.coldUntil != 0 || s.assumedColdUntil != 0 || s.unreachable || s.rateLimit != 0 || s.pausedUntil != 0
 }
@@ -53,12 +55,12 @@
 	if now < s.coldUntil {
 		return true
 	}
-	// The store has since said that it is the same incarnation as before.
+	// The store has since confirmed that it is the same incarnation as before.
 	same := storeConfirmedAt >= s.assumedColdSince.Add(confirmationLag)
 	return now < s.assumedColdUntil && !same
 }
 
-// rate is what the server bears now, in requests a second; 0 for no bound.
+// rate returns what the server sustains now, in requests a second; 0 for no limit.
 func (s *server) rate(r *Request, now monotime.Instant) float64 {
 	if r.ColdLimit.Rate <= 0 || !s.cold(r.StoreConfirmedAt, now) {
 		return s.rateLimit
@@ -69,7 +71,7 @@
 	return r.ColdLimit.Rate
 }
 
-// interval is the time between two requests of one owner.
+// interval returns the time between two requests of one owner.
 func (s *server) interval(rate float64) time.Duration {
 	return time.Duration(float64(s.ownerCount) / rate * float64(time.Second))
 }
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -1,15 +1,16 @@
-// Package throttle keeps what a fleet sends to a server below what it bears.
+// Package throttle keeps the requests that a fleet sends to a server below the server's
+// capacity.
 //
-// A server that has just started bears few requests a second and crashes well above
-// that; one may also name a rate that it takes. Every instance of the fleet may send to
-// it, and no instance decides for the others. So each server with such a bound has owners
-// among the live instances, by rendezvous hashing: only they send to it, each at an even
-// pace, and together at the rate that it bears. Instances whose lists of members differ
-// for a moment may take different owners; two disjoint sets of them send twice the rate
-// at most. Besides, every instance counts what it hears that others sent, and an owner
-// waits when the last second is full.
+// A server that has just started sustains few requests a second and crashes well above
+// that; a server may also state a rate limit. Every instance of the fleet may send to it,
+// and no instance decides for the others. So each limited server has owners among the
+// live instances, chosen by rendezvous hashing. Only they send to it, each at an even
+// pace, and together at the rate that it sustains. Instances whose lists of members
+// differ for a moment may choose different owners; two disjoint sets of owners send at
+// most twice the rate. In addition every instance counts the requests that others report,
+// and an owner waits when the last second is full.
 //
-// The package is pure: it takes the current instant and does no I/O.
+// The package does no I/O and takes the current instant as a parameter.
 package throttle
 
 import (
@@ -24,52 +25,57 @@
 )
 
 const (
-	// maxOwnerRate is how many requests a second one owner sends to a cold server at most.
-	// Then no second holds two of one owner, so that all owners together send no more
-	// in it than the server bears, and an instance that takes only a few requests a
-	// second from its callers has enough of them to use its part.
+	// maxOwnerRate is the maximum rate of one owner to a limited server, in requests a
+	// second. Above 1 a second could hold two requests of one owner, and all owners
+	// together could exceed the server's rate. Low owner rates also let an instance with
+	// few requests a second use its part.
 	maxOwnerRate = 1.0
-	// window is the span in which a server bears its rate.
+	// window is the span over which recent requests are counted. Rates are per second, so
+	// another span would need the count to be scaled.
 	window = time.Second
-	// startupDelay is how long a process that starts sends nothing to cold servers: it
-	// knows few members yet and would own all of them. Links to all others stand
-	// within a second.
+	// startupDelay is how long a starting process sends nothing to limited servers: it
+	// has few members yet and would own all of these servers. Links to all others are up
+	// within a second; a shorter delay would let it send before that.
 	startupDelay = 1500 * time.Millisecond
-	// confirmationLag is how long after a server answered again the store's word that it is
-	// the same one counts. The entry of one that has started again is known to all
-	// instances within some 300 ms.
+	// confirmationLag is how long after a server was reached again a confirmation of the
+	// store must be for the server to count as the same incarnation. The entry of a
+	// restarted server reaches all instances within some 300 ms; with a shorter lag a
+	// restarted server would count as warm.
 	confirmationLag = 500 * time.Millisecond
-	// priorityDelayStep is how much of the time between two requests of an owner is left to
-	// more urgent ones, for each step of priority, where all servers are cold. With a
-	// quarter the third priority still gets what the first two leave.
+	// priorityDelayStep is the part of the time between two requests of an owner that
+	// each step of priority waits, to leave it to more urgent requests, where all servers
+	// are limited. At a quarter the third priority still gets what the first two leave.
 	priorityDelayStep = 0.25
-	// maxPriorityDelay bounds that for the lowest priorities, so that they are served.
+	// maxPriorityDelay bounds the sum of these parts, so that the lowest priorities are
+	// served.
 	maxPriorityDelay = 0.75
-	// inUseWindow is how long after a request a server counts as in use: many times the delay
-	// of news, and a fleet that serves a service sends it some requests in that time.
+	// inUseWindow is how long after a request a server counts as in use. It is many times
+	// the delay of updates, and a fleet that serves a service sends it some requests in
+	// that time; with a shorter window a server in use could count as unused.
 	inUseWindow = 300 * time.Millisecond
-	// probeRate is what a server gets that names a lower rate, in requests a second. Only
-	// an answer tells that its limit is over, so one that got nothing would for good.
+	// probeRate is the minimum rate, in requests a second, also for a server that states
+	// a lower one. Only an answer shows that its limit has ended, so a server that got no
+	// requests would stay limited for good.
 	probeRate = 0.2
-	// maxRecent bounds the requests remembered of a server: more than any cold one
-	// bears in a second.
+	// maxRecent bounds the requests recorded of a server. It must exceed what any cold
+	// server sustains in a second, or the count would never reach that rate.
 	maxRecent = 256
 )
 
-// ColdLimit is what a cold server of a service bears.
+// ColdLimit is what a cold server of a service sustains.
 type ColdLimit struct {
-	// Rate in requests a second; 0 for no bound.
+	// Rate in requests a second; 0 for no limit.
 	Rate float64
 	// Duration is how long a server is cold after it starts.
 	Duration time.Duration
 }
 
-// Limiter decides when this instance may send to servers that bear few requests. It is
+// Limiter decides when this instance may send to servers that sustain few requests. It is
 // safe for concurrent use.
 type Limiter struct {
 	startedAt monotime.Instant
-	// limitedCount is the number of servers that have or may have a bound, so that the others
-	// cost nothing.
+	// limitedCount is the number of servers for which mayBeLimited holds. While it is 0
+	// most methods return without taking the lock.
 	limitedCount atomic.Int64
 
 	mu      sync.Mutex
@@ -77,18 +83,18 @@
 	servers map[string]*server
 }
 
-// view is the members that share such servers; it is not changed once made.
+// view is the set of members that share limited servers. It is immutable.
 type view struct {
 	self    string
 	members []string
 }
 
-// New returns a Limiter of a process that starts now and knows no other instance.
+// New returns a Limiter of a process that starts now, with itself as the only member.
 func New(self string, now monotime.Instant) *Limiter {
 	return &Limiter{startedAt: now, view: &view{self: self, members: []string{self}}, servers: make(map[string]*server)}
 }
 
-// SetMembers replaces the instances that share servers, this one among them.
+// SetMembers replaces the instances that share servers, this one included.
 func (l *Limiter) SetMembers(members []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,36 +112,36 @@
 	return s
 }
 
-// SetCold notes that a server is cold until an instant, or warm when that is over.
+// SetCold records that a server is cold until an instant; warm if that has passed.
 func (l *Limiter) SetCold(id string, until monotime.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(id, func(s *server) { s.coldUntil = until })
 }
 
-// SetRateLimit notes the rate that a server says it takes of all instances together.
+// SetRateLimit records the rate limit that a server states, over all instances together.
 func (l *Limiter) SetRateLimit(id string, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(id, func(s *server) { s.rateLimit = max(rate, probeRate) })
 }
 
-// ClearRateLimit notes that a server names no rate.
+// ClearRateLimit records that a server states no rate limit.
 func (l *Limiter) ClearRateLimit(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(id, func(s *server) { s.rateLimit = 0 })
 }
 
-// Pause notes that a server wants nothing from this instance until an instant. A shorter
-// wish than the last one changes nothing: it may have been sent before that.
+// Pause records that a server accepts nothing from this instance until an instant. A
+// pause that ends before the current one is ignored: it may have been sent earlier.
 func (l *Limiter) Pause(id string, until monotime.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(id, func(s *server) { s.pausedUntil = max(s.pausedUntil, until) })
 }
 
-// Forget drops what is known of an incarnation that is gone.
+// Forget drops the state of an incarnation that is gone.
 func (l *Limiter) Forget(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,16 +149,16 @@
 	delete(l.servers, id)
 }
 
-// MarkUnreachable notes that a server can't be reached. When it answers again it may have
-// started again, and requests of all instances would reach it before its entry does.
+// MarkUnreachable records that a server can't be reached. When it answers again it may
+// have restarted, and requests of all instances would reach it before its entry does.
 func (l *Limiter) MarkUnreachable(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(id, func(s *server) { s.unreachable = true })
 }
 
-// MarkReachable notes that a connection to a server was made. One that had been lost counts
-// as cold until its entry says otherwise, see Take.
+// MarkReachable records that a connection to a server was made. One that was unreachable
+// counts as cold until its entry shows otherwise, see TryAcquire.
 func (l *Limiter) MarkReachable(id string, limit ColdLimit, now monotime.Instant) {
 	if l.limitedCount.Load() == 0 {
 		return
@@ -171,8 +177,9 @@
 	})
 }
 
-// update changes what is known of a server and keeps watched right; mu is held. A fleet
-// that starts learns thousands of servers at once, so the others are not looked at.
+// update applies f to the state of a server and adjusts limitedCount; mu is held. A
+// starting fleet adds thousands of servers at once, so the other servers are not counted
+// anew.
 func (l *Limiter) update(id string, f func(*server)) {
 	s := l.server(id)
 	was := s.mayBeLimited()
@@ -185,8 +192,9 @@
 	}
 }
 
-// clearExpired ends what is over for a server, so that it is no longer watched; mu is held.
-// Else one that was cold once would cost every later choice a look at each server.
+// clearExpired drops limits that have expired, so that the server no longer counts as
+// limited; mu is held. Otherwise every later choice would check each server that was cold
+// once.
 func (l *Limiter) clearExpired(id string, s *server, storeConfirmedAt, now monotime.Instant) {
 	expired := !s.unreachable && s.rateLimit == 0 && now >= s.pausedUntil && !s.cold(storeConfirmedAt, now)
 	if s.mayBeLimited() && expired {
@@ -194,15 +202,15 @@
 	}
 }
 
-// RecordRequest notes that a request of any instance began on a server.
+// RecordRequest records that a request of any instance began on a server.
 func (l *Limiter) RecordRequest(id string, now monotime.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.server(id).record(now)
 }
 
-// InUse reports whether any instance has sent a request to one of the servers lately, and
-// not before an instant, as far as this one has heard.
+// InUse reports whether any instance has sent a request to one of the servers within
+// inUseWindow and not before since, as far as this instance has received.
 func (l *Limiter) InUse(ids iter.Seq[string], since, now monotime.Instant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,16 +227,17 @@
 	return false
 }
 
-// Request is a request that is to be sent.
+// Request holds the properties of a request to be sent that decide on its admission.
 type Request struct {
 	// ColdLimit of the service's cold servers.
 	ColdLimit ColdLimit
-	// Priority, 0 first.
+	// Priority, 0 is the most urgent.
 	Priority int
-	// AllLimited says that all servers of the service are bounded, so that what they bear is
-	// left to the more urgent requests first.
+	// AllLimited is true if all servers of the service are limited, so that their
+	// capacity goes to more urgent requests first.
 	AllLimited bool
-	// StoreConfirmedAt is when what is known of servers was last known to be the newest.
+	// StoreConfirmedAt is the time of the store's last confirmation that the servers'
+	// entries are current.
 	StoreConfirmedAt monotime.Instant
 }
 
@@ -243,7 +252,7 @@
 	return s != nil && s.cold(storeConfirmedAt, now)
 }
 
-// Limited reports whether a server bears only so many requests a second, or wants none.
+// Limited reports whether a server has a rate limit now or is paused.
 func (l *Limiter) Limited(id string, r Request, now monotime.Instant) bool {
 	if l.limitedCount.Load() == 0 {
 		return false
@@ -265,7 +274,8 @@
 	return s == nil || l.allows(id, s, &r, now)
 }
 
-// TryAcquire is Open, and counts the request as sent if it may be.
+// TryAcquire reports the same as Allows, and records the request as sent if it is
+// allowed.
 func (l *Limiter) TryAcquire(id string, r Request, now monotime.Instant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -280,7 +290,7 @@
 	return true
 }
 
-// allows decides; mu is held.
+// allows implements Allows; mu is held.
 func (l *Limiter) allows(id string, s *server, r *Request, now monotime.Instant) bool {
 	l.clearExpired(id, s, r.StoreConfirmedAt, now)
 	if now < s.pausedUntil {
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -15,8 +15,8 @@
 
 var coldLimit = ColdLimit{Rate: 5.9, Duration: 3 * time.Second}
 
-// simulation is a fleet before one cold server: every instance wants to send all the
-// time, hears of the others' requests late, and learns late who is a member.
+// simulation is a fleet that sends to one cold server. Every instance has requests all
+// the time, and receives updates on the others' requests and membership late.
 type simulation struct {
 	rng         *rand.Rand
 	limiters    map[string]*Limiter
@@ -57,7 +57,7 @@
 	return out
 }
 
-// shareMembers has all instances know all others.
+// shareMembers sets the full list of members at all instances.
 func (s *simulation) shareMembers() {
 	all := s.members()
 	for _, l := range s.limiters {
@@ -65,8 +65,8 @@
 	}
 }
 
-// run runs for a while from an instant in steps of a millisecond, with so many
-// requests a second at each instance.
+// run simulates a time from an instant in steps of a millisecond, at a number of requests
+// a second per instance.
 func (s *simulation) run(from monotime.Instant, lasts time.Duration, perSecond float64, limit ColdLimit) monotime.Instant {
 	ids := s.members()
 	for t := from; t < from.Add(lasts); t = t.Add(time.Millisecond) {
@@ -109,13 +109,12 @@
 	return most
 }
 
-// allowed is what a cold server gets in a second at most: half more than its rate, and
-// five for what happens by chance. Beyond that it crashes.
+// allowed is the number of requests in a second above which a cold server crashes: half
+// more than its rate, and five for random variation.
 func allowed(limit ColdLimit) float64 { return 1.5*limit.Rate + 5 }
 
-// A server comes back cold in a burst: each of up to 300 instances has work for it all
-// the time, and news of what others sent come 5 ms to a second late. No second may
-// hold more than the server bears, and what it bears is used.
+// Guards against overload and underuse of a cold server by up to 300 instances that all
+// have requests for it, with updates on each other's requests 5 ms to a second late.
 func TestAColdServerIsUsedWithinItsRate(t *testing.T) {
 	for _, instances := range []int{1, 2, 9, 60, 300} {
 		for _, delay := range []time.Duration{5 * time.Millisecond, 100 * time.Millisecond, time.Second} {
@@ -124,20 +123,19 @@
 				s := newSimulation(uint64(instances), instances, delay)
 				s.run(start.Add(startupDelay), 10*time.Second, max(4, 400/float64(instances)), limit)
 				if most := s.maxPerSecond(); float64(most) > allowed(limit) {
-					t.Errorf("%d instances, news after %v: %d in a second, rate %v", instances, delay, most, rate)
+					t.Errorf("%d instances, updates after %v: %d in a second, rate %v", instances, delay, most, rate)
 				}
 				if used := float64(len(s.arrivals)) / 10; used < 0.6*rate {
-					t.Errorf("%d instances, news after %v: %v a second of %v", instances, delay, used, rate)
+					t.Errorf("%d instances, updates after %v: %v a second of %v", instances, delay, used, rate)
 				}
 			}
 		}
 	}
 }
 
-// While a server is cold a third of the fleet is killed and comes back as processes
-// that know nobody, some instances are cut off and believe in themselves alone later
-// than the others notice, and no news get through. Still no second holds more than
-// the server bears.
+// Guards against overload of a cold server by instances whose lists of members differ. A
+// third of the fleet restarts, each process at first with itself as the only member, then
+// in groups; the rest has dropped them already, and no updates get through.
 func TestAColdServerIsNotOverrunByDisagreeingMemberLists(t *testing.T) {
 	for seed := range uint64(40) {
 		s := newSimulation(seed, 60, time.Hour)
@@ -169,8 +167,8 @@
 	}
 }
 
-// A fleet is cut in two halves that both reach a cold server and not each other. Each
-// half takes owners of its own.
+// Guards against overload of a cold server by two halves of a fleet that both reach it
+// but not each other, so that each half has owners of its own.
 func TestAColdServerIsNotOverrunByASplitFleet(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(seed, 60, time.Hour)
@@ -190,9 +188,9 @@
 	}
 }
 
-// A server crashes and is back within a second under its name. Instances that found it
-// unreachable reach it before its entry tells that it has started again. They must not
-// all send at once; once the store has said that it is the same server, they may.
+// Guards against a burst to a server that crashed and restarted within a second under its
+// name: instances that found it unreachable reach it before its entry shows the restart.
+// Once the store has confirmed the same incarnation, all may send.
 func TestAnUnreachableServerCountsAsColdUntilConfirmed(t *testing.T) {
 	now := start.Add(startupDelay)
 	ids := make([]string, 60)
@@ -220,12 +218,12 @@
 		t.Errorf("%d sent at once", sent)
 	}
 	if later != len(ids) {
-		t.Errorf("%d of %d may send to a server that had not started again", later, len(ids))
+		t.Errorf("%d of %d may send to a server that had not restarted", later, len(ids))
 	}
 }
 
-// All servers are cold after a whole fleet of them started. What they bear goes to the
-// urgent requests first, and the others get what is left.
+// Guards against urgent requests crowded out by others while all servers are cold, and
+// against the others getting nothing of what is left.
 func TestColdCapacityIsReservedForUrgentRequests(t *testing.T) {
 	l := New("me", start)
 	l.SetCold("srv", start.Add(time.Minute))
@@ -235,7 +233,7 @@
 	for now := start.Add(startupDelay); now < start.Add(20*time.Second); now = now.Add(5 * time.Millisecond) {
 		priority := rng.IntN(3)
 		if rng.Float64() > 0.1 {
-			continue // 20 requests a second for 5.9 that the server bears
+			continue // 20 requests a second for 5.9 that the server sustains
 		}
 		if priority == 0 {
 			urgent++
@@ -249,10 +247,11 @@
 	}
 }
 
-// A server names what it takes, from less than one request a second to many. Each
-// of up to 300 instances has work for it all the time, and for five of the fifteen seconds
-// they disagree on who is a member, so that two sets of owners send to it. In no four
-// seconds may it get more than half as much again and five, and it gets half of what it takes at least.
+// Guards against overload and underuse of a server with a rate limit, from less than one
+// request a second to many, by up to 300 instances. For five of the fifteen seconds they
+// disagree on the members, so that two sets of owners send. In four seconds the server
+// may get at most half more than its limit and five, and it must get at least half of its
+// limit.
 func TestAServerIsUsedWithinItsRateLimit(t *testing.T) {
 	const span = 4 * time.Second
 	for _, instances := range []int{2, 9, 60, 300} {
@@ -279,19 +278,19 @@
 	}
 }
 
-// A server that starts again, and names a rate besides, bears the lower of the two.
+// Guards against exceeding the lower of the cold limit and the stated rate limit.
 func TestTheLowerOfTwoLimitsHolds(t *testing.T) {
 	for _, named := range []float64{1, 20} {
 		s := newSimulation(1, 1, 0)
 		s.limiters["i0"].SetRateLimit("srv", named)
 		s.run(start.Add(startupDelay), 10*time.Second, 400, coldLimit)
 		if got, most := float64(len(s.arrivals)), 10*min(named, coldLimit.Rate)+1; got > most || got < 0.8*most {
-			t.Errorf("named %v: %v requests in 10 s", named, got)
+			t.Errorf("rate limit %v: %v requests in 10 s", named, got)
 		}
 	}
 }
 
-// Without a known rate, and for servers that are warm, nothing is held back.
+// Guards against limits on services without a cold limit and on warm servers.
 func TestWarmServersAreNotLimited(t *testing.T) {
 	l := New("me", start)
 	l.SetCold("srv", start.Add(time.Second))
@@ -305,9 +304,9 @@
 	}
 }
 
-// A fleet that starts learns of all servers at once. What one of them costs must not grow
-// with their number: small instances would be busy with it for seconds, lose their links
-// and be told everything again.
+// Guards against a cost per added server that grows with their number. A starting fleet
+// adds all servers at once: small instances would be busy for seconds, lose their links
+// and receive everything again.
 func TestAddingAServerCostsTheSameAtAnyNumber(t *testing.T) {
 	took := func(servers int) time.Duration {
 		best := time.Hour
@@ -327,8 +326,8 @@
 	}
 }
 
-// The number of servers that need a look follows every change: with a wrong one warm
-// servers would cost each request, or cold ones be taken for warm.
+// Guards against a wrong limitedCount: warm servers would cost each request, or cold ones
+// would count as warm.
 func TestLimitedServersAreCounted(t *testing.T) {
 	l := New("me", start)
 	for _, step := range []struct {
@@ -353,7 +352,7 @@
 	} {
 		step.do()
 		if got := l.limitedCount.Load(); got != step.want {
-			t.Errorf("%d need a look, want %d", got, step.want)
+			t.Errorf("%d limited, want %d", got, step.want)
 		}
 	}
 }
--- a/internal/throttle/variants_test.go
+++ b/internal/throttle/variants_test.go
@@ -9,14 +9,15 @@
 	"basilrudder/internal/monotime"
 )
 
-// variant is one that instances could share a cold server in: it says when one of them may
-// send, by what it has sent and heard itself.
+// variant is an alternative way for instances to share a cold server. It decides when an
+// instance may send, from the requests that it sent and those reported to it.
 type variant interface {
 	take(instances int, rate float64, now monotime.Instant) bool
 	record(now monotime.Instant)
 }
 
-// bucketVariant gives every instance an equal part of the rate, and one request at the start.
+// bucketVariant gives every instance an equal part of the rate, and one request at the
+// start.
 type bucketVariant struct {
 	at     monotime.Instant
 	tokens float64
@@ -38,7 +39,8 @@
 	return true
 }
 
-// countingVariant sends while fewer than the rate are known of the last second.
+// countingVariant sends while fewer requests than the rate are recorded in the last
+// second.
 type countingVariant struct{ server }
 
 func (c *countingVariant) take(_ int, rate float64, now monotime.Instant) bool {
@@ -50,8 +52,9 @@
 	return true
 }
 
-// simulateVariant returns the most requests of a span, and the mean of a second, in ten seconds in
-// which 400 requests a second at all instances together would go to one server.
+// simulateVariant returns the maximum number of requests in a span, and the mean per
+// second, over ten seconds in which all instances together have 400 requests a second for
+// one server.
 func simulateVariant(newVariant func() variant, instances int, rate float64, delay, span time.Duration) (most int, mean float64) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	variants := newVariants(instances, newVariant)
@@ -84,9 +87,9 @@
 	return out
 }
 
-// Every instance for itself, with an equal part of the rate or with what it hears of the
-// others, sends a cold server more than it bears: one request of each of 60 instances in
-// the first second, or all that come within the delay of the news.
+// Compares ownership with two alternatives that overload a cold server: equal parts send
+// one request of each of 60 instances in the first second, and counting sends all that
+// come within the delay of updates.
 func TestOtherVariantsOverrunAColdServer(t *testing.T) {
 	for _, instances := range []int{9, 60, 300} {
 		for _, delay := range []time.Duration{20 * time.Millisecond, 200 * time.Millisecond} {
@@ -94,11 +97,11 @@
 			countedMost, countedMean := simulateVariant(func() variant { return &countingVariant{} }, instances, 5.9, delay, time.Second)
 			s := newSimulation(1, instances, delay)
 			s.run(start.Add(startupDelay), 10*time.Second, 400/float64(instances), coldLimit)
-			t.Logf("%3d instances, news after %v: equal parts %d (%.1f), counted %d (%.1f), owners %d (%.1f)",
+			t.Logf("%3d instances, updates after %v: equal parts %d (%.1f), counted %d (%.1f), owners %d (%.1f)",
 				instances, delay, bucketMost, bucketMean, countedMost, countedMean, s.maxPerSecond(), float64(len(s.arrivals))/10)
 			if delay >= 200*time.Millisecond && instances >= 60 {
 				if float64(bucketMost) <= allowed(coldLimit) || float64(countedMost) <= allowed(coldLimit) {
-					t.Error("another way keeps to the bound too: compare anew")
+					t.Error("another variant keeps to the limit too: compare them again")
 				}
 			}
 			if float64(s.maxPerSecond()) > allowed(coldLimit) {
@@ -108,9 +111,9 @@
 	}
 }
 
-// The same ways before a server that names a limit of 1.7 requests a second, of which four
-// seconds count: equal parts send one request of each instance at once, and counting sends
-// what comes within the delay of the news. Owners keep to the limit.
+// Compares the same alternatives for a server with a limit of 1.7 requests a second,
+// measured over four seconds. Equal parts send one request of each instance at once, and
+// counting sends what comes within the delay of updates. Owners keep to the limit.
 func TestOtherVariantsOverrunALimitedServer(t *testing.T) {
 	const rate, span = 1.7, 4 * time.Second
 	allowed := 1.5*rate*span.Seconds() + 5
@@ -124,11 +127,11 @@
 				l.SetRateLimit("srv", rate)
 			}
 			s.run(start.Add(startupDelay), 10*time.Second, 400/float64(instances), ColdLimit{})
-			t.Logf("%3d instances, news after %v: equal parts %d (%.1f), counted %d (%.1f), owners %d (%.1f)",
+			t.Logf("%3d instances, updates after %v: equal parts %d (%.1f), counted %d (%.1f), owners %d (%.1f)",
 				instances, delay, bucketMost, bucketMean, countedMost, countedMean, s.maxIn(span), float64(len(s.arrivals))/10)
 			if delay >= 200*time.Millisecond && instances >= 60 {
 				if float64(bucketMost) <= allowed || float64(countedMost) <= allowed {
-					t.Error("another way keeps to the limit too: compare anew")
+					t.Error("another variant keeps to the limit too: compare them again")
 				}
 			}
 			if float64(s.maxIn(span)) > allowed {
