--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -315,13 +315,13 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		for _, i := range early {
-			if !i.fleet.Culprit(known, monotime.Now()) {
+			if !i.fleet.IsPoison(known, monotime.Now()) {
 				t.Errorf("%s does not know of it", i.fleet.self)
 			}
 		}
 		late := startLinkedFrom(t, ctx, &tasks, 2, 1, host)[0]
 		time.Sleep(time.Second)
-		if !late.fleet.Culprit(known, monotime.Now()) {
+		if !late.fleet.IsPoison(known, monotime.Now()) {
 			t.Error("an instance that starts later does not know of it")
 		}
 		stopLinked(t, cancel, &tasks)
@@ -349,7 +349,7 @@
 		{Request: []byte("short"), Server: "s"}, {Server: "s"},
 		{Request: make([]byte, 16), Server: "s", AgeMS: -1}, {Request: make([]byte, 16), Server: "s", AgeMS: 1 << 62},
 	} {
-		if news := f.crashes.take("peer", []wire.RelayCrash{told}, now); len(news) > 0 || f.Suspects() {
+		if news := f.crashes.take("peer", []wire.RelayCrash{told}, now); len(news) > 0 || f.AnySuspected() {
 			t.Errorf("%+v was believed", told)
 		}
 	}
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -34,11 +34,11 @@
 	return &crashBook{log: log, news: news, book: crashes.NewBook()}
 }
 
-// Suspects implements relay.Fleet.
-func (f *fleet) Suspects() bool { return f.crashes.known.Load() > 0 }
+// AnySuspected implements relay.Fleet.
+func (f *fleet) AnySuspected() bool { return f.crashes.known.Load() > 0 }
 
-// Culprit implements relay.Fleet.
-func (f *fleet) Culprit(request crashes.Fingerprint, now monotime.Instant) bool {
+// IsPoison implements relay.Fleet.
+func (f *fleet) IsPoison(request crashes.Fingerprint, now monotime.Instant) bool {
 	return f.crashes.culprit(request, now)
 }
 
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -20,12 +20,12 @@
 		passProcessStart()
 		f, peer := leavingPair()
 		sent := monotime.Now()
-		f.Heard("a", servers.Notice{Leaving: true}, sent, sent.Add(100*time.Millisecond))
+		f.ApplyNotice("a", servers.Notice{Leaving: true}, sent, sent.Add(100*time.Millisecond))
 		if got := ready(f); !slices.Equal(got, []string{"b"}) {
 			t.Error("at the instance that it told:", got)
 		}
 		// An answer that was written before it began to leave is read late.
-		f.Heard("a", servers.Notice{}, sent, monotime.Now())
+		f.ApplyNotice("a", servers.Notice{}, sent, monotime.Now())
 		if got := ready(f); !slices.Equal(got, []string{"b"}) {
 			t.Error("after a late answer:", got)
 		}
@@ -44,7 +44,7 @@
 		passProcessStart()
 		f, peer := leavingPair()
 		put(peer, fromStore, entry("a", 9))
-		f.Heard("a", servers.Notice{Leaving: true}, monotime.Now(), monotime.Now())
+		f.ApplyNotice("a", servers.Notice{Leaving: true}, monotime.Now(), monotime.Now())
 		f.news.flush()
 		if got := ready(peer); !slices.Equal(got, []string{"b"}) {
 			t.Error(got)
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -112,7 +112,7 @@
 	for len(f.answers) > 0 && f.answers[0].at <= now {
 		a := f.answers[0]
 		f.answers = f.answers[1:]
-		a.instance.fleet.Heard(a.server, a.notice, a.sent, now)
+		a.instance.fleet.ApplyNotice(a.server, a.notice, a.sent, now)
 		a.instance.fleet.End(a.run, now)
 	}
 }
@@ -234,7 +234,7 @@
 		passProcessStart()
 		told, _, _ := newFleet()
 		put(told, fromStore, entry("a", 1))
-		told.Heard("a", servers.Notice{Limited: true, Rate: 0.5}, monotime.Now(), monotime.Now())
+		told.ApplyNotice("a", servers.Notice{Limited: true, Rate: 0.5}, monotime.Now(), monotime.Now())
 		time.Sleep(time.Second)
 
 		f, _, _ := newFleet()
@@ -259,7 +259,7 @@
 
 		sent := monotime.Now()
 		time.Sleep(time.Second)
-		told.Heard("a", servers.Notice{}, sent, monotime.Now())
+		told.ApplyNotice("a", servers.Notice{}, sent, monotime.Now())
 		p.takeServers("peer", told.allServers(), 0)
 		if got := f.limitedServers(); len(got) != 0 {
 			t.Error("after its end", got)
@@ -277,8 +277,8 @@
 		f, peer := leavingPair()
 		time.Sleep(2 * time.Second)
 		now := monotime.Now()
-		f.Heard("a", servers.Notice{Pause: 3 * time.Second}, now, now)
-		f.Heard("a", servers.Notice{Pause: time.Second}, now, now)
+		f.ApplyNotice("a", servers.Notice{Pause: 3 * time.Second}, now, now)
+		f.ApplyNotice("a", servers.Notice{Pause: time.Second}, now, now)
 		f.news.flush()
 		if _, taken := placedOn(f, 2800*time.Millisecond); taken["a"] > 0 || taken["b"] == 0 {
 			t.Error("while it wants nothing:", taken)
@@ -286,7 +286,7 @@
 		if _, taken := placedOn(peer, 100*time.Millisecond); taken["a"] == 0 {
 			t.Error("at a peer:", taken)
 		}
-		f.Heard("b", servers.Notice{Pause: time.Second}, now, monotime.Now())
+		f.ApplyNotice("b", servers.Notice{Pause: time.Second}, now, monotime.Now())
 		if refused, _ := placedOn(f, 50*time.Millisecond); refused != placement.AllBounded {
 			t.Error("with nobody left:", refused)
 		}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -11,9 +11,9 @@
 	"basilrudder/internal/servers"
 )
 
-// Heard implements relay.Fleet. What a server says of itself counts as much as its entry
+// ApplyNotice implements relay.Fleet. What a server says of itself counts as much as its entry
 // in the store, and for the whole fleet: it is told to the peers.
-func (f *fleet) Heard(server string, notice servers.Notice, sent, now monotime.Instant) {
+func (f *fleet) ApplyNotice(server string, notice servers.Notice, sent, now monotime.Instant) {
 	if notice.Pause > 0 {
 		f.pause(server, notice.Pause, now)
 	}
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -42,8 +42,8 @@
 	f.news.ended(run)
 }
 
-// Standing implements relay.Fleet.
-func (f *fleet) Standing(run int, now monotime.Instant) placement.Standing {
+// QueueState implements relay.Fleet.
+func (f *fleet) QueueState(run int, now monotime.Instant) placement.Standing {
 	return f.board.Standing(placement.RunID{Instance: f.self, Number: run}, now)
 }
 
--- a/internal/hints/hints.go
+++ b/internal/hints/hints.go
@@ -25,12 +25,12 @@
 type Schedule struct {
 	every   time.Duration
 	rng     *rand.Rand
-	engines map[string]*turn
+	engines map[string]*engine
 }
 
-type turn struct {
-	at       monotime.Instant
-	asking   bool
+type engine struct {
+	next     monotime.Instant
+	inFlight bool
 	failures int
 }
 
@@ -39,7 +39,7 @@
 	return &Schedule{
 		every:   every,
 		rng:     rand.New(rand.NewPCG(seed, uint64(every))),
-		engines: make(map[string]*turn),
+		engines: make(map[string]*engine),
 	}
 }
 
@@ -47,46 +47,46 @@
 // for each. An engine that is not in ids any more is forgotten. At most atOnce
 // engines are asked at a time, so that a switch full of silent servers does not
 // take all connections of the instance.
-func (s *Schedule) Due(now monotime.Instant, ids []string, atOnce int, out []string) []string {
-	s.keep(now, ids)
-	asking := 0
+func (s *Schedule) Due(now monotime.Instant, ids []string, maxInFlight int, out []string) []string {
+	s.setEngines(now, ids)
+	inFlight := 0
 	for _, id := range ids {
-		if s.engines[id].asking {
-			asking++
+		if s.engines[id].inFlight {
+			inFlight++
 		}
 	}
 	for _, id := range ids {
 		t := s.engines[id]
-		if asking >= atOnce || t.asking || now.Before(t.at) {
+		if inFlight >= maxInFlight || t.inFlight || now.Before(t.next) {
 			continue
 		}
-		t.asking = true
-		asking++
+		t.inFlight = true
+		inFlight++
 		out = append(out, id)
 	}
 	return out
 }
 
-// keep adds new engines at a random point of their interval, so that an
+// setEngines adds new engines at a random point of their interval, so that an
 // instance that took over many groups does not ask all engines at once, and
 // drops the others.
-func (s *Schedule) keep(now monotime.Instant, ids []string) {
+func (s *Schedule) setEngines(now monotime.Instant, ids []string) {
 	for _, id := range ids {
 		t := s.engines[id]
 		if t == nil {
-			t = &turn{at: now.Add(time.Duration(s.rng.Int64N(int64(s.every))))}
+			t = &engine{next: now.Add(time.Duration(s.rng.Int64N(int64(s.every))))}
 			s.engines[id] = t
 		}
 	}
 	if len(s.engines) == len(ids) {
 		return
 	}
-	wanted := make(map[string]bool, len(ids))
+	current := make(map[string]bool, len(ids))
 	for _, id := range ids {
-		wanted[id] = true
+		current[id] = true
 	}
 	for id := range s.engines {
-		if !wanted[id] {
+		if !current[id] {
 			delete(s.engines, id)
 		}
 	}
@@ -98,18 +98,18 @@
 	if t == nil {
 		return
 	}
-	t.asking = false
+	t.inFlight = false
 	if ok {
 		t.failures = 0
 	} else {
 		t.failures++
 	}
-	t.at = now.Add(s.jittered(min(s.every<<min(t.failures, 8), max(s.every, maxBackoff))))
+	t.next = now.Add(s.jitter(min(s.every<<min(t.failures, 8), max(s.every, maxBackoff))))
 }
 
-// jittered spreads a wait over a quarter of it in both directions: instances
+// jitter spreads a wait over a quarter of it in both directions: instances
 // that started together would otherwise ask together for ever.
-func (s *Schedule) jittered(wait time.Duration) time.Duration {
-	const spread = 4
-	return wait - wait/spread + time.Duration(s.rng.Int64N(int64(2*wait/spread)))
+func (s *Schedule) jitter(wait time.Duration) time.Duration {
+	const fraction = 4
+	return wait - wait/fraction + time.Duration(s.rng.Int64N(int64(2*wait/fraction)))
 }
--- a/internal/hints/hints_test.go
+++ b/internal/hints/hints_test.go
@@ -22,10 +22,10 @@
 	s := NewSchedule(LoadEvery, 1)
 	ids := engineIDs(20)
 	asked := make(map[string]int)
-	most := 0
+	maxDue := 0
 	for now := monotime.Instant(0); now < monotime.Instant(10*time.Minute); now = now.Add(tick) {
 		due := s.Due(now, ids, len(ids), nil)
-		most = max(most, len(due))
+		maxDue = max(maxDue, len(due))
 		for _, id := range due {
 			asked[id]++
 			s.Done(now, id, true)
@@ -36,20 +36,20 @@
 			t.Errorf("%s was asked %d times in 120 intervals", id, asked[id])
 		}
 	}
-	if most > 5 {
-		t.Errorf("%d engines were asked in one tick", most)
+	if maxDue > 5 {
+		t.Errorf("%d engines were asked in one tick", maxDue)
 	}
 }
 
 // What operators see: calls to the other servers go on. The servers behind one
 // switch fall silent, so each question to them hangs until its timeout; they
 // must not take all the connections, nor be asked as often as the others.
-func TestSilentEnginesAreAskedSeldomAndFewAtOnce(t *testing.T) {
+func TestUnresponsiveEnginesAreAskedSeldomAndFewAtOnce(t *testing.T) {
 	s := NewSchedule(CacheEvery, 1)
 	ids := engineIDs(30)
-	const atOnce, timeout = 4, time.Second
+	const limit, timeout = 4, time.Second
 	hanging := make(map[string]monotime.Instant)
-	asked, most := 0, 0
+	asked, maxInFlight := 0, 0
 	for now := monotime.Instant(0); now < monotime.Instant(10*time.Minute); now = now.Add(tick) {
 		for _, id := range ids {
 			if since, ok := hanging[id]; ok && now.Sub(since) >= timeout {
@@ -57,21 +57,21 @@
 				s.Done(now, id, false)
 			}
 		}
-		for _, id := range s.Due(now, ids, atOnce, nil) {
+		for _, id := range s.Due(now, ids, limit, nil) {
 			hanging[id] = now
 			asked++
 		}
-		most = max(most, len(hanging))
+		maxInFlight = max(maxInFlight, len(hanging))
 	}
-	if most > atOnce {
-		t.Errorf("%d calls at once, want at most %d", most, atOnce)
+	if maxInFlight > limit {
+		t.Errorf("%d calls at once, want at most %d", maxInFlight, limit)
 	}
 	if perEngine := asked / len(ids); perEngine > 20 {
 		t.Errorf("a silent engine was asked %d times in ten minutes", perEngine)
 	}
 }
 
-func TestEnginesOfOthersAreForgotten(t *testing.T) {
+func TestEnginesNoLongerListedAreForgotten(t *testing.T) {
 	s := NewSchedule(time.Second, 1)
 	ids := engineIDs(3)
 	asked := s.Due(0, ids, 10, nil)
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -34,7 +34,7 @@
 		b.Fatal(err)
 	}
 	fleet := &fakeFleet{table: table, servers: []string{listener.Addr().String()}}
-	front := httptest.NewServer(New(Config{Fleet: fleet, Protocol: plain{}}))
+	front := httptest.NewServer(New(Config{Fleet: fleet, Protocol: plainProtocol{}}))
 	b.Cleanup(front.Close)
 	c, err := net.Dial("tcp", front.Listener.Addr().String())
 	if err != nil {
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// startOfRun is how long after the first bytes of its answer the end of a server is put
+	// crashWindow is how long after the first bytes of its answer the end of a server is put
 	// down to a request. What runs longer did not crash it by being begun.
-	startOfRun = 500 * time.Millisecond
-	// probeMemory is how long it is remembered whether a server has ended.
-	probeMemory = 2 * time.Second
+	crashWindow = 500 * time.Millisecond
+	// probeTTL is how long it is remembered whether a server has ended.
+	probeTTL = 2 * time.Second
 )
 
 // fingerprint stands for method, path, caller and body. It is worked out once.
-func (f *flight) fingerprint() crashes.Fingerprint {
-	if f.print != nil {
-		return *f.print
+func (f *forwarder) fingerprint() crashes.Fingerprint {
+	if f.cachedFingerprint != nil {
+		return *f.cachedFingerprint
 	}
 	hash := sha256.New()
 	for _, text := range []string{f.hr.Method, f.hr.Host, originForm(f.hr), f.caller()} {
@@ -38,35 +38,35 @@
 		_, _ = hash.Write([]byte{0})
 	}
 	_, _ = hash.Write(f.body)
-	f.print = new(crashes.Fingerprint)
-	copy(f.print[:], hash.Sum(nil))
-	return *f.print
+	f.cachedFingerprint = new(crashes.Fingerprint)
+	copy(f.cachedFingerprint[:], hash.Sum(nil))
+	return *f.cachedFingerprint
 }
 
 // caller is the customer's name, or the key where there are no customers.
-func (f *flight) caller() string {
+func (f *forwarder) caller() string {
 	if f.customer != nil {
 		return f.customer.Name
 	}
 	return f.request.Key
 }
 
-// culprit reports whether the request is known to crash servers.
-func (f *flight) culprit() bool {
+// isPoison reports whether the request is known to crash servers.
+func (f *forwarder) isPoison() bool {
 	fleet := f.relay.cfg.Fleet
-	return fleet.Suspects() && fleet.Culprit(f.fingerprint(), monotime.Now())
+	return fleet.AnySuspected() && fleet.IsPoison(f.fingerprint(), monotime.Now())
 }
 
-// ran notes that the server went on after it had begun to run the request.
-func (f *flight) ran() {
+// reportSurvived notes that the server went on after it had begun to run the request.
+func (f *forwarder) reportSurvived() {
 	fleet := f.relay.cfg.Fleet
-	if fleet.Suspects() {
+	if fleet.AnySuspected() {
 		fleet.Survived(f.fingerprint(), monotime.Now())
 	}
 }
 
 // callerName names the caller to peers and in logs, where a key must not stand.
-func (f *flight) callerName() string {
+func (f *forwarder) callerName() string {
 	if f.customer != nil || f.request.Key == "" {
 		return f.caller()
 	}
@@ -74,15 +74,15 @@
 	return "key " + hex.EncodeToString(digest[:4])
 }
 
-// interrupted looks whether the server has ended that broke off an answer, and tells so
+// reportIfCrashed looks whether the server has ended that broke off an answer, and tells so
 // when it had just begun to run the request.
-func (f *flight) interrupted(problem *verdict.Error) {
+func (f *forwarder) reportIfCrashed(problem *verdict.Error) {
 	now := monotime.Now()
 	if problem.Reason != verdict.ReasonUpstreamLost || problem.Verdict == verdict.NotRun || f.ctx.Err() != nil {
 		return
 	}
-	if f.eventsAt != 0 && now.Sub(f.eventsAt) > startOfRun {
-		f.ran()
+	if f.firstEventAt != 0 && now.Sub(f.firstEventAt) > crashWindow {
+		f.reportSurvived()
 		return
 	}
 	if !f.relay.probes.ended(f.ctx, f.target, f.relay.pool.dial) {
@@ -90,23 +90,23 @@
 	}
 	crash := crashes.Crash{Request: f.fingerprint(), Customer: f.callerName(), Server: f.target.ID, At: now}
 	f.relay.cfg.Log.Info("server_crashed", zap.String("id", f.request.ID), zap.String("server", crash.Server),
-		zap.Binary("fingerprint", crash.Request[:]), zap.String("customer", crash.Customer), zap.Bool("answered", f.eventsAt != 0))
+		zap.Binary("fingerprint", crash.Request[:]), zap.String("customer", crash.Customer), zap.Bool("answered", f.firstEventAt != 0))
 	f.relay.cfg.Fleet.Crashed(crash, now)
 }
 
-var errCulprit = errors.New("servers crash when they run this request; it was not sent to another one")
+var errPoison = errors.New("servers crash when they run this request; it was not sent to another one")
 
-// refuseCulprit ends a request that crashes servers. Callers send no request again after
+// refusePoison ends a request that crashes servers. Callers send no request again after
 // this status.
-func (f *flight) refuseCulprit() {
-	f.refuse(fail(http.StatusBadRequest, verdict.ReasonCrashesServers, errCulprit))
+func (f *forwarder) refusePoison() {
+	f.refuse(fail(http.StatusBadRequest, verdict.ReasonCrashesServers, errPoison))
 }
 
 // probes finds out whether servers that broke off answers have ended. Of a server that
 // ended, all answers break off at once, so what one look found holds for the others.
 type probes struct {
-	mu    sync.Mutex
-	known map[string]*probe
+	mu     sync.Mutex
+	recent map[string]*probe
 }
 
 type probe struct {
@@ -120,27 +120,27 @@
 func (p *probes) ended(ctx context.Context, target Target, dial dialFunc) bool {
 	now := monotime.Now()
 	p.mu.Lock()
-	for id, old := range p.known {
-		if now.Sub(old.at) > probeMemory {
-			delete(p.known, id)
+	for id, old := range p.recent {
+		if now.Sub(old.at) > probeTTL {
+			delete(p.recent, id)
 		}
 	}
-	look := p.known[target.ID]
-	first := look == nil
+	current := p.recent[target.ID]
+	first := current == nil
 	if first {
-		look = &probe{at: now, done: make(chan struct{})}
-		p.known[target.ID] = look
+		current = &probe{at: now, done: make(chan struct{})}
+		p.recent[target.ID] = current
 	}
 	p.mu.Unlock()
 	if !first {
 		select {
-		case <-look.done:
-			return look.ended
+		case <-current.done:
+			return current.ended
 		case <-ctx.Done():
 			return false
 		}
 	}
-	defer close(look.done)
+	defer close(current.done)
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), connectTimeout)
 	defer cancel()
 	c, err := dial(ctx, target.Address)
@@ -149,13 +149,13 @@
 		p.forget(target.ID)
 		return false
 	}
-	look.ended = !netconn.IsTimeout(err) && ctx.Err() == nil
-	return look.ended
+	current.ended = !netconn.IsTimeout(err) && ctx.Err() == nil
+	return current.ended
 }
 
 // forget has the next look at a server be a new one: it may end later.
 func (p *probes) forget(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.known, server)
+	delete(p.recent, server)
 }
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -13,10 +13,10 @@
 	"basilrudder/internal/crashes"
 )
 
-// cutting takes a request, answers the start of a stream after a while, and breaks off.
-func cutting(head bool, after time.Duration) script {
+// startThenClose takes a request, answers the start of a stream after a while, and breaks off.
+func startThenClose(head bool, after time.Duration) script {
 	return func(t *testing.T, c net.Conn, in *bufio.Reader) {
-		req, _ := take(t, in)
+		req, _ := readRequest(t, in)
 		if head {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Id: "+req.Header.Get("X-Id")+"\r\nX-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n7\r\nid: 1\n\n\r\n")
 		}
@@ -25,7 +25,7 @@
 }
 
 // Guards against a server's end put down to the wrong request, and a lost connection taken for one.
-func TestTheEndOfAServerIsPutDownToWhatItHadJustBegun(t *testing.T) {
+func TestACrashIsAttributedToTheRequestJustStarted(t *testing.T) {
 	alive := replying()
 	for _, c := range []struct {
 		name              string
@@ -33,16 +33,16 @@
 		scripts           []script
 		crashed, survived int
 	}{
-		{"before an answer", "/once/x", []script{cutting(false, 100*time.Millisecond)}, 1, 0},
-		{"after the first event", "/stream/x", []script{cutting(true, 50*time.Millisecond)}, 1, 0},
-		{"long after it", "/stream/x", []script{cutting(true, 2*startOfRun)}, 0, 1},
-		{"only the connection", "/once/x", []script{cutting(false, 100*time.Millisecond), alive}, 0, 0},
+		{"before an answer", "/once/x", []script{startThenClose(false, 100*time.Millisecond)}, 1, 0},
+		{"after the first event", "/stream/x", []script{startThenClose(true, 50*time.Millisecond)}, 1, 0},
+		{"long after it", "/stream/x", []script{startThenClose(true, 2*crashWindow)}, 0, 1},
+		{"only the connection", "/once/x", []script{startThenClose(false, 100*time.Millisecond), alive}, 0, 0},
 		{"not at all", "/once/x", []script{replying(answer("r", 200, "", "ok"))}, 0, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newRig(t, allRoutes, map[string][]script{"s1": c.scripts}, "s1")
-				b.ask(request("POST", c.path, "r", "body"))
+				b.serve(request("POST", c.path, "r", "body"))
 				b.close()
 				if len(b.fleet.crashed) != c.crashed || len(b.fleet.survived) != c.survived {
 					t.Errorf("%d crashes, %d runs without; %d and %d wanted", len(b.fleet.crashed), len(b.fleet.survived), c.crashed, c.survived)
@@ -58,13 +58,13 @@
 }
 
 // Guards against a request that crashes servers and is sent on, or is told to come back.
-func TestAKnownCulpritGetsAFinalAnswerAtOnce(t *testing.T) {
+func TestAPoisonRequestGetsAFinalAnswerAtOnce(t *testing.T) {
 	for _, path := range []string{"/once/x", "/again/x", "/stream/x", "/resumable/x"} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newRig(t, allRoutes, map[string][]script{"s1": {replying()}}, "s1")
-			b.fleet.culprit, b.fleet.full = true, true
+			b.fleet.poison, b.fleet.full = true, true
 			begun := time.Now()
-			rec, aborted := b.ask(request("POST", path, "r", "body"))
+			rec, aborted := b.serve(request("POST", path, "r", "body"))
 			b.close()
 			if aborted || rec.Code != http.StatusBadRequest || rec.Header().Get("Retry-After") != "" || !strings.Contains(rec.Body.String(), "crashes_servers") {
 				t.Errorf("%s: aborted %v, %d %q %v", path, aborted, rec.Code, rec.Body, rec.Header())
@@ -77,24 +77,24 @@
 }
 
 // Guards against a repeat taken for another request, and another request taken for a repeat.
-func TestARequestIsKnownByWhatItAsks(t *testing.T) {
-	ask := func(method, path, id, key, body string) crashes.Fingerprint {
+func TestTheFingerprintCoversMethodPathCallerAndBody(t *testing.T) {
+	fingerprint := func(method, path, id, key, body string) crashes.Fingerprint {
 		b := newRig(t, allRoutes, nil)
 		hr := request(method, path, id, body)
 		hr.Header.Set("X-Key", key)
-		f := &flight{relay: b.relay, hr: hr, request: Request{ID: id, Key: key}, body: []byte(body)}
+		f := &forwarder{relay: b.relay, hr: hr, request: Request{ID: id, Key: key}, body: []byte(body)}
 		return f.fingerprint()
 	}
-	one := ask("POST", "/once/x?q=1", "r1", "key", "body")
-	if again := ask("POST", "/once/x?q=1", "r2", "key", "body"); again != one {
+	one := fingerprint("POST", "/once/x?q=1", "r1", "key", "body")
+	if again := fingerprint("POST", "/once/x?q=1", "r2", "key", "body"); again != one {
 		t.Error("the same request under another id is another one")
 	}
 	for name, other := range map[string]crashes.Fingerprint{
-		"method": ask("PUT", "/once/x?q=1", "r1", "key", "body"),
-		"path":   ask("POST", "/once/y?q=1", "r1", "key", "body"),
-		"query":  ask("POST", "/once/x?q=2", "r1", "key", "body"),
-		"caller": ask("POST", "/once/x?q=1", "r1", "key2", "body"),
-		"body":   ask("POST", "/once/x?q=1", "r1", "key", "body2"),
+		"method": fingerprint("PUT", "/once/x?q=1", "r1", "key", "body"),
+		"path":   fingerprint("POST", "/once/y?q=1", "r1", "key", "body"),
+		"query":  fingerprint("POST", "/once/x?q=2", "r1", "key", "body"),
+		"caller": fingerprint("POST", "/once/x?q=1", "r1", "key2", "body"),
+		"body":   fingerprint("POST", "/once/x?q=1", "r1", "key", "body2"),
 	} {
 		if other == one {
 			t.Errorf("another %s makes no other request", name)
@@ -103,11 +103,11 @@
 }
 
 // Guards against a request sent although it was found out while it waited for a server.
-func TestACulpritThatIsFoundOutWhileItWaitsIsNotSent(t *testing.T) {
+func TestAPoisonRequestIdentifiedWhileItWaitsIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying()}}, "s1")
-		b.fleet.culprit, b.fleet.unknown = true, 1
-		rec, _ := b.ask(request("POST", "/once/x", "r", "body"))
+		b.fleet.poison, b.fleet.poisonAfter = true, 1
+		rec, _ := b.serve(request("POST", "/once/x", "r", "body"))
 		b.close()
 		if rec.Code != http.StatusBadRequest || len(b.fleet.begun) > 0 {
 			t.Errorf("%d, sent %d times", rec.Code, len(b.fleet.begun))
@@ -116,9 +116,9 @@
 }
 
 // Guards against a caller's key that is told to peers or stands in a log.
-func TestAKeyWithoutACustomerIsNotTold(t *testing.T) {
+func TestAKeyWithoutACustomerIsNotDisclosed(t *testing.T) {
 	name := func(key string) string {
-		return (&flight{request: Request{Key: key}}).callerName()
+		return (&forwarder{request: Request{Key: key}}).callerName()
 	}
 	if got := name("secret"); strings.Contains(got, "secret") || got == name("another") || name("") != "" {
 		t.Errorf("callers are named %q, %q and %q", got, name("another"), name(""))
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// wholeAnswer is the size up to which an answer is read to its end before
+	// maxBufferedAnswer is the size up to which an answer is read to its end before
 	// the caller gets any of it, so that one that is cut off can still be
 	// replaced. Longer ones are passed on as they come.
-	wholeAnswer = 256 << 10
-	// copyBuffer is the size of one read of a long answer or stream.
-	copyBuffer = 16 << 10
-	// callerStall is how long beyond the deadline a caller may take to read.
-	callerStall = time.Second
-	// silenceFactor times the predicted first event is how long a stream that may
+	maxBufferedAnswer = 256 << 10
+	// copyBufferSize is the size of one read of a long answer or stream.
+	copyBufferSize = 16 << 10
+	// callerReadGrace is how long beyond the deadline a caller may take to read.
+	callerReadGrace = time.Second
+	// responseTimeoutFactor times the predicted first event is how long a stream that may
 	// run again waits for it before another server is tried, and at least
 	// silenceGoals times its goal. Before the goal a second server can only be
 	// later than a first one that is slow: it has to read the prompt too. Beyond
 	// it the stream is late, and only a server that will never answer is worth
 	// leaving; callers give up after four times the goal.
-	silenceFactor = 3
-	silenceGoals  = 1.75
-	// shortSilence is that wait for requests that are no prompts: five times
+	responseTimeoutFactor = 3
+	responseTimeoutGoals  = 1.75
+	// plainResponseTimeout is that wait for requests that are no prompts: five times
 	// the goal of the strictest class, 100 ms.
-	shortSilence = 500 * time.Millisecond
+	plainResponseTimeout = 500 * time.Millisecond
 )
 
 // receive reads the answer of one send and passes it on. An error means that
 // the caller has no final answer yet.
-func (f *flight) receive(e *exchange, run int) *verdict.Error {
+func (f *forwarder) receive(e *exchange, run int) *verdict.Error {
 	fleet := f.relay.cfg.Fleet
-	err := f.await(e, run, f.patience())
+	err := f.awaitBytes(e, run, f.responseTimeout())
 	if err == nil {
-		err = e.readHead(f.hr.Method, f.request.ID, f.relay.cfg.Protocol, f.patience(), f.deadline)
+		err = e.readHead(f.hr.Method, f.request.ID, f.relay.cfg.Protocol, f.responseTimeout(), f.deadline)
 	}
-	f.hear(e)
+	f.applyNotice(e)
 	if err != nil {
 		e.abandon()
 		if !errors.Is(err, errMoved) {
@@ -53,7 +53,7 @@
 		return verdict.Wrap(verdict.MayHaveRun, reasonOf(err), err)
 	}
 	if e.answer.NotRun {
-		return f.refused(e)
+		return f.handleRefusal(e)
 	}
 	if e.resp.StatusCode >= http.StatusInternalServerError {
 		f.observe(placement.Failed)
@@ -74,23 +74,23 @@
 	return f.relayWhole(e)
 }
 
-// hear tells what the server said of itself, also in an answer that no caller gets. One
+// applyNotice tells what the server said of itself, also in an answer that no caller gets. One
 // that was sent to the wrong address tells of another server.
-func (f *flight) hear(e *exchange) {
+func (f *forwarder) applyNotice(e *exchange) {
 	if e.resp == nil || e.resp.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
 	notice := e.answer.Notice
 	if promisesNotRun(e.resp.StatusCode) {
-		notice.Pause = retryAfter(e.resp.Header)
+		notice.Pause = parseRetryAfter(e.resp.Header)
 	}
-	f.relay.cfg.Fleet.Heard(f.target.ID, notice, e.sentAt, monotime.Now())
+	f.relay.cfg.Fleet.ApplyNotice(f.target.ID, notice, e.sentAt, monotime.Now())
 }
 
-// refused handles a server's promise that it did not run the request.
-func (f *flight) refused(e *exchange) *verdict.Error {
+// handleRefusal handles a server's promise that it did not run the request.
+func (f *forwarder) handleRefusal(e *exchange) *verdict.Error {
 	status := e.resp.StatusCode
-	after := retryAfter(e.resp.Header)
+	after := parseRetryAfter(e.resp.Header)
 	if _, err := io.Copy(io.Discard, e.resp.Body); err != nil {
 		e.abandon()
 	} else {
@@ -106,33 +106,33 @@
 	return problem.After(max(after, retryFull))
 }
 
-// patience is how long to wait for the start of an answer before another
+// responseTimeout is how long to wait for the start of an answer before another
 // server is tried; 0 to wait until the deadline because no other may be.
-func (f *flight) patience() time.Duration {
+func (f *forwarder) responseTimeout() time.Duration {
 	if !f.route.MayRepeat() || f.sends >= f.route.Attempts {
 		return 0
 	}
 	if !f.route.Streaming {
-		return shortSilence
+		return plainResponseTimeout
 	}
-	goals := time.Duration(silenceGoals * float64(f.route.Goal))
-	return max(goals, silenceFactor*f.target.Choice.First)
+	goals := time.Duration(responseTimeoutGoals * float64(f.route.Goal))
+	return max(goals, responseTimeoutFactor*f.target.Choice.First)
 }
 
 // relayWhole passes on an answer that is no stream.
-func (f *flight) relayWhole(e *exchange) *verdict.Error {
-	body, err := io.ReadAll(io.LimitReader(e.resp.Body, wholeAnswer))
+func (f *forwarder) relayWhole(e *exchange) *verdict.Error {
+	body, err := io.ReadAll(io.LimitReader(e.resp.Body, maxBufferedAnswer))
 	if err != nil {
 		e.abandon()
 		f.observe(placement.Failed)
-		return verdict.Wrap(verdict.Ran, verdict.ReasonUpstreamLost, errors.Join(errCut, err))
+		return verdict.Wrap(verdict.Ran, verdict.ReasonUpstreamLost, errors.Join(errTruncated, err))
 	}
-	f.ran()
+	f.reportSurvived()
 	if e.resp.StatusCode < http.StatusInternalServerError {
 		f.observe(placement.Served)
 	}
-	f.begin(e.resp)
-	whole := len(body) < wholeAnswer
+	f.beginAnswer(e.resp)
+	whole := len(body) < maxBufferedAnswer
 	if whole {
 		e.finish()
 		if f.hr.Method != http.MethodHead && bodyAllowed(e.resp.StatusCode) {
@@ -151,9 +151,9 @@
 }
 
 // relayRest passes on the rest of a long answer as it comes.
-func (f *flight) relayRest(e *exchange) *verdict.Error {
+func (f *forwarder) relayRest(e *exchange) *verdict.Error {
 	f.stream.started = true
-	if _, err := io.CopyBuffer(f.w, e.resp.Body, make([]byte, copyBuffer)); err != nil {
+	if _, err := io.CopyBuffer(f.w, e.resp.Body, make([]byte, copyBufferSize)); err != nil {
 		e.abandon()
 		return verdict.Wrap(verdict.Ran, verdict.ReasonUpstreamLost, err)
 	}
@@ -161,24 +161,24 @@
 	return nil
 }
 
-// begin sets the status and headers of the final answer.
-func (f *flight) begin(resp *http.Response) {
+// beginAnswer sets the status and headers of the final answer.
+func (f *forwarder) beginAnswer(resp *http.Response) {
 	copyAnswer(f.w.Header(), resp.Header)
 	f.closeDuringDrain()
 	f.status = resp.StatusCode
 	f.firstByte = monotime.Now()
 	f.worst = verdict.Ran
 	// A writer without deadlines can only be a test's.
-	_ = http.NewResponseController(f.w).SetWriteDeadline(f.deadline.Add(callerStall))
+	_ = http.NewResponseController(f.w).SetWriteDeadline(f.deadline.Add(callerReadGrace))
 }
 
 // callerGone ends a request whose caller takes no more bytes.
-func (f *flight) callerGone(err error) *verdict.Error {
+func (f *forwarder) callerGone(err error) *verdict.Error {
 	f.stream.started = true
 	return verdict.Wrap(verdict.Ran, verdict.ReasonCallerGone, err)
 }
 
-func (f *flight) observe(outcome placement.Outcome) {
+func (f *forwarder) observe(outcome placement.Outcome) {
 	if f.hr.Context().Err() != nil {
 		return // a caller that left says nothing about the server
 	}
@@ -187,7 +187,7 @@
 
 func reasonOf(err error) verdict.Reason {
 	switch {
-	case errors.Is(err, errSilent), errors.Is(err, errMoved), netconn.IsTimeout(err):
+	case errors.Is(err, errUnresponsive), errors.Is(err, errMoved), netconn.IsTimeout(err):
 		return verdict.ReasonUpstreamSilent
 	case errors.Is(err, errUnsigned), errors.Is(err, errAmbiguous):
 		return verdict.ReasonUpstreamError
@@ -200,14 +200,14 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// retryAfterMost bounds a time to come back that is believed, in seconds.
-const retryAfterMost = 3600
+// maxRetryAfterSeconds bounds a time to come back that is believed, in seconds.
+const maxRetryAfterSeconds = 3600
 
-// retryAfter reads a Retry-After header in seconds; 0 when there is none that can be read.
-func retryAfter(h http.Header) time.Duration {
+// parseRetryAfter reads a Retry-After header in seconds; 0 when there is none that can be read.
+func parseRetryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, retryAfterMost) * float64(time.Second))
+	return time.Duration(min(seconds, maxRetryAfterSeconds) * float64(time.Second))
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -16,25 +16,25 @@
 )
 
 const (
-	// inlineBody is the size up to which a request is written in one piece
+	// maxInlineBody is the size up to which a request is written in one piece
 	// before its answer is read. Longer ones are written beside the reading,
 	// because a server may answer early and read the rest later.
-	inlineBody = 32 << 10
-	// strayAnswers is how many answers to other requests are skipped on one
+	maxInlineBody = 32 << 10
+	// maxStrayAnswers is how many answers to other requests are skipped on one
 	// connection before it is given up.
-	strayAnswers = 3
-	// writeLeft is how long the rest of a long request may take once its answer
+	maxStrayAnswers = 3
+	// bodyWriteTimeout is how long the rest of a long request may take once its answer
 	// was read to the end.
-	writeLeft = 500 * time.Millisecond
+	bodyWriteTimeout = 500 * time.Millisecond
 )
 
 // Errors of an exchange.
 var (
-	errStray     = errors.New("answers on the connection belong to other requests")
-	errUnsigned  = errors.New("answer is not the server's")
-	errAmbiguous = errors.New("server refused without saying that the request was not run")
-	errSilent    = errors.New("server was silent")
-	errCut       = errors.New("answer ended before its end")
+	errStray        = errors.New("answers on the connection belong to other requests")
+	errUnsigned     = errors.New("answer is not the server's")
+	errAmbiguous    = errors.New("server refused without saying that the request was not run")
+	errUnresponsive = errors.New("server was silent")
+	errTruncated    = errors.New("answer ended before its end")
 )
 
 // exchange is one request on one connection.
@@ -58,7 +58,7 @@
 		e.abandon()
 		return nil, verdict.Wrap(verdict.NotRun, verdict.ReasonUpstreamLost, err)
 	}
-	if len(body) > inlineBody {
+	if len(body) > maxInlineBody {
 		e.written = make(chan error, 1)
 		go func() {
 			_, err := c.Write(head)
@@ -99,18 +99,18 @@
 // A server may send a second answer to an earlier request late, just where the
 // next answer is due. The id in each answer tells them apart: those of others
 // are read and dropped.
-func (e *exchange) readHead(method, id string, protocol Protocol, silence time.Duration, deadline time.Time) error {
-	if silence > 0 {
-		if err := e.conn.SetReadDeadline(earlier(time.Now().Add(silence), deadline)); err != nil {
+func (e *exchange) readHead(method, id string, protocol Protocol, timeout time.Duration, deadline time.Time) error {
+	if timeout > 0 {
+		if err := e.conn.SetReadDeadline(earlier(time.Now().Add(timeout), deadline)); err != nil {
 			return err
 		}
 	}
-	asked := &http.Request{Method: method}
-	for range strayAnswers {
-		resp, err := http.ReadResponse(e.conn.reader, asked)
+	req := &http.Request{Method: method}
+	for range maxStrayAnswers {
+		resp, err := http.ReadResponse(e.conn.reader, req)
 		if err != nil {
-			if silence > 0 && netconn.IsTimeout(err) {
-				return errors.Join(errSilent, err)
+			if timeout > 0 && netconn.IsTimeout(err) {
+				return errors.Join(errUnresponsive, err)
 			}
 			return err
 		}
@@ -170,7 +170,7 @@
 		return
 	}
 	e.done = true
-	e.pool.keep(e.conn, e.resp.Header.Get("Keep-Alive"))
+	e.pool.putIdle(e.conn, e.resp.Header.Get("Keep-Alive"))
 }
 
 // requestWritten waits for the rest of a long request. A connection on which
@@ -180,7 +180,7 @@
 	if e.written == nil {
 		return true
 	}
-	if err := e.conn.SetWriteDeadline(time.Now().Add(writeLeft)); err != nil {
+	if err := e.conn.SetWriteDeadline(time.Now().Add(bodyWriteTimeout)); err != nil {
 		return false
 	}
 	return <-e.written == nil
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -23,11 +23,11 @@
 	"basilrudder/internal/servers"
 )
 
-// plain is a Protocol with headers of its own, so that the tests need none of
+// plainProtocol is a Protocol with headers of its own, so that the tests need none of
 // an outside system.
-type plain struct{}
+type plainProtocol struct{}
 
-func (plain) Request(h http.Header) (Request, error) {
+func (plainProtocol) Request(h http.Header) (Request, error) {
 	if h.Get("X-Id") == "" {
 		return Request{}, errors.New("no id")
 	}
@@ -35,7 +35,7 @@
 	return Request{ID: h.Get("X-Id"), Key: h.Get("X-Key"), Deadline: time.Duration(ms) * time.Millisecond, ResumeAfter: h.Get("X-Resume")}, nil
 }
 
-func (plain) Forward(h http.Header, f Forward) {
+func (plainProtocol) Forward(h http.Header, f Forward) {
 	h.Set("X-Server", f.Server)
 	h.Set("X-Customer", f.Customer)
 	if f.HideKey {
@@ -46,14 +46,14 @@
 	}
 }
 
-func (plain) Answer(_ int, h http.Header) Answer {
+func (plainProtocol) Answer(_ int, h http.Header) Answer {
 	return Answer{
 		ID: h.Get("X-Id"), Signed: h.Get("X-Seal") != "", NotRun: h.Get("X-Not-Run") != "",
 		Notice: servers.Notice{Leaving: h.Get("X-Leaving") != ""},
 	}
 }
 
-func (plain) EventID(event []byte) string {
+func (plainProtocol) EventID(event []byte) string {
 	for line := range strings.SplitSeq(string(event), "\n") {
 		if id, ok := strings.CutPrefix(line, "id:"); ok {
 			return strings.TrimSpace(id)
@@ -75,15 +75,15 @@
 	coldPlaces int
 	// queued is how often a run that is asked about still waits behind other prompts.
 	queued int
-	// sooner says that another server begins what waits sooner.
-	sooner bool
-	// down says that no instance reaches a server.
-	down bool
+	// otherIsSooner says that another server begins what waits otherIsSooner.
+	otherIsSooner bool
+	// outage says that no instance reaches a server.
+	outage bool
 
-	// culprit says that every request is known to crash servers, from the question after
+	// poison says that every request is known to crash servers, from the question after
 	// unknown ones on.
-	culprit bool
-	unknown int
+	poison      bool
+	poisonAfter int
 
 	mu       sync.Mutex
 	crashed  []crashes.Crash
@@ -91,7 +91,7 @@
 	begun    []string
 	ended    int
 	outcomes []string
-	heard    []string
+	notices  []string
 }
 
 func (f *fakeFleet) Table() *routing.Table        { return f.table }
@@ -100,7 +100,7 @@
 	if f.full {
 		return Target{}, placement.AllFull
 	}
-	if work.Waited > 0 && !f.sooner {
+	if work.Waited > 0 && !f.otherIsSooner {
 		return Target{}, placement.NotWorth
 	}
 	if f.coldPlaces > 0 {
@@ -126,7 +126,7 @@
 }
 func (f *fakeFleet) First(int, monotime.Instant) {}
 
-func (f *fakeFleet) Standing(int, monotime.Instant) placement.Standing {
+func (f *fakeFleet) QueueState(int, monotime.Instant) placement.Standing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.queued == 0 {
@@ -148,20 +148,20 @@
 	defer f.mu.Unlock()
 	f.outcomes = append(f.outcomes, fmt.Sprint(server, " ", outcome))
 }
-func (f *fakeFleet) Heard(server string, notice servers.Notice, _, _ monotime.Instant) {
+func (f *fakeFleet) ApplyNotice(server string, notice servers.Notice, _, _ monotime.Instant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if notice != (servers.Notice{}) {
-		f.heard = append(f.heard, fmt.Sprintf("%s %+v", server, notice))
+		f.notices = append(f.notices, fmt.Sprintf("%s %+v", server, notice))
 	}
 }
 
-func (f *fakeFleet) Suspects() bool { return true }
-func (f *fakeFleet) Culprit(crashes.Fingerprint, monotime.Instant) bool {
+func (f *fakeFleet) AnySuspected() bool { return true }
+func (f *fakeFleet) IsPoison(crashes.Fingerprint, monotime.Instant) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.unknown--
-	return f.culprit && f.unknown < 0
+	f.poisonAfter--
+	return f.poison && f.poisonAfter < 0
 }
 func (f *fakeFleet) Crashed(crash crashes.Crash, _ monotime.Instant) {
 	f.mu.Lock()
@@ -174,7 +174,7 @@
 	f.survived = append(f.survived, request)
 }
 
-func (f *fakeFleet) Serving(string, monotime.Instant) bool { return !f.down }
+func (f *fakeFleet) Serving(string, monotime.Instant) bool { return !f.outage }
 func (f *fakeFleet) Spend(string, monotime.Instant) bool   { return !f.noBudget }
 func (f *fakeFleet) Count(string, monotime.Instant)        {}
 
@@ -190,7 +190,7 @@
 	scripts map[string][]script
 	dials   map[string]int
 	mu      sync.Mutex
-	all     sync.WaitGroup
+	running sync.WaitGroup
 }
 
 // newRig returns a rig in which each server runs the given scripts, one a
@@ -209,7 +209,7 @@
 		t: t, fleet: &fakeFleet{table: table, servers: order, confirmed: true},
 		scripts: scripts, dials: make(map[string]int),
 	}
-	b.relay = New(Config{Fleet: b.fleet, Protocol: plain{}, Dial: b.dial, DrainTime: 7 * time.Second})
+	b.relay = New(Config{Fleet: b.fleet, Protocol: plainProtocol{}, Dial: b.dial, DrainTime: 7 * time.Second})
 	return b
 }
 
@@ -222,16 +222,16 @@
 		return nil, errors.New("connection refused")
 	}
 	near, far := net.Pipe()
-	b.all.Go(func() {
+	b.running.Go(func() {
 		defer far.Close()
 		b.scripts[address][n](b.t, far, bufio.NewReader(far))
 	})
 	return near, nil
 }
 
-// ask sends a request and returns the answer; aborted says that the relay cut
+// serve sends a request and returns the answer; aborted says that the relay cut
 // the connection.
-func (b *rig) ask(req *http.Request) (rec *httptest.ResponseRecorder, aborted bool) {
+func (b *rig) serve(req *http.Request) (rec *httptest.ResponseRecorder, aborted bool) {
 	rec = httptest.NewRecorder()
 	defer func() {
 		if p := recover(); p != nil {
@@ -248,7 +248,7 @@
 // close ends the idle connections, so that the scripts end.
 func (b *rig) close() {
 	b.relay.Sweep(func(string) bool { return false })
-	b.all.Wait()
+	b.running.Wait()
 }
 
 func request(method, path, id string, body string) *http.Request {
@@ -258,8 +258,8 @@
 	return req
 }
 
-// take reads one request and returns its headers and body.
-func take(t *testing.T, in *bufio.Reader) (*http.Request, string) {
+// readRequest reads one request and returns its headers and body.
+func readRequest(t *testing.T, in *bufio.Reader) (*http.Request, string) {
 	req, err := http.ReadRequest(in)
 	if err != nil {
 		t.Errorf("server: %v", err)
@@ -281,7 +281,7 @@
 func replying(texts ...string) script {
 	return func(t *testing.T, c net.Conn, in *bufio.Reader) {
 		for _, text := range texts {
-			take(t, in)
+			readRequest(t, in)
 			if text == "" {
 				return
 			}
@@ -294,9 +294,9 @@
 	}
 }
 
-// silent takes a request and never answers.
-func silent(t *testing.T, _ net.Conn, in *bufio.Reader) {
-	take(t, in)
+// unresponsive takes a request and never answers.
+func unresponsive(t *testing.T, _ net.Conn, in *bufio.Reader) {
+	readRequest(t, in)
 	_, _ = in.ReadByte()
 }
 
--- a/internal/relay/flight.go
+++ b/internal/relay/forwarder.go
@@ -16,8 +16,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// flight is one request from its arrival to its final answer.
-type flight struct {
+// forwarder is one request from its arrival to its final answer.
+type forwarder struct {
 	relay   *Relay
 	w       http.ResponseWriter
 	hr      *http.Request
@@ -33,18 +33,18 @@
 	work     placement.Work
 	body     []byte
 
-	// print is the fingerprint once it is known.
-	print *crashes.Fingerprint
+	// cachedFingerprint is the fingerprint once it is known.
+	cachedFingerprint *crashes.Fingerprint
 
 	target   Target
 	excluded map[string]bool
 	sends    int
-	// paid says that the next send was taken from the budget already.
-	paid bool
+	// budgetSpent says that the next send was taken from the budget already.
+	budgetSpent bool
 	// worst is what is known of the request's execution over all sends.
 	worst verdict.Verdict
-	// eventsAt is when the first bytes of the last server's stream came; 0 for none.
-	eventsAt monotime.Instant
+	// firstEventAt is when the first bytes of the last server's stream came; 0 for none.
+	firstEventAt monotime.Instant
 	// stream holds what was delivered of a stream so far.
 	stream delivery
 
@@ -52,22 +52,22 @@
 	reason    verdict.Reason
 	cause     error
 	firstByte monotime.Instant
-	// comeBack is the time to come back that a refusal told.
-	comeBack time.Duration
+	// retryAfter is the time to come back that a refusal told.
+	retryAfter time.Duration
 }
 
 // serve gives the request its final answer.
-func (f *flight) serve() {
-	if fail := f.admit(); fail != nil {
-		f.refuse(fail)
+func (f *forwarder) serve() {
+	if problem := f.admit(); problem != nil {
+		f.refuse(problem)
 		return
 	}
 	defer f.relay.bodyBytes.Add(-int64(len(f.body)))
 	ctx, cancel := context.WithDeadline(f.hr.Context(), f.deadline)
 	defer cancel()
 	f.ctx = ctx
-	if f.culprit() {
-		f.refuseCulprit()
+	if f.isPoison() {
+		f.refusePoison()
 		return
 	}
 	f.excluded = make(map[string]bool)
@@ -76,7 +76,7 @@
 }
 
 // admit reads the request and decides whether it may be sent at all.
-func (f *flight) admit() *failure {
+func (f *forwarder) admit() *failure {
 	var err error
 	f.request, err = f.relay.cfg.Protocol.Request(f.hr.Header)
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 	f.table = f.relay.cfg.Fleet.Table()
 	if f.table == nil {
-		return later(verdict.ReasonNotReady, retryUnknown)
+		return unavailable(verdict.ReasonNotReady, retryNotReady)
 	}
 	if problem := f.authorize(); problem != nil {
 		return problem
@@ -99,19 +99,19 @@
 // authorize finds the route and the customer. What the table in force does not
 // know may have just been added: an instance that can't make sure says when to
 // come back, because callers give up for good after a 401 or 404.
-func (f *flight) authorize() *failure {
-	problem := f.lookUp()
+func (f *forwarder) authorize() *failure {
+	problem := f.matchRoute()
 	if problem == nil {
 		return nil
 	}
 	if !f.relay.cfg.Fleet.Confirm(f.hr.Context()) {
-		return later(verdict.ReasonNotReady, retryUnknown)
+		return unavailable(verdict.ReasonNotReady, retryNotReady)
 	}
 	f.table = f.relay.cfg.Fleet.Table()
-	return f.lookUp()
+	return f.matchRoute()
 }
 
-func (f *flight) lookUp() *failure {
+func (f *forwarder) matchRoute() *failure {
 	f.route = f.table.Match(f.hr.Host, f.hr.URL.EscapedPath())
 	if f.route == nil {
 		return fail(http.StatusNotFound, verdict.ReasonUnknownClass, errors.New("no route for this host and path"))
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (f *flight) setDeadline() {
+func (f *forwarder) setDeadline() {
 	left := f.route.Timeout
 	if f.request.Deadline > 0 {
 		left = min(left, f.request.Deadline)
@@ -148,27 +148,27 @@
 // admitDuringDrain refuses what would be cut off by the end of the process.
 // Callers keep connections and old directory answers for seconds, so requests
 // still come; another instance serves them at once.
-func (f *flight) admitDuringDrain() *failure {
+func (f *forwarder) admitDuringDrain() *failure {
 	since, draining := f.relay.draining(f.arrived)
 	if !draining {
 		return nil
 	}
 	left := f.relay.cfg.DrainTime - since - drainReserve
-	if f.route.Streaming && since > streamsDuringDrain || !f.route.Streaming && left < f.route.Timeout {
-		return later(verdict.ReasonDraining, retryElsewhere)
+	if f.route.Streaming && since > drainStreamWindow || !f.route.Streaming && left < f.route.Timeout {
+		return unavailable(verdict.ReasonDraining, retryElsewhere)
 	}
 	return nil
 }
 
 // readBody reads the whole body before anything is sent, so that a caller that
 // breaks off leaves no half request at a server.
-func (f *flight) readBody() *failure {
+func (f *forwarder) readBody() *failure {
 	limit := int64(f.table.Limits().BodyBytes)
 	if limit > 0 && f.hr.ContentLength > limit {
 		return fail(http.StatusRequestEntityTooLarge, verdict.ReasonTooLarge, errors.Errorf("body over %d bytes", limit))
 	}
-	if f.relay.bodyBytes.Load()+max(f.hr.ContentLength, 0) > bodyRoom {
-		return later(verdict.ReasonOverloaded, retryFull)
+	if f.relay.bodyBytes.Load()+max(f.hr.ContentLength, 0) > maxHeldBodies {
+		return unavailable(verdict.ReasonOverloaded, retryFull)
 	}
 	reader := io.Reader(f.hr.Body)
 	if limit > 0 {
@@ -188,69 +188,69 @@
 }
 
 // sendUntilFinal sends the request to servers until one answer is final.
-func (f *flight) sendUntilFinal() {
+func (f *forwarder) sendUntilFinal() {
 	for {
 		problem := f.sendOnce()
 		if problem == nil {
 			return
 		}
 		f.worst = verdict.Worse(f.worst, problem.Verdict)
-		f.note(problem)
-		if f.over() {
-			f.giveUp()
+		f.logFailedSend(problem)
+		if f.expired() {
+			f.answerExpired()
 			return
 		}
 		if !f.maySendAgain(problem) {
-			f.end(problem)
+			f.answerFailure(problem)
 			return
 		}
 	}
 }
 
-// over reports whether the caller left or the time is up. The deadline of the
+// expired reports whether the caller left or the time is up. The deadline of the
 // server's connection can fire a moment before the context's; what it breaks off
 // is the end of the time too and no failure of the server.
-func (f *flight) over() bool {
+func (f *forwarder) expired() bool {
 	return f.ctx.Err() != nil || !time.Now().Before(f.deadline)
 }
 
 // maySendAgain decides whether a failed request goes to a further server.
-func (f *flight) maySendAgain(problem *verdict.Error) bool {
+func (f *forwarder) maySendAgain(problem *verdict.Error) bool {
 	switch {
 	case problem.Reason == verdict.ReasonNoServer, problem.Reason == verdict.ReasonOverloaded, problem.Reason == verdict.ReasonCrashesServers:
 		return false
 	case problem.Reason == verdict.ReasonConnect:
 		// Nothing was sent, so it does not count as a server tried.
-		return len(f.excluded) <= connectTries
+		return len(f.excluded) <= maxUnreachable
 	case f.worst != verdict.NotRun && !f.route.MayRepeat():
 		return false
 	case f.stream.begun() && !f.route.Resumable:
 		return false
 	case f.sends >= f.route.Attempts:
 		return false
-	case f.paid:
-		f.paid = false
+	case f.budgetSpent:
+		f.budgetSpent = false
 		return true
 	default:
 		return f.relay.cfg.Fleet.Spend(f.service, monotime.Now())
 	}
 }
 
-// connectTries bounds how many servers that can't be reached are passed over
+// maxUnreachable bounds how many servers that can't be reached are passed over
 // for one request; each may cost connectTimeout.
-const connectTries = 4
+const maxUnreachable = 4
 
 // sendOnce sends the request to one server and delivers its answer.
-func (f *flight) sendOnce() *verdict.Error {
+func (f *forwarder) sendOnce() *verdict.Error {
 	fleet := f.relay.cfg.Fleet
 	target, refusal := f.place()
 	switch refusal {
 	case placement.NoneReachable:
-		return verdict.New(verdict.NotRun, verdict.ReasonNoServer, "no server can be reached").After(f.afterUnreachable())
+		return verdict.New(verdict.NotRun, verdict.ReasonNoServer, "no server can be reached").After(f.retryAfterUnreachable())
 	case placement.AllBounded:
-		return verdict.New(verdict.NotRun, verdict.ReasonOverloaded, "all servers have just started, named a limit or want nothing for a while, and get what they bear").After(spread(retryOverloaded))
+		return verdict.New(verdict.NotRun, verdict.ReasonOverloaded, "all servers have just started, named a limit or want nothing for a while, and get what they bear").After(jitter(retryOverloaded))
 	case placement.AllFull, placement.NotWorth:
-		return verdict.New(verdict.NotRun, verdict.ReasonOverloaded, fullMessage(target.Choice)).After(spread(retryOverloaded))
+		return verdict.New(verdict.NotRun, verdict.ReasonOverloaded, overloadMessage(target.Choice)).After(jitter(retryOverloaded))
 	}
 	f.target = target
 	c, err := f.relay.pool.get(f.ctx, target)
@@ -259,66 +259,66 @@
 		if !errors.Is(err, errPoolFull) && f.ctx.Err() == nil {
 			fleet.Observe(target.ID, placement.Unreachable, monotime.Now())
 		}
-		return verdict.Wrap(verdict.NotRun, verdict.ReasonConnect, err).After(f.afterUnreachable())
+		return verdict.Wrap(verdict.NotRun, verdict.ReasonConnect, err).After(f.retryAfterUnreachable())
 	}
 	f.excluded[target.ID] = true
-	if f.culprit() {
-		f.relay.pool.keep(c, "")
-		return verdict.Wrap(verdict.NotRun, verdict.ReasonCrashesServers, errCulprit)
+	if f.isPoison() {
+		f.relay.pool.putIdle(c, "")
+		return verdict.Wrap(verdict.NotRun, verdict.ReasonCrashesServers, errPoison)
 	}
 	run, ok := fleet.Begin(target, f.work, monotime.Now())
 	if !ok {
-		f.relay.pool.keep(c, "")
+		f.relay.pool.putIdle(c, "")
 		return verdict.New(verdict.NotRun, verdict.ReasonConnect, "the server has just started, named a limit or wants nothing for a while, and gets what it bears").After(retryFull)
 	}
 	f.sends++
-	f.eventsAt = 0
+	f.firstEventAt = 0
 	defer func() { fleet.End(run, monotime.Now()) }()
-	e, problem := send(f.ctx, f.relay.pool, c, f.head(target), f.body, f.deadline)
+	e, problem := send(f.ctx, f.relay.pool, c, f.encodeRequest(target), f.body, f.deadline)
 	if problem != nil {
 		fleet.Observe(target.ID, placement.Failed, monotime.Now())
-		f.interrupted(problem)
+		f.reportIfCrashed(problem)
 		return problem
 	}
 	problem = f.receive(e, run)
 	if problem != nil {
-		f.interrupted(problem)
+		f.reportIfCrashed(problem)
 	}
 	return problem
 }
 
 const (
-	// turnWait is how long a request waits for its turn where all servers are bounded, as
+	// rateLimitWaitShare is how long a request waits for its turn where all servers are bounded, as
 	// a share of its goal, and turnWaitMost bounds it. Owners of such a server mostly get
 	// a turn each second, so most requests that would be refused in between find one; a
 	// caller that is refused comes back later than that, and only once.
-	turnWait     = 0.5
-	turnWaitMost = 500 * time.Millisecond
-	// turnPoll is the time between looks for a turn.
-	turnPoll = 25 * time.Millisecond
+	rateLimitWaitShare = 0.5
+	maxRateLimitWait   = 500 * time.Millisecond
+	// rateLimitPoll is the time between looks for a turn.
+	rateLimitPoll = 25 * time.Millisecond
 )
 
 // place chooses a server. Nothing has been sent while it waits for a turn at one.
-func (f *flight) place() (Target, placement.Refusal) {
-	wait := min(time.Duration(turnWait*float64(f.work.Goal)), turnWaitMost)
+func (f *forwarder) place() (Target, placement.Refusal) {
+	wait := min(time.Duration(rateLimitWaitShare*float64(f.work.Goal)), maxRateLimitWait)
 	until := monotime.Now().Add(wait)
 	for {
 		now := monotime.Now()
-		f.lookAtTime()
+		f.updateTimeLeft()
 		target, refusal := f.relay.cfg.Fleet.Place(f.service, f.work, f.excluded, now)
 		if refusal != placement.AllBounded || now >= until {
 			return target, refusal
 		}
 		select {
-		case <-time.After(turnPoll):
+		case <-time.After(rateLimitPoll):
 		case <-f.ctx.Done():
 			return target, refusal
 		}
 	}
 }
 
-// head encodes the request for a server.
-func (f *flight) head(target Target) []byte {
+// encodeRequest encodes the request for a server.
+func (f *forwarder) encodeRequest(target Target) []byte {
 	headers := endToEnd(f.hr.Header)
 	customer := ""
 	if f.customer != nil {
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// longestLatency bounds the histograms, in microseconds: a minute, above
+	// maxLatencyMicros bounds the histograms, in microseconds: a minute, above
 	// the longest deadline.
-	longestLatency = 60_000_000
-	// digits of the histograms' values.
-	digits = 2
+	maxLatencyMicros = 60_000_000
+	// significantDigits of the histograms' values.
+	significantDigits = 2
 )
 
 // Metrics counts requests by how they ended and keeps histograms of latency.
@@ -39,7 +39,7 @@
 	m.reasons.Init()
 	m.sends.Init()
 	for _, h := range []*histogram{&m.total, &m.firstByte, &m.gaps} {
-		h.values = hdrhistogram.New(1, longestLatency, digits)
+		h.values = hdrhistogram.New(1, maxLatencyMicros, significantDigits)
 	}
 	return m
 }
@@ -61,7 +61,7 @@
 	m.sends.Add(string(reason), 1)
 }
 
-func (m *Metrics) ended(f *flight, now monotime.Instant) {
+func (m *Metrics) ended(f *forwarder, now monotime.Instant) {
 	status := "cut"
 	if f.status != 0 {
 		status = strconv.Itoa(f.status)
@@ -89,7 +89,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	// A value beyond the bound counts as the bound.
-	_ = h.values.RecordValue(min(max(d.Microseconds(), 1), longestLatency))
+	_ = h.values.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros))
 }
 
 // String returns count and quantiles as JSON, as expvar.Var wants.
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -20,15 +20,15 @@
 	// within a few ms; one that is dark or crowded does not, and another one can
 	// still serve the request in time.
 	connectTimeout = 300 * time.Millisecond
-	// idleMax closes connections unused for this long where the server does not
+	// maxIdle closes connections unused for this long where the server does not
 	// say how long it keeps them.
-	idleMax = 10 * time.Second
+	maxIdle = 10 * time.Second
 	// idleReserve is kept between this side's idle timeout and the server's, so
 	// that no request is sent on a connection that the server is closing.
 	idleReserve = 700 * time.Millisecond
-	// readBuffer is the size of a connection's read buffer: an answer of the
+	// readBufferSize is the size of a connection's read buffer: an answer of the
 	// usual size in one read.
-	readBuffer = 8 << 10
+	readBufferSize = 8 << 10
 )
 
 var errPoolFull = errors.New("relay: all connections to the server are in use")
@@ -80,7 +80,7 @@
 		p.release(target.ID)
 		return nil, errors.Wrap(err, "connect")
 	}
-	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBuffer), server: target.ID}, nil
+	return &conn{Conn: raw, reader: bufio.NewReaderSize(raw, readBufferSize), server: target.ID}, nil
 }
 
 func (p *pool) takeIdle(server string) *conn {
@@ -122,10 +122,10 @@
 	}
 }
 
-// keep puts a connection back whose answer was read to its end. keepAlive is
+// putIdle puts a connection back whose answer was read to its end. keepAlive is
 // the value of the server's Keep-Alive header.
-func (p *pool) keep(c *conn, keepAlive string) {
-	idle := idleMax
+func (p *pool) putIdle(c *conn, keepAlive string) {
+	idle := maxIdle
 	if timeout, ok := keepAliveTimeout(keepAlive); ok {
 		idle = min(idle, timeout-idleReserve)
 	}
@@ -148,27 +148,27 @@
 
 // sweep closes idle connections whose time is up, and those to servers that
 // are not known any more.
-func (p *pool) sweep(known func(server string) bool) {
+func (p *pool) sweep(needed func(server string) bool) {
 	now := monotime.Now()
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for server, list := range p.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, c := range list {
-			if now < c.idleUntil && known(server) {
-				kept = append(kept, c)
+			if now < c.idleUntil && needed(server) {
+				remaining = append(remaining, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
-		if len(kept) == 0 {
+		if len(remaining) == 0 {
 			delete(p.idle, server)
 		} else {
-			p.idle[server] = kept
+			p.idle[server] = remaining
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		p.discard(c)
 	}
 }
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -112,22 +112,22 @@
 	First(run int, now monotime.Instant)
 	Events(run, count int, now monotime.Instant)
 	End(run int, now monotime.Instant)
-	// Standing tells where a run stands that its server has not answered yet.
-	Standing(run int, now monotime.Instant) placement.Standing
+	// QueueState tells where a run stands that its server has not answered yet.
+	QueueState(run int, now monotime.Instant) placement.Standing
 	// Observe tells what became of a request at a server.
 	Observe(server string, outcome placement.Outcome, now monotime.Instant)
-	// Suspects reports whether any request is suspected of crashing servers; while there is
+	// AnySuspected reports whether any request is suspected of crashing servers; while there is
 	// none, requests need no fingerprint.
-	Suspects() bool
-	// Culprit reports whether a request is known to crash servers.
-	Culprit(request crashes.Fingerprint, now monotime.Instant) bool
+	AnySuspected() bool
+	// IsPoison reports whether a request is known to crash servers.
+	IsPoison(request crashes.Fingerprint, now monotime.Instant) bool
 	// Crashed tells that a server ended soon after it began to run a request, and Survived
 	// that one did not.
 	Crashed(crash crashes.Crash, now monotime.Instant)
 	Survived(request crashes.Fingerprint, now monotime.Instant)
-	// Heard tells what a server said of itself in its answer to a request that was sent
+	// ApplyNotice tells what a server said of itself in its answer to a request that was sent
 	// at an instant.
-	Heard(server string, notice servers.Notice, sent, now monotime.Instant)
+	ApplyNotice(server string, notice servers.Notice, sent, now monotime.Instant)
 	// Spend takes one send to a further server from the budget of a service.
 	Spend(service string, now monotime.Instant) bool
 	// Count notes a request for a service, which adds to that budget.
--- a/internal/relay/record.go
+++ b/internal/relay/record.go
@@ -9,8 +9,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// note logs a send that did not give the final answer.
-func (f *flight) note(problem *verdict.Error) {
+// logFailedSend logs a send that did not give the final answer.
+func (f *forwarder) logFailedSend(problem *verdict.Error) {
 	fields := []zap.Field{
 		zap.String("id", f.request.ID),
 		zap.Int("send", f.sends),
@@ -22,8 +22,8 @@
 	f.relay.cfg.Metrics.sendFailed(problem.Reason)
 }
 
-// record logs how the request ended, with what decided it.
-func (f *flight) record() {
+// logEnd logs how the request ended, with what decided it.
+func (f *forwarder) logEnd() {
 	now := monotime.Now()
 	f.relay.cfg.Metrics.ended(f, now)
 	fields := []zap.Field{
@@ -34,8 +34,8 @@
 		zap.Duration("took_ms", now.Sub(f.arrived)),
 		zap.Int("sends", f.sends),
 	}
-	if f.comeBack > 0 {
-		fields = append(fields, zap.Duration("come_back_ms", f.comeBack))
+	if f.retryAfter > 0 {
+		fields = append(fields, zap.Duration("come_back_ms", f.retryAfter))
 	}
 	if f.cause != nil {
 		fields = append(fields, zap.String("cause", f.cause.Error()))
@@ -59,7 +59,7 @@
 }
 
 // choiceFields tell which server was chosen last and what decided it.
-func (f *flight) choiceFields() []zap.Field {
+func (f *forwarder) choiceFields() []zap.Field {
 	if f.target.ID == "" {
 		return nil
 	}
--- a/internal/relay/refuse.go
+++ b/internal/relay/refuse.go
@@ -24,14 +24,14 @@
 	return &failure{status: status, reason: reason, cause: cause}
 }
 
-// later is the refusal of a request that has not run and may come back.
-func later(reason verdict.Reason, after time.Duration) *failure {
+// unavailable is the refusal of a request that has not run and may come back.
+func unavailable(reason verdict.Reason, after time.Duration) *failure {
 	return &failure{status: http.StatusServiceUnavailable, reason: reason, retryAfter: after}
 }
 
 // refuse answers with a failure of the relay's own.
-func (f *flight) refuse(p *failure) {
-	f.status, f.reason, f.cause, f.comeBack = p.status, p.reason, p.cause, p.retryAfter
+func (f *forwarder) refuse(p *failure) {
+	f.status, f.reason, f.cause, f.retryAfter = p.status, p.reason, p.cause, p.retryAfter
 	if p.reason == verdict.ReasonCallerGone {
 		// The caller broke off: nobody reads an answer.
 		panic(http.ErrAbortHandler)
@@ -47,8 +47,8 @@
 	_, _ = f.w.Write([]byte(string(p.reason) + "\n"))
 }
 
-// fullMessage tells what decided that no server has room.
-func fullMessage(c placement.Choice) string {
+// overloadMessage tells what decided that no server has room.
+func overloadMessage(c placement.Choice) string {
 	if c.Server != "" && c.Worth >= 0 {
 		return fmt.Sprintf("its caller would have left before its first or last event, with a probability of %.2f", c.Lost)
 	}
@@ -65,21 +65,21 @@
 }
 
 // closeDuringDrain tells callers to use other connections.
-func (f *flight) closeDuringDrain() {
+func (f *forwarder) closeDuringDrain() {
 	if _, draining := f.relay.draining(f.arrived); draining {
 		f.w.Header().Set("Connection", "close")
 	}
 }
 
-// end answers a request that is not sent again. A 503 promises that it has not
+// answerFailure answers a request that is not sent again. A 503 promises that it has not
 // run and never will, so it is only given when no send leaves a doubt.
-func (f *flight) end(problem *verdict.Error) {
+func (f *forwarder) answerFailure(problem *verdict.Error) {
 	if f.stream.begun() {
-		f.cut(problem)
+		f.abort(problem)
 		return
 	}
 	if f.worst == verdict.NotRun && problem.Reason == verdict.ReasonCrashesServers {
-		f.refuseCulprit()
+		f.refusePoison()
 		return
 	}
 	if f.worst == verdict.NotRun {
@@ -87,7 +87,7 @@
 		if after == 0 {
 			after = retryFull
 		}
-		answer := later(problem.Reason, after)
+		answer := unavailable(problem.Reason, after)
 		answer.cause = problem
 		f.refuse(answer)
 		return
@@ -95,25 +95,25 @@
 	f.refuse(fail(http.StatusBadGateway, problem.Reason, problem))
 }
 
-// giveUp ends a request whose caller left or whose time is up.
-func (f *flight) giveUp() {
+// answerExpired ends a request whose caller left or whose time is up.
+func (f *forwarder) answerExpired() {
 	reason := verdict.ReasonDeadline
 	if f.hr.Context().Err() != nil {
 		reason = verdict.ReasonCallerGone
 	}
 	switch {
 	case f.stream.begun():
-		f.cut(verdict.New(f.worst, reason, "stream not finished"))
+		f.abort(verdict.New(f.worst, reason, "stream not finished"))
 	case f.worst == verdict.NotRun:
-		f.refuse(later(reason, retryFull))
+		f.refuse(unavailable(reason, retryFull))
 	default:
 		f.refuse(fail(http.StatusGatewayTimeout, reason, errors.New("no answer in time")))
 	}
 }
 
-// cut ends an answer that has begun in a way that can't be taken for its end:
+// abort ends an answer that has begun in a way that can't be taken for its end:
 // the connection closes before the length or the last chunk is reached.
-func (f *flight) cut(problem *verdict.Error) {
+func (f *forwarder) abort(problem *verdict.Error) {
 	f.reason, f.cause = problem.Reason, problem
 	panic(http.ErrAbortHandler)
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -39,13 +39,13 @@
 }
 
 const (
-	// bodyRoom bounds the bodies held at once: a quarter of the memory of the
+	// maxHeldBodies bounds the bodies held at once: a quarter of the memory of the
 	// smallest instance, 184 MB.
-	bodyRoom = 48 << 20
-	// streamsDuringDrain is how long after the start of a drain streams are
+	maxHeldBodies = 48 << 20
+	// drainStreamWindow is how long after the start of a drain streams are
 	// still taken. They last up to some 5 s, and the process is killed 8 s
 	// after the signal.
-	streamsDuringDrain = 1500 * time.Millisecond
+	drainStreamWindow = 1500 * time.Millisecond
 	// drainReserve is kept between the last answer and the end of the drain.
 	drainReserve = 500 * time.Millisecond
 )
@@ -58,7 +58,7 @@
 	if cfg.Metrics == nil {
 		cfg.Metrics = NewMetrics()
 	}
-	return &Relay{cfg: cfg, pool: newPool(cfg.Dial), probes: probes{known: make(map[string]*probe)}}
+	return &Relay{cfg: cfg, pool: newPool(cfg.Dial), probes: probes{recent: make(map[string]*probe)}}
 }
 
 // Drain begins to leave: answers tell callers to connect elsewhere, and what
@@ -74,8 +74,8 @@
 }
 
 // Sweep closes idle connections to servers that are not needed any more.
-func (r *Relay) Sweep(known func(server string) bool) {
-	r.pool.sweep(known)
+func (r *Relay) Sweep(needed func(server string) bool) {
+	r.pool.sweep(needed)
 }
 
 // InFlight returns the number of requests held now.
@@ -87,7 +87,7 @@
 func (r *Relay) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
 	r.cfg.Metrics.inFlight.Add(1)
 	defer r.cfg.Metrics.inFlight.Add(-1)
-	f := &flight{relay: r, w: w, hr: hr, arrived: monotime.Now()}
-	defer f.record()
+	f := &forwarder{relay: r, w: w, hr: hr, arrived: monotime.Now()}
+	defer f.logEnd()
 	f.serve()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,14 +23,14 @@
 		var got *http.Request
 		var body string
 		b := newRig(t, allRoutes, map[string][]script{"s1": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-			got, body = take(t, in)
+			got, body = readRequest(t, in)
 			_, _ = io.WriteString(c, answer("r1", 201, "X-Other: kept\r\nKeep-Alive: timeout=5\r\n", "hello"))
 			_, _ = in.ReadByte()
 		}}}, "s1")
 		req := request("POST", "/once/a%2Fb?q=1", "r1", "body")
 		req.Header.Set("Connection", "X-Drop")
 		req.Header.Set("X-Drop", "1")
-		rec, aborted := b.ask(req)
+		rec, aborted := b.serve(req)
 		b.close()
 		if aborted || rec.Code != 201 || rec.Body.String() != "hello" || rec.Header().Get("X-Other") != "kept" || rec.Header().Get("X-Seal") != "s" {
 			t.Errorf("aborted %v, %d %q %v", aborted, rec.Code, rec.Body, rec.Header())
@@ -53,7 +53,7 @@
 // Callers see a final answer for each way in which a server can fail, and the
 // request reaches a second server only where it may run twice or surely has not
 // run. A 503 says that it has not run, so it must not follow a doubt.
-func TestWhatAFailureOfAServerBecomes(t *testing.T) {
+func TestTheFinalAnswerForEachServerFailure(t *testing.T) {
 	notRun := answer("r", 503, "X-Not-Run: 1\r\n", "")
 	good := answer("r", 200, "", "ok")
 	for _, c := range []struct {
@@ -74,21 +74,21 @@
 		{"encoded", "/once/", replying(answer("r", 200, "Content-Encoding: gzip\r\n", "ok")), 502, false},
 		{"own failure, at most once", "/once/", replying(answer("r", 500, "", "no")), 500, false},
 		{"own failure, idempotent", "/again/", replying(answer("r", 500, "", "no")), 200, true},
-		{"silent, at most once", "/once/", silent, 504, false},
-		{"silent, idempotent", "/again/", silent, 200, true},
+		{"silent, at most once", "/once/", unresponsive, 504, false},
+		{"silent, idempotent", "/again/", unresponsive, 200, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				first := func(t *testing.T, conn net.Conn, in *bufio.Reader) {
 					if strings.HasPrefix(c.name, "cut") {
-						take(t, in)
+						readRequest(t, in)
 						_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Id: r\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nok")
 						return
 					}
 					c.first(t, conn, in)
 				}
 				b := newRig(t, allRoutes, map[string][]script{"s1": {first}, "s2": {replying(good)}}, "s1", "s2")
-				rec, _ := b.ask(request("POST", c.path, "r", "x"))
+				rec, _ := b.serve(request("POST", c.path, "r", "x"))
 				b.close()
 				if rec.Code != c.status {
 					t.Errorf("status %d, want %d", rec.Code, c.status)
@@ -106,11 +106,11 @@
 
 // All servers say that they did not run the request. The caller hears that too,
 // with a time to come back, as soon as the servers that may be tried are spent.
-func TestARefusalSaysWhenToComeBack(t *testing.T) {
+func TestARefusalCarriesRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		full := replying(answer("r", 503, "X-Not-Run: 1\r\nRetry-After: 0.4\r\n", ""))
 		b := newRig(t, allRoutes, map[string][]script{"s1": {full}, "s2": {full}, "s3": {full}}, "s1", "s2", "s3")
-		rec, _ := b.ask(request("POST", "/once/", "r", "x"))
+		rec, _ := b.serve(request("POST", "/once/", "r", "x"))
 		b.close()
 		if rec.Code != 503 || rec.Header().Get("Retry-After") != "0.4" || b.dials["s3"] != 0 {
 			t.Errorf("%d, come back after %q, third server asked %d times", rec.Code, rec.Header().Get("Retry-After"), b.dials["s3"])
@@ -121,7 +121,7 @@
 // Servers tell of themselves in answers of every kind: one that callers get, a refusal, a
 // failure. The instance hears each; a refusal by another incarnation that now holds the
 // address says nothing of the server that was meant.
-func TestWhatServersSayOfThemselvesIsHeard(t *testing.T) {
+func TestServerNoticesAreApplied(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		want         []string
@@ -136,9 +136,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newRig(t, allRoutes, map[string][]script{"s1": {replying(c.answer)}}, "s1")
-				b.ask(request("POST", "/once/", "r", "x"))
+				b.serve(request("POST", "/once/", "r", "x"))
 				b.close()
-				if diff := cmp.Diff(c.want, b.fleet.heard); diff != "" {
+				if diff := cmp.Diff(c.want, b.fleet.notices); diff != "" {
 					t.Error(diff)
 				}
 			})
@@ -149,7 +149,7 @@
 func TestServersThatCannotBeReachedArePassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s3": {replying(answer("r", 200, "", "ok"))}}, "s1", "s2", "s3")
-		rec, _ := b.ask(request("POST", "/once/", "r", "x"))
+		rec, _ := b.serve(request("POST", "/once/", "r", "x"))
 		b.close()
 		if rec.Code != 200 {
 			t.Errorf("status %d", rec.Code)
@@ -164,7 +164,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying("")}, "s2": {replying(answer("r", 200, "", "ok"))}}, "s1", "s2")
 		b.fleet.noBudget = true
-		rec, _ := b.ask(request("GET", "/again/", "r", ""))
+		rec, _ := b.serve(request("GET", "/again/", "r", ""))
 		b.close()
 		if rec.Code != 502 || b.dials["s2"] != 0 {
 			t.Errorf("status %d, second server asked %d times", rec.Code, b.dials["s2"])
@@ -174,14 +174,14 @@
 
 // A server answers an earlier request a second time, late: its bytes stand
 // where the next answer is due. The caller must get its own answer.
-func TestALateSecondAnswerReachesNobody(t *testing.T) {
+func TestALateDuplicateAnswerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying(
 			answer("r1", 200, "", "one"),
 			answer("r1", 200, "", "one")+answer("r2", 200, "", "two"),
 		)}}, "s1")
-		first, _ := b.ask(request("POST", "/once/", "r1", "x"))
-		second, _ := b.ask(request("POST", "/once/", "r2", "x"))
+		first, _ := b.serve(request("POST", "/once/", "r1", "x"))
+		second, _ := b.serve(request("POST", "/once/", "r2", "x"))
 		b.close()
 		if first.Body.String() != "one" || second.Body.String() != "two" || b.dials["s1"] != 1 {
 			t.Errorf("%q, %q over %d connections", first.Body, second.Body, b.dials["s1"])
@@ -197,8 +197,8 @@
 			replying(answer("r1", 200, "", "one") + "HTTP/1.1 200 OK\r\n\r\n"),
 			replying(answer("r2", 200, "", "two")),
 		}}, "s1")
-		_, _ = b.ask(request("POST", "/once/", "r1", "x"))
-		second, _ := b.ask(request("POST", "/once/", "r2", "x"))
+		_, _ = b.serve(request("POST", "/once/", "r1", "x"))
+		second, _ := b.serve(request("POST", "/once/", "r2", "x"))
 		b.close()
 		if second.Body.String() != "two" || b.dials["s1"] != 2 {
 			t.Errorf("%q over %d connections", second.Body, b.dials["s1"])
@@ -222,12 +222,12 @@
 			if err != nil || len(rest) != len(long) {
 				t.Errorf("%d bytes of the body, %v", len(rest), err)
 			}
-			take(t, in)
+			readRequest(t, in)
 			_, _ = io.WriteString(c, answer("r2", 200, "", "two"))
 			_, _ = in.ReadByte()
 		}}}, "s1")
-		first, _ := b.ask(request("POST", "/once/", "r1", long))
-		second, _ := b.ask(request("POST", "/once/", "r2", "x"))
+		first, _ := b.serve(request("POST", "/once/", "r1", long))
+		second, _ := b.serve(request("POST", "/once/", "r2", "x"))
 		b.close()
 		if first.Code != 400 || second.Body.String() != "two" || b.dials["s1"] != 1 {
 			t.Errorf("%d, %q over %d connections", first.Code, second.Body, b.dials["s1"])
@@ -239,14 +239,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		closed := make(chan time.Time, 1)
 		b := newRig(t, allRoutes, map[string][]script{"s1": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-			take(t, in)
+			readRequest(t, in)
 			_, _ = in.ReadByte()
 			closed <- time.Now()
 		}}}, "s1")
 		ctx, cancel := context.WithCancel(t.Context())
 		left := time.Now().Add(100 * time.Millisecond)
 		time.AfterFunc(100*time.Millisecond, cancel)
-		_, _ = b.ask(request("POST", "/stream/", "r", "x").WithContext(ctx))
+		_, _ = b.serve(request("POST", "/stream/", "r", "x").WithContext(ctx))
 		b.close()
 		if at := <-closed; at.After(left) {
 			t.Errorf("the server was freed %v after the caller left", at.Sub(left))
@@ -263,9 +263,9 @@
 func TestTheFinalAnswerComesByTheRoutesTimeout(t *testing.T) {
 	for range 50 {
 		synctest.Test(t, func(t *testing.T) {
-			b := newRig(t, allRoutes, map[string][]script{"s1": {silent}}, "s1")
+			b := newRig(t, allRoutes, map[string][]script{"s1": {unresponsive}}, "s1")
 			began := time.Now()
-			rec, _ := b.ask(request("POST", "/once/", "r", "x"))
+			rec, _ := b.serve(request("POST", "/once/", "r", "x"))
 			b.close()
 			if took := time.Since(began); rec.Code != 504 || took != once.Timeout {
 				t.Errorf("%d after %v", rec.Code, took)
@@ -276,10 +276,10 @@
 
 // What the table in force does not know may be new. An instance that can't ask
 // whether it is says when to come back; callers would give up after a 404.
-func TestUnknownRoutesAndKeysAreRefusedForGoodOnlyWhenSure(t *testing.T) {
+func TestUnknownRoutesAndKeysAreRefusedForGoodOnlyWhenConfirmed(t *testing.T) {
 	for _, c := range []struct {
 		path, key string
-		sure      bool
+		confirmed bool
 		want      int
 	}{
 		{"/nowhere/", "key", true, 404},
@@ -288,19 +288,19 @@
 		{"/once/", "wrong", false, 503},
 	} {
 		b := newRig(t, allRoutes, nil)
-		b.fleet.confirmed = c.sure
+		b.fleet.confirmed = c.confirmed
 		req := request("GET", c.path, "r", "")
 		req.Header.Set("X-Key", c.key)
-		if rec, _ := b.ask(req); rec.Code != c.want {
-			t.Errorf("%s with key %q, sure %v: %d, want %d", c.path, c.key, c.sure, rec.Code, c.want)
+		if rec, _ := b.serve(req); rec.Code != c.want {
+			t.Errorf("%s with key %q, sure %v: %d, want %d", c.path, c.key, c.confirmed, rec.Code, c.want)
 		}
 	}
 }
 
-func TestWithoutAConfigurationEverythingMayComeBack(t *testing.T) {
+func TestWithoutAConfigurationRequestsAreRetryable(t *testing.T) {
 	b := newRig(t, allRoutes, nil)
 	b.fleet.table = nil
-	rec, _ := b.ask(request("GET", "/once/", "r", ""))
+	rec, _ := b.serve(request("GET", "/once/", "r", ""))
 	if rec.Code != 503 || rec.Header().Get("Retry-After") == "" {
 		t.Errorf("%d %v", rec.Code, rec.Header())
 	}
@@ -309,13 +309,13 @@
 // The process was told to leave and will be killed. Callers still send on
 // connections that they kept. What can end in time is served, with the word to
 // connect elsewhere; a stream that would be cut is refused at once.
-func TestADrainServesWhatCanEndAndRefusesTheRest(t *testing.T) {
+func TestADrainServesShortRequestsAndRefusesStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying(answer("a", 200, "", "ok"))}}, "s1")
 		b.relay.Drain()
-		time.Sleep(streamsDuringDrain + time.Millisecond)
-		served, _ := b.ask(request("POST", "/once/", "a", "x"))
-		refused, _ := b.ask(request("POST", "/stream/", "b", "x"))
+		time.Sleep(drainStreamWindow + time.Millisecond)
+		served, _ := b.serve(request("POST", "/once/", "a", "x"))
+		refused, _ := b.serve(request("POST", "/stream/", "b", "x"))
 		b.close()
 		if served.Code != 200 || served.Header().Get("Connection") != "close" {
 			t.Errorf("short request: %d %v", served.Code, served.Header())
@@ -341,10 +341,10 @@
 
 const lastChunk = "0\r\n\r\n"
 
-// breaking sends a part of a stream and closes the connection.
-func breaking(parts ...string) script {
+// sendThenClose sends a part of a stream and closes the connection.
+func sendThenClose(parts ...string) script {
 	return func(t *testing.T, c net.Conn, in *bufio.Reader) {
-		take(t, in)
+		readRequest(t, in)
 		for _, part := range parts {
 			_, _ = io.WriteString(c, part)
 		}
@@ -354,7 +354,7 @@
 func TestAStreamIsPassedOnWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying(streamHead + chunk(events(1, 2)) + chunk(events(3, 3)) + lastChunk)}}, "s1")
-		rec, aborted := b.ask(request("POST", "/stream/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/stream/", "r", "x"))
 		b.close()
 		if aborted || rec.Body.String() != events(1, 3) || !rec.Flushed {
 			t.Errorf("aborted %v: %q", aborted, rec.Body)
@@ -367,8 +367,8 @@
 // complete, and no other server gets the request.
 func TestACutStreamDoesNotLookComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newRig(t, allRoutes, map[string][]script{"s1": {breaking(streamHead, chunk(events(1, 2)))}, "s2": {silent}}, "s1", "s2")
-		rec, aborted := b.ask(request("POST", "/stream/", "r", "x"))
+		b := newRig(t, allRoutes, map[string][]script{"s1": {sendThenClose(streamHead, chunk(events(1, 2)))}, "s2": {unresponsive}}, "s1", "s2")
+		rec, aborted := b.serve(request("POST", "/stream/", "r", "x"))
 		b.close()
 		if !aborted || rec.Body.String() != events(1, 2) || b.dials["s2"] != 0 {
 			t.Errorf("aborted %v: %q", aborted, rec.Body)
@@ -379,19 +379,19 @@
 // A server dies in the middle of the third event of a stream that may be
 // resumed. The second server is asked for what follows the second event, and the
 // caller gets each event once, under the first server's headers.
-func TestAResumableStreamGoesOnElsewhere(t *testing.T) {
+func TestABrokenResumableStreamResumesOnAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var after string
 		b := newRig(t, allRoutes, map[string][]script{
-			"s1": {breaking(streamHead, chunk(events(1, 2)+"id: 3\nda"))},
+			"s1": {sendThenClose(streamHead, chunk(events(1, 2)+"id: 3\nda"))},
 			"s2": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-				req, _ := take(t, in)
+				req, _ := readRequest(t, in)
 				after = req.Header.Get("X-Resume")
 				_, _ = io.WriteString(c, strings.Replace(streamHead, "first", "second", 1)+chunk(events(3, 5))+lastChunk)
 				_, _ = in.ReadByte()
 			}},
 		}, "s1", "s2")
-		rec, aborted := b.ask(request("POST", "/resumable/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/resumable/", "r", "x"))
 		b.close()
 		if aborted || rec.Body.String() != events(1, 5) || after != "2" || rec.Header().Get("X-Seal") != "first" {
 			t.Errorf("aborted %v: %q, resumed after %q, %v", aborted, rec.Body, after, rec.Header())
@@ -401,18 +401,18 @@
 
 // A server goes silent in the middle of a resumable stream without closing. The
 // caller would give up after two seconds; another server goes on before.
-func TestASilentResumableStreamGoesOnElsewhere(t *testing.T) {
+func TestAStalledResumableStreamResumesOnAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
 			"s1": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-				take(t, in)
+				readRequest(t, in)
 				_, _ = io.WriteString(c, streamHead+chunk(events(1, 1)))
 				_, _ = in.ReadByte()
 			}},
 			"s2": {replying(streamHead + chunk(events(2, 2)) + lastChunk)},
 		}, "s1", "s2")
 		began := time.Now()
-		rec, aborted := b.ask(request("POST", "/resumable/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/resumable/", "r", "x"))
 		b.close()
 		if took := time.Since(began); aborted || rec.Body.String() != events(1, 2) || took > 1900*time.Millisecond {
 			t.Errorf("aborted %v after %v: %q", aborted, took, rec.Body)
@@ -426,9 +426,9 @@
 			replying(answer("r1", 200, "Keep-Alive: timeout=2\r\n", "one")),
 			replying(answer("r2", 200, "", "two")),
 		}}, "s1")
-		_, _ = b.ask(request("POST", "/once/", "r1", "x"))
+		_, _ = b.serve(request("POST", "/once/", "r1", "x"))
 		time.Sleep(2*time.Second - idleReserve)
-		rec, _ := b.ask(request("POST", "/once/", "r2", "x"))
+		rec, _ := b.serve(request("POST", "/once/", "r2", "x"))
 		b.close()
 		if rec.Body.String() != "two" || b.dials["s1"] != 2 {
 			t.Errorf("%q over %d connections", rec.Body, b.dials["s1"])
@@ -472,7 +472,7 @@
 
 func TestBodiesBeyondTheLimitAreRefused(t *testing.T) {
 	b := newRig(t, allRoutes, nil, "s1")
-	rec, _ := b.ask(request("POST", "/once/", "r", strings.Repeat("x", 1<<20+1)))
+	rec, _ := b.serve(request("POST", "/once/", "r", strings.Repeat("x", 1<<20+1)))
 	if rec.Code != http.StatusRequestEntityTooLarge {
 		t.Errorf("status %d", rec.Code)
 	}
@@ -481,19 +481,19 @@
 // A server is slower than predicted: the first event of a stream comes after
 // 700 ms, within its goal of 800. A switch to another server before would have
 // made it late, since that one starts to read the prompt anew.
-func TestASlowServerIsNotLeftBeforeTheGoal(t *testing.T) {
+func TestASlowServerIsNotReplacedBeforeTheGoal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
 			"s1": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-				take(t, in)
+				readRequest(t, in)
 				time.Sleep(700 * time.Millisecond)
 				_, _ = io.WriteString(c, streamHead+chunk(events(1, 2))+lastChunk)
 				_, _ = in.ReadByte()
 			}},
-			"s2": {silent},
+			"s2": {unresponsive},
 		}, "s1", "s2")
 		began := time.Now()
-		rec, aborted := b.ask(request("POST", "/resumable/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/resumable/", "r", "x"))
 		took := time.Since(began)
 		b.close()
 		if aborted || rec.Body.String() != events(1, 2) || took != 700*time.Millisecond || b.dials["s2"] != 0 {
@@ -504,13 +504,13 @@
 
 // A server takes a stream and never answers. Its caller would give up after 3.2
 // seconds; another server gives the stream before, late but whole.
-func TestADarkServerIsLeftBeforeTheCallerLeaves(t *testing.T) {
+func TestAnUnresponsiveServerIsReplacedBeforeTheCallerGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
-			"s1": {silent}, "s2": {replying(streamHead + chunk(events(1, 2)) + lastChunk)},
+			"s1": {unresponsive}, "s2": {replying(streamHead + chunk(events(1, 2)) + lastChunk)},
 		}, "s1", "s2")
 		began := time.Now()
-		rec, aborted := b.ask(request("POST", "/resumable/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/resumable/", "r", "x"))
 		took := time.Since(began)
 		b.close()
 		if aborted || rec.Body.String() != events(1, 2) || took > 2*time.Second {
@@ -519,10 +519,10 @@
 	})
 }
 
-func TestWhenAllServersAreFullCallersMayComeBack(t *testing.T) {
+func TestWhenAllServersAreFullRequestsAreRetryable(t *testing.T) {
 	b := newRig(t, allRoutes, nil, "s1")
 	b.fleet.full = true
-	rec, _ := b.ask(request("POST", "/stream/", "r", "x"))
+	rec, _ := b.serve(request("POST", "/stream/", "r", "x"))
 	if rec.Code != 503 || rec.Header().Get("Retry-After") == "" || rec.Body.String() != "overloaded\n" {
 		t.Errorf("%d %v %q", rec.Code, rec.Header(), rec.Body)
 	}
@@ -531,7 +531,7 @@
 // A connection to a server is open, and meanwhile others have sent it what it bears
 // after its start. Nothing was written to it, so the request goes to another server, also
 // one that may run only once.
-func TestARequestThatAColdServerMayNotGetGoesToAnother(t *testing.T) {
+func TestARequestRejectedByAColdServersLimitGoesToAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
 			"s1": {func(_ *testing.T, _ net.Conn, in *bufio.Reader) {
@@ -542,7 +542,7 @@
 			"s2": {replying(answer("r", 200, "", "ok"))},
 		}, "s1", "s2")
 		b.fleet.cold = map[string]bool{"s1": true}
-		rec, _ := b.ask(request("POST", "/once/x", "r", "body"))
+		rec, _ := b.serve(request("POST", "/once/x", "r", "body"))
 		b.close()
 		if rec.Code != http.StatusOK || rec.Body.String() != "ok" {
 			t.Errorf("%d %q", rec.Code, rec.Body)
@@ -556,24 +556,24 @@
 // All servers bear only so much, and their turns of this second are taken. A caller whose
 // request finds one a moment later is served without coming back; one that finds none is
 // refused soon, and may come back.
-func TestARequestWaitsALittleForItsTurnAtColdServers(t *testing.T) {
+func TestARequestWaitsBrieflyForARateLimitedServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
-			places int
-			status int
-			most   time.Duration
+			places  int
+			status  int
+			maxWait time.Duration
 		}{
 			{0, 200, 0},
-			{4, 200, 4 * turnPoll},
-			{1000, 503, turnWaitMost + turnPoll},
+			{4, 200, 4 * rateLimitPoll},
+			{1000, 503, maxRateLimitWait + rateLimitPoll},
 		} {
-			waiting := again
-			waiting.Goal = 2 * time.Second
-			b := newRig(t, []routing.Route{waiting}, map[string][]script{"s1": {replying(answer("r", 200, "", "ok"))}}, "s1")
+			route := again
+			route.Goal = 2 * time.Second
+			b := newRig(t, []routing.Route{route}, map[string][]script{"s1": {replying(answer("r", 200, "", "ok"))}}, "s1")
 			b.fleet.coldPlaces = c.places
 			began := time.Now()
-			rec, _ := b.ask(request("GET", "/again/x", "r", ""))
-			if took := time.Since(began); rec.Code != c.status || took > c.most {
+			rec, _ := b.serve(request("GET", "/again/x", "r", ""))
+			if took := time.Since(began); rec.Code != c.status || took > c.maxWait {
 				t.Errorf("cold %d times: %d after %v", c.places, rec.Code, took)
 			}
 			if c.status == 503 && (rec.Header().Get("Retry-After") == "" || len(b.fleet.begun) > 0) {
@@ -586,27 +586,27 @@
 
 // A service is down for all. Callers come back once, so they are told a time in which
 // servers may be up again, which differs between them and lies within what they wait.
-func TestCallersOfAnOutageComeBackLaterAndApart(t *testing.T) {
-	least, most := time.Hour, time.Duration(0)
+func TestRetryAfterInAnOutageIsLongAndSpread(t *testing.T) {
+	shortest, longest := time.Hour, time.Duration(0)
 	for range 200 {
-		after := afterOutage(6 * time.Second)
-		least, most = min(least, after), max(most, after)
+		after := retryAfterOutage(6 * time.Second)
+		shortest, longest = min(shortest, after), max(longest, after)
 	}
-	if least < time.Second || most > 2*time.Second || most-least < 800*time.Millisecond {
-		t.Errorf("from %v to %v", least, most)
+	if shortest < time.Second || longest > 2*time.Second || longest-shortest < 800*time.Millisecond {
+		t.Errorf("from %v to %v", shortest, longest)
 	}
-	if got := afterOutage(600 * time.Millisecond); got != outageLeast {
+	if got := retryAfterOutage(600 * time.Millisecond); got != minOutageRetry {
 		t.Errorf("%v with little time left", got)
 	}
 }
 
 // All servers crash and are back after 1.5 s. Callers with 6 s left that are refused at the
 // crash come back once, and half of them did so before the servers: they got nothing.
-func TestMostCallersOfAnOutageComeBackAfterAShortOne(t *testing.T) {
-	const callers, lasts = 3000, 1500 * time.Millisecond
+func TestMostCallersRetryAfterAShortOutageEnds(t *testing.T) {
+	const callers, outage = 3000, 1500 * time.Millisecond
 	after := 0
 	for range callers {
-		if afterOutage(6*time.Second) > lasts {
+		if retryAfterOutage(6*time.Second) > outage {
 			after++
 		}
 	}
@@ -617,17 +617,17 @@
 
 // A server refuses connections. Where other instances reach some, the caller is told to
 // come back at once; in an outage for all, when servers may be up again.
-func TestCallersComeBackSoonOnlyWhereOthersServe(t *testing.T) {
+func TestRetryAfterIsShortOnlyWhereOtherInstancesServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, down := range []bool{false, true} {
 			b := newRig(t, allRoutes, nil, "s1")
-			b.fleet.down = down
-			rec, _ := b.ask(request("GET", "/stream/x", "r", ""))
+			b.fleet.outage = down
+			rec, _ := b.serve(request("GET", "/stream/x", "r", ""))
 			seconds, err := strconv.ParseFloat(rec.Header().Get("Retry-After"), 64)
 			if err != nil || rec.Code != 503 {
 				t.Fatalf("%d, Retry-After %q", rec.Code, rec.Header().Get("Retry-After"))
 			}
-			if late := seconds >= outageLeast.Seconds(); late != down {
+			if late := seconds >= minOutageRetry.Seconds(); late != down {
 				t.Errorf("down for all: %v, told to come back after %v s", down, seconds)
 			}
 			b.close()
@@ -636,7 +636,7 @@
 }
 
 // A prompt in the queue of an engine at work is given up, and its caller gets 502 for an answer on its way.
-func TestWhatWaitsInAQueueIsNotGivenUp(t *testing.T) {
+func TestAQueuedRequestIsNotAbandoned(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		queued int
@@ -650,14 +650,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				late := func(t *testing.T, conn net.Conn, in *bufio.Reader) {
-					take(t, in)
+					readRequest(t, in)
 					time.Sleep(1200 * time.Millisecond)
 					_, _ = io.WriteString(conn, answer("r", 200, "", "first"))
 					_, _ = in.ReadByte()
 				}
 				b := newRig(t, allRoutes, map[string][]script{"s1": {late}, "s2": {replying(answer("r", 200, "", "second"))}}, "s1", "s2")
-				b.fleet.queued, b.fleet.sooner = c.queued, c.sooner
-				rec, aborted := b.ask(request("POST", "/again/", "r", "x"))
+				b.fleet.queued, b.fleet.otherIsSooner = c.queued, c.sooner
+				rec, aborted := b.serve(request("POST", "/again/", "r", "x"))
 				b.close()
 				if aborted || rec.Code != 200 || rec.Body.String() != c.want {
 					t.Errorf("aborted %v, %d %q", aborted, rec.Code, rec.Body)
--- a/internal/relay/comeback.go
+++ b/internal/relay/retryafter.go
@@ -11,8 +11,8 @@
 const (
 	// retryElsewhere: another instance can serve it now.
 	retryElsewhere = 20 * time.Millisecond
-	// retryUnknown: configuration or its confirmation is on its way.
-	retryUnknown = 300 * time.Millisecond
+	// retryNotReady: configuration or its confirmation is on its way.
+	retryNotReady = 300 * time.Millisecond
 	// retryNoServer: servers that can't be reached are tried again.
 	retryNoServer = 200 * time.Millisecond
 	// retryOverloaded: engines whose slots are all taken have room again when
@@ -23,38 +23,38 @@
 	retryFull = 150 * time.Millisecond
 )
 
-// spread returns a time between half of d and one and a half of it.
-func spread(d time.Duration) time.Duration {
+// jitter returns a time between half of d and one and a half of it.
+func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
 
 const (
-	// outageFrom and outageTo bound the time to come back to a service that no instance
+	// minOutageShare and outageTo bound the time to come back to a service that no instance
 	// reaches, as shares of the time that the caller has left. Callers come back once, and
 	// no later than after a third of it. Servers that were killed are back after one to
 	// five seconds: of callers told 200 ms in an outage of 1.5 s none was served. One that
 	// is refused now will mostly be late, so a later return costs it little and makes an
 	// answer likelier.
-	outageFrom = 1.0 / 6
-	outageTo   = 1.0 / 3
-	// outageLeast bounds that from below where little time is left.
-	outageLeast = 500 * time.Millisecond
+	minOutageShare = 1.0 / 6
+	maxOutageShare = 1.0 / 3
+	// minOutageRetry bounds that from below where little time is left.
+	minOutageRetry = 500 * time.Millisecond
 )
 
-// afterUnreachable is when the caller should come back after this instance reached no
+// retryAfterUnreachable is when the caller should come back after this instance reached no
 // server: soon where others reach one, since the next instance serves it then.
-func (f *flight) afterUnreachable() time.Duration {
+func (f *forwarder) retryAfterUnreachable() time.Duration {
 	if f.relay.cfg.Fleet.Serving(f.service, monotime.Now()) {
 		return retryNoServer
 	}
-	return afterOutage(f.work.Left)
+	return retryAfterOutage(f.work.Left)
 }
 
-// afterOutage is when a caller with so much time left should come back to a service that
+// retryAfterOutage is when a caller with so much time left should come back to a service that
 // no instance reaches. It is spread, so that those refused at once do not all return at
 // once to servers that have just started, and the later of two draws: most of those that
 // are refused at the start of an outage return in vain if they return early in that span.
-func afterOutage(left time.Duration) time.Duration {
-	share := outageFrom + (outageTo-outageFrom)*max(rand.Float64(), rand.Float64())
-	return max(outageLeast, time.Duration(share*float64(left)))
+func retryAfterOutage(left time.Duration) time.Duration {
+	share := minOutageShare + (maxOutageShare-minOutageShare)*max(rand.Float64(), rand.Float64())
+	return max(minOutageRetry, time.Duration(share*float64(left)))
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// resumeSilence is how long a stream that may go on elsewhere can be silent,
+	// resumeTimeoutGaps is how long a stream that may go on elsewhere can be silent,
 	// as a multiple of its longest pause on time, and at least resumeMin. Callers
 	// give up after eight times that pause, or two seconds.
-	resumeSilence = 4
-	resumeMin     = 700 * time.Millisecond
+	resumeTimeoutGaps = 4
+	minResumeTimeout  = 700 * time.Millisecond
 )
 
 // delivery is what the caller has of a stream.
@@ -26,8 +26,8 @@
 	started bool
 	// lastID is the id of the last event delivered whole.
 	lastID string
-	// rest holds the start of an event whose end has not come.
-	rest []byte
+	// partialEvent holds the start of an event whose end has not come.
+	partialEvent []byte
 	// lastAt is when the last bytes came.
 	lastAt     monotime.Instant
 	longestGap time.Duration
@@ -37,9 +37,9 @@
 
 // relayStream passes events on as they come. Headers go out with the first of
 // them, so that a server which dies before can still be replaced.
-func (f *flight) relayStream(e *exchange, run int) *verdict.Error {
-	f.stream.rest = nil
-	buffer := make([]byte, copyBuffer)
+func (f *forwarder) relayStream(e *exchange, run int) *verdict.Error {
+	f.stream.partialEvent = nil
+	buffer := make([]byte, copyBufferSize)
 	first := true
 	for {
 		if err := f.awaitEvents(e, run); err != nil {
@@ -50,11 +50,11 @@
 		if n > 0 {
 			if first {
 				first = false
-				f.eventsAt = monotime.Now()
+				f.firstEventAt = monotime.Now()
 				f.relay.cfg.Fleet.First(run, monotime.Now())
 			}
 			f.relay.cfg.Fleet.Events(run, bytes.Count(buffer[:n], eventEnd), monotime.Now())
-			if problem := f.pass(e, buffer[:n]); problem != nil {
+			if problem := f.deliver(e, buffer[:n]); problem != nil {
 				e.abandon()
 				return problem
 			}
@@ -71,22 +71,22 @@
 }
 
 // awaitEvents bounds the silence of a stream that can go on elsewhere.
-func (f *flight) awaitEvents(e *exchange, run int) error {
+func (f *forwarder) awaitEvents(e *exchange, run int) error {
 	if !f.route.Resumable || f.sends >= f.route.Attempts {
 		return nil
 	}
-	silence := max(resumeMin, resumeSilence*f.work.MaxGap)
-	if f.eventsAt == 0 && e.resp.ContentLength != 0 {
-		return f.await(e, run, max(silence, f.patience()))
+	timeout := max(minResumeTimeout, resumeTimeoutGaps*f.work.MaxGap)
+	if f.firstEventAt == 0 && e.resp.ContentLength != 0 {
+		return f.awaitBytes(e, run, max(timeout, f.responseTimeout()))
 	}
-	return e.conn.SetReadDeadline(earlier(time.Now().Add(silence), f.deadline))
+	return e.conn.SetReadDeadline(earlier(time.Now().Add(timeout), f.deadline))
 }
 
-// pass delivers bytes of a stream. Of a stream that may go on elsewhere only
+// deliver delivers bytes of a stream. Of a stream that may go on elsewhere only
 // whole events are delivered: a server can die in the middle of one.
-func (f *flight) pass(e *exchange, data []byte) *verdict.Error {
+func (f *forwarder) deliver(e *exchange, data []byte) *verdict.Error {
 	if f.route.Resumable {
-		data = f.wholeEvents(data)
+		data = f.completeEvents(data)
 		if len(data) == 0 {
 			return nil
 		}
@@ -108,25 +108,25 @@
 }
 
 // startStream sends the headers of the first server that gave an event.
-func (f *flight) startStream(e *exchange) {
+func (f *forwarder) startStream(e *exchange) {
 	f.stream.started = true
-	f.begin(e.resp)
+	f.beginAnswer(e.resp)
 	f.w.WriteHeader(e.resp.StatusCode)
 }
 
 // eventEnd separates events of a stream.
 var eventEnd = []byte("\n\n")
 
-// wholeEvents returns what is complete and keeps the rest for later.
-func (f *flight) wholeEvents(data []byte) []byte {
-	all := append(f.stream.rest, data...)
+// completeEvents returns what is complete and keeps the rest for later.
+func (f *forwarder) completeEvents(data []byte) []byte {
+	all := append(f.stream.partialEvent, data...)
 	end := bytes.LastIndex(all, eventEnd)
 	if end < 0 {
-		f.stream.rest = all
+		f.stream.partialEvent = all
 		return nil
 	}
 	end += len(eventEnd)
-	f.stream.rest = append([]byte(nil), all[end:]...)
+	f.stream.partialEvent = append([]byte(nil), all[end:]...)
 	whole := all[:end]
 	start := bytes.LastIndex(whole[:end-len(eventEnd)], eventEnd)
 	if start < 0 {
@@ -139,14 +139,14 @@
 }
 
 // endStream ends the caller's stream as the server ended its own.
-func (f *flight) endStream(e *exchange) *verdict.Error {
-	f.ran()
+func (f *forwarder) endStream(e *exchange) *verdict.Error {
+	f.reportSurvived()
 	f.observe(placement.Served)
 	if !f.stream.started {
 		f.startStream(e)
 	}
-	if len(f.stream.rest) > 0 {
-		if _, err := f.w.Write(f.stream.rest); err != nil {
+	if len(f.stream.partialEvent) > 0 {
+		if _, err := f.w.Write(f.stream.partialEvent); err != nil {
 			e.abandon()
 			return f.callerGone(err)
 		}
--- a/internal/relaylog/relaylog.go
+++ b/internal/relaylog/relaylog.go
@@ -23,8 +23,8 @@
 const (
 	// maxLine bounds a line in bytes; a longer one is skipped.
 	maxLine = 1 << 20
-	// peerNews is how long before a request what happened to a peer is told.
-	peerNews = 5 * time.Second
+	// peerWindow is how long before a request what happened to a peer is told.
+	peerWindow = 5 * time.Second
 )
 
 // Line is one line of a log.
@@ -41,27 +41,27 @@
 	text string
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
+// Explanation is what the logs tell of one request.
+type Explanation struct {
 	// Request holds the lines of the request, oldest first.
 	Request []Line
-	// Beliefs are the newest lines, before the request arrived, on what decided
+	// State are the newest lines, before the request arrived, on what decided
 	// it: configuration, the servers tried, store, peers, drain.
-	Beliefs []Line
+	State []Line
 }
 
 // Explain reads the story of a request from files of log lines.
-func Explain(id string, files []string) (*Story, error) {
+func Explain(id string, files []string) (*Explanation, error) {
 	var lines []Line
 	for _, name := range files {
-		read, err := readFile(name)
+		fileLines, err := readFile(name)
 		if err != nil {
 			return nil, errors.Wrap(err, name)
 		}
-		lines = append(lines, read...)
+		lines = append(lines, fileLines...)
 	}
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	return tell(id, lines)
+	return explainLines(id, lines)
 }
 
 func readFile(name string) ([]Line, error) {
@@ -95,15 +95,15 @@
 	return out, scanner.Err()
 }
 
-func tell(id string, lines []Line) (*Story, error) {
-	story := &Story{}
+func explainLines(id string, lines []Line) (*Explanation, error) {
+	out := &Explanation{}
 	instances, servers := map[string]bool{}, map[string]bool{}
 	var arrived time.Time
 	for _, line := range lines {
 		if line.ID != id {
 			continue
 		}
-		story.Request = append(story.Request, line)
+		out.Request = append(out.Request, line)
 		instances[line.Instance] = true
 		servers[line.Server] = true
 		began := line.At.Add(-time.Duration(line.TookMS * float64(time.Millisecond)))
@@ -111,7 +111,7 @@
 			arrived = began
 		}
 	}
-	if len(story.Request) == 0 {
+	if len(out.Request) == 0 {
 		return nil, errors.Wrap(ErrUnknownRequest, id)
 	}
 	newest := map[string]Line{}
@@ -124,12 +124,12 @@
 		}
 	}
 	for _, line := range newest {
-		story.Beliefs = append(story.Beliefs, line)
+		out.State = append(out.State, line)
 	}
-	slices.SortFunc(story.Beliefs, func(a, b Line) int {
+	slices.SortFunc(out.State, func(a, b Line) int {
 		return cmp.Or(a.At.Compare(b.At), strings.Compare(a.text, b.text))
 	})
-	return story, nil
+	return out, nil
 }
 
 // subjectOf names what a line is about, if that could have decided a request:
@@ -143,18 +143,18 @@
 	case "server_changed", "server_reachability":
 		return line.Message + line.Server, servers[line.Server]
 	case "peer_linked", "peer_lost", "peer_leaving":
-		return "peer" + line.Peer, arrived.Sub(line.At) <= peerNews
+		return "peer" + line.Peer, arrived.Sub(line.At) <= peerWindow
 	default:
 		return "", false
 	}
 }
 
 // WriteText writes the story for a person.
-func (s *Story) WriteText(out io.Writer) error {
+func (s *Explanation) WriteText(out io.Writer) error {
 	if _, err := fmt.Fprintln(out, "what the instance believed:"); err != nil {
 		return err
 	}
-	if err := writeLines(out, s.Beliefs); err != nil {
+	if err := writeLines(out, s.State); err != nil {
 		return err
 	}
 	if _, err := fmt.Fprintln(out, "what happened to the request:"); err != nil {
--- a/internal/relaylog/relaylog_test.go
+++ b/internal/relaylog/relaylog_test.go
@@ -32,23 +32,23 @@
 	return out
 }
 
-func TestTheStoryHoldsTheRequestAndWhatWasBelievedBefore(t *testing.T) {
+func TestTheExplanationHoldsTheRequestAndTheStateBefore(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "log")
 	if err := os.WriteFile(file, []byte(logText), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	story, err := Explain("r1", []string{file})
+	explanation, err := Explain("r1", []string{file})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]string{"send_failed s1", "request_ended s2"}, messages(story.Request)); diff != "" {
+	if diff := cmp.Diff([]string{"send_failed s1", "request_ended s2"}, messages(explanation.Request)); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"config_in_force ", "server_changed s1", "store_lost "}, messages(story.Beliefs)); diff != "" {
+	if diff := cmp.Diff([]string{"config_in_force ", "server_changed s1", "store_lost "}, messages(explanation.State)); diff != "" {
 		t.Error(diff)
 	}
 	var text strings.Builder
-	if err := story.WriteText(&text); err != nil || !strings.Contains(text.String(), `"version":2`) || strings.Contains(text.String(), `"version":3`) {
+	if err := explanation.WriteText(&text); err != nil || !strings.Contains(text.String(), `"version":2`) || strings.Contains(text.String(), `"version":3`) {
 		t.Errorf("%v in\n%s", err, text.String())
 	}
 	if _, err := Explain("r7", []string{file}); !errors.Is(err, ErrUnknownRequest) {
