--- a/internal/hints/hints.go
+++ b/internal/hints/hints.go
@@ -1,7 +1,7 @@
-// Package hints decides when an instance asks the engines of its groups for
-// load reports and cache events. Both are hints: they come late and with gaps,
-// so a lost one costs nothing and asking seldom is enough. It does no I/O and
-// reads no clock.
+// Package hints schedules how often an instance polls the engines of its groups for load
+// reports and cache events. Both are hints that arrive late and with gaps: a lost one
+// costs nothing, so infrequent polling suffices. The package does no I/O and reads no
+// clock.
 package hints
 
 import (
@@ -11,17 +11,18 @@
 	"basilrudder/internal/monotime"
 )
 
-// Intervals between two questions to one engine. With the seven engines that
-// fall to an instance at the target's size, both together take less than a third
-// of the 6 KB/s an instance may spend on control.
+// Intervals between two polls of one engine. With the seven engines per instance at the
+// target size, both polls together use less than a third of the 6 KB/s that an instance
+// may spend on control traffic; shorter intervals use more of it.
 const (
 	LoadEvery  = 5 * time.Second
 	CacheEvery = 2 * time.Second
-	// maxBackoff bounds the wait after failures, which doubles.
+	// maxBackoff bounds the interval after failures, which doubles with each one. A
+	// longer bound delays the reports of an engine that has recovered.
 	maxBackoff = time.Minute
 )
 
-// Schedule says which engines to ask now. It is not safe for concurrent use.
+// Schedule determines which engines to poll. It is not safe for concurrent use.
 type Schedule struct {
 	every   time.Duration
 	rng     *rand.Rand
@@ -34,7 +35,7 @@
 	failures int
 }
 
-// NewSchedule returns a schedule that asks each engine about once in every.
+// NewSchedule returns a schedule that polls each engine about once per interval every.
 func NewSchedule(every time.Duration, seed uint64) *Schedule {
 	return &Schedule{
 		every:   every,
@@ -43,10 +44,10 @@
 	}
 }
 
-// Due appends those of the engines that are to be asked now; Done must follow
-// for each. An engine that is not in ids any more is forgotten. At most atOnce
-// engines are asked at a time, so that a switch full of silent servers does not
-// take all connections of the instance.
+// Due appends to out the engines of ids to poll now; each must be followed by Done.
+// Engines missing from ids are removed. At most maxInFlight polls are open at a time:
+// otherwise unresponsive servers behind one failed switch would occupy all connections of
+// the instance.
 func (s *Schedule) Due(now monotime.Instant, ids []string, maxInFlight int, out []string) []string {
 	s.setEngines(now, ids)
 	inFlight := 0
@@ -67,9 +68,9 @@
 	return out
 }
 
-// setEngines adds new engines at a random point of their interval, so that an
-// instance that took over many groups does not ask all engines at once, and
-// drops the others.
+// setEngines adds new engines at a random point of their interval and removes those
+// missing from ids. Without the random start, an instance that takes over many groups
+// would poll all their engines at once.
 func (s *Schedule) setEngines(now monotime.Instant, ids []string) {
 	for _, id := range ids {
 		t := s.engines[id]
@@ -92,7 +93,8 @@
 	}
 }
 
-// Done tells how asking an engine ended.
+// Done records the result of polling an engine. An engine that was removed meanwhile is
+// ignored.
 func (s *Schedule) Done(now monotime.Instant, id string, ok bool) {
 	t := s.engines[id]
 	if t == nil {
@@ -107,8 +109,8 @@
 	t.next = now.Add(s.jitter(min(s.every<<min(t.failures, 8), max(s.every, maxBackoff))))
 }
 
-// jitter spreads a wait over a quarter of it in both directions: instances
-// that started together would otherwise ask together for ever.
+// jitter varies a wait by up to a quarter in both directions. Without it, instances that
+// started together would poll at the same times forever.
 func (s *Schedule) jitter(wait time.Duration) time.Duration {
 	const fraction = 4
 	return wait - wait/fraction + time.Duration(s.rng.Int64N(int64(2*wait/fraction)))
--- a/internal/hints/hints_test.go
+++ b/internal/hints/hints_test.go
@@ -33,17 +33,17 @@
 	}
 	for _, id := range ids {
 		if asked[id] < 110 || asked[id] > 130 {
-			t.Errorf("%s was asked %d times in 120 intervals", id, asked[id])
+			t.Errorf("%s was polled %d times in 120 intervals", id, asked[id])
 		}
 	}
 	if maxDue > 5 {
-		t.Errorf("%d engines were asked in one tick", maxDue)
+		t.Errorf("%d engines were polled in one tick", maxDue)
 	}
 }
 
-// What operators see: calls to the other servers go on. The servers behind one
-// switch fall silent, so each question to them hangs until its timeout; they
-// must not take all the connections, nor be asked as often as the others.
+// The servers behind one switch stop responding, so each poll of them hangs until its
+// timeout. They must not occupy all connections of the instance, nor be polled as often
+// as the others.
 func TestUnresponsiveEnginesAreAskedSeldomAndFewAtOnce(t *testing.T) {
 	s := NewSchedule(CacheEvery, 1)
 	ids := engineIDs(30)
@@ -67,7 +67,7 @@
 		t.Errorf("%d calls at once, want at most %d", maxInFlight, limit)
 	}
 	if perEngine := asked / len(ids); perEngine > 20 {
-		t.Errorf("a silent engine was asked %d times in ten minutes", perEngine)
+		t.Errorf("an unresponsive engine was polled %d times in ten minutes", perEngine)
 	}
 }
 
@@ -78,13 +78,13 @@
 	late := monotime.Instant(time.Minute)
 	asked = append(asked, s.Due(late, ids, 10, nil)...)
 	if len(asked) != 3 {
-		t.Fatalf("asked %v", asked)
+		t.Fatalf("polled %v", asked)
 	}
 	if due := s.Due(late, ids[:1], 10, nil); len(due) != 0 {
-		t.Errorf("asked again: %v", due)
+		t.Errorf("polled again: %v", due)
 	}
 	s.Done(late, ids[2], true)
 	if len(s.engines) != 1 {
-		t.Errorf("%d engines are remembered, want 1", len(s.engines))
+		t.Errorf("%d engines are scheduled, want 1", len(s.engines))
 	}
 }
--- a/internal/relay/await.go
+++ b/internal/relay/await.go
@@ -11,18 +11,22 @@
 	"basilrudder/internal/placement"
 )
 
-// queuePoll is the time between looks at a request that waits in a server's queue.
+// queuePoll is the interval between checks of a request that waits in a server's queue. A
+// longer one delays the move to another server.
 const queuePoll = 100 * time.Millisecond
 
-// Callers of streams leave after a time without an event, also before the first one: the
-// longest of these.
+// Callers of streams give up after the maximum of these times without an event, also
+// before the first one: a fixed time, multiples of the route's goal, and multiples of its
+// MaxGap. They follow the callers' behaviour; larger values would send requests whose
+// callers will have left, smaller ones refuse requests whose callers still wait.
 const (
 	callerTimeout      = 2 * time.Second
 	callerTimeoutGoals = 4
 	callerTimeoutGaps  = 8
 )
 
-// timeToFirstEvent is the time until the caller leaves if no event comes; 0 for no bound.
+// timeToFirstEvent returns the time until the caller gives up if no event arrives; 0 for
+// no bound.
 func (f *forwarder) timeToFirstEvent() time.Duration {
 	if !f.route.Streaming || f.stream.begun() {
 		return 0
@@ -31,16 +35,16 @@
 	return max(1, timeout-monotime.Now().Sub(f.arrived))
 }
 
-// updateTimeLeft notes how much time is left for the request.
+// updateTimeLeft updates the time that is left for the request.
 func (f *forwarder) updateTimeLeft() {
 	f.work.Left = time.Until(f.deadline)
 	f.work.FirstLeft = f.timeToFirstEvent()
 }
 
-// awaitBytes waits for the next bytes of an answer, and no longer than silence unless the
-// request waits in the queue of a server that works. A request that is taken back from a
-// queue loses its place, and the server what it has read of it; elsewhere it would be the
-// last again.
+// awaitBytes waits up to timeout for the next bytes of an answer, and longer only while
+// the request waits in the queue of a working server. Withdrawing a request from a queue
+// loses its position and what the server has read of it, and it would be last in the
+// queue of another server.
 func (f *forwarder) awaitBytes(e *exchange, run int, timeout time.Duration) error {
 	if timeout == 0 {
 		return nil
@@ -51,7 +55,8 @@
 		}
 		_, err := e.conn.reader.Peek(1)
 		if err == nil || !netconn.IsTimeout(err) || f.expired() {
-			// A connection that is closed by now fails the next read beyond what came.
+			// Setting the deadline of a closed connection fails; the next read beyond the
+			// buffered bytes reports that error.
 			_ = e.conn.SetReadDeadline(f.deadline)
 			return nil
 		}
@@ -65,11 +70,11 @@
 	}
 }
 
-// errMoved ends an exchange whose request goes to a server that begins it sooner.
-var errMoved = errors.New("another server begins it sooner")
+// errMoved ends an exchange whose request moves to a server that starts it sooner.
+var errMoved = errors.New("another server can start the request sooner")
 
-// mayMove reports whether a request that waits in a server's queue would begin much sooner
-// at another one, and takes the send there from the budget.
+// mayMove reports whether a request that waits in a server's queue would start much
+// sooner on another server. If so, it takes the next send from the retry budget.
 func (f *forwarder) mayMove(e *exchange) bool {
 	now := monotime.Now()
 	f.updateTimeLeft()
@@ -89,8 +94,8 @@
 	return true
 }
 
-// stillQueued reports whether a request that its server has not answered waits in its queue, and
-// logs why it is given up where it does not.
+// stillQueued reports whether an unanswered request waits in its server's queue. If not,
+// it logs why the server is given up.
 func (f *forwarder) stillQueued(e *exchange, run int) bool {
 	now := monotime.Now()
 	state := f.relay.cfg.Fleet.QueueState(run, now)
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -11,8 +11,8 @@
 	"basilrudder/internal/routing"
 )
 
-// benchRelay starts a Relay before one server on loopback and returns a
-// connection to it. serve handles each connection to the server.
+// benchRelay starts a Relay in front of one server on loopback and returns a connection
+// to it. serve handles each connection to the server.
 func benchRelay(b *testing.B, serve func(c net.Conn, in *bufio.Reader)) net.Conn {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,8 +44,8 @@
 	return c
 }
 
-// BenchmarkRelayedRequest is one request and its whole answer over kept
-// connections, with the caller's and the server's work.
+// BenchmarkRelayedRequest relays one request and its complete answer over reused
+// connections, including the caller's and the server's work.
 func BenchmarkRelayedRequest(b *testing.B) {
 	reply := []byte(answer("r", 200, "", "ok"))
 	c := benchRelay(b, func(c net.Conn, in *bufio.Reader) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// BenchmarkRelayedEvent is one event of a stream from the server to the caller,
-// each in a chunk of its own: the next one is sent when the last was read.
+// BenchmarkRelayedEvent relays one event of a stream from the server to the caller, each
+// in its own chunk. The next event is sent once the last one was read.
 func BenchmarkRelayedEvent(b *testing.B) {
 	next := make(chan struct{})
 	event := []byte(chunk(events(1, 1)))
--- a/internal/relay/crash.go
+++ b/internal/relay/crash.go
@@ -19,21 +19,24 @@
 )
 
 const (
-	// crashWindow is how long after the first bytes of its answer the end of a server is put
-	// down to a request. What runs longer did not crash it by being begun.
+	// crashWindow is how long after the first bytes of an answer the end of a server is
+	// attributed to its request. A request that has run longer did not cause the crash by
+	// being started.
 	crashWindow = 500 * time.Millisecond
-	// probeTTL is how long it is remembered whether a server has ended.
+	// probeTTL is how long the result of a probe is reused. Within it, all answers that
+	// one crash broke off share a single probe.
 	probeTTL = 2 * time.Second
 )
 
-// fingerprint stands for method, path, caller and body. It is worked out once.
+// fingerprint returns a hash of method, host, path with query, caller and body. It is
+// computed once.
 func (f *forwarder) fingerprint() crashes.Fingerprint {
 	if f.cachedFingerprint != nil {
 		return *f.cachedFingerprint
 	}
 	hash := sha256.New()
 	for _, text := range []string{f.hr.Method, f.hr.Host, originForm(f.hr), f.caller()} {
-		// A hash takes every write.
+		// Writes to a hash never fail.
 		_, _ = io.WriteString(hash, text)
 		_, _ = hash.Write([]byte{0})
 	}
@@ -43,7 +46,7 @@
 	return *f.cachedFingerprint
 }
 
-// caller is the customer's name, or the key where there are no customers.
+// caller returns the customer's name, or the key where no customer is identified.
 func (f *forwarder) caller() string {
 	if f.customer != nil {
 		return f.customer.Name
@@ -51,13 +54,14 @@
 	return f.request.Key
 }
 
-// isPoison reports whether the request is known to crash servers.
+// isPoison reports whether the request is confirmed to crash servers.
 func (f *forwarder) isPoison() bool {
 	fleet := f.relay.cfg.Fleet
 	return fleet.AnySuspected() && fleet.IsPoison(f.fingerprint(), monotime.Now())
 }
 
-// reportSurvived notes that the server went on after it had begun to run the request.
+// reportSurvived reports that the server kept running after it had begun to run the
+// request.
 func (f *forwarder) reportSurvived() {
 	fleet := f.relay.cfg.Fleet
 	if fleet.AnySuspected() {
@@ -65,7 +69,7 @@
 	}
 }
 
-// callerName names the caller to peers and in logs, where a key must not stand.
+// callerName returns the caller's name for peers and logs. It never contains a key.
 func (f *forwarder) callerName() string {
 	if f.customer != nil || f.request.Key == "" {
 		return f.caller()
@@ -74,8 +78,8 @@
 	return "key " + hex.EncodeToString(digest[:4])
 }
 
-// reportIfCrashed looks whether the server has ended that broke off an answer, and tells so
-// when it had just begun to run the request.
+// reportIfCrashed checks whether a server that broke off an answer has ended, and reports
+// a crash if it had just begun to run the request.
 func (f *forwarder) reportIfCrashed(problem *verdict.Error) {
 	now := monotime.Now()
 	if problem.Reason != verdict.ReasonUpstreamLost || problem.Verdict == verdict.NotRun || f.ctx.Err() != nil {
@@ -96,14 +100,14 @@
 
 var errPoison = errors.New("servers crash when they run this request; it was not sent to another one")
 
-// refusePoison ends a request that crashes servers. Callers send no request again after
-// this status.
+// refusePoison ends a request that crashes servers. Callers do not retry after this
+// status.
 func (f *forwarder) refusePoison() {
 	f.refuse(fail(http.StatusBadRequest, verdict.ReasonCrashesServers, errPoison))
 }
 
-// probes finds out whether servers that broke off answers have ended. Of a server that
-// ended, all answers break off at once, so what one look found holds for the others.
+// probes determines whether servers that broke off answers have ended. The end of a
+// server breaks off all its answers at once, so one probe serves all of them.
 type probes struct {
 	mu     sync.Mutex
 	recent map[string]*probe
@@ -115,8 +119,8 @@
 	ended bool
 }
 
-// ended reports whether a server refuses connections, as one does that has just ended; one
-// that only lost its connections takes new ones.
+// ended reports whether a server refuses connections, as one that has just ended does. A
+// server that only lost its connections accepts new ones.
 func (p *probes) ended(ctx context.Context, target Target, dial dialFunc) bool {
 	now := monotime.Now()
 	p.mu.Lock()
@@ -153,7 +157,8 @@
 	return current.ended
 }
 
-// forget has the next look at a server be a new one: it may end later.
+// forget removes the probe of a server that is alive: the server may end later, so the
+// next check needs a new probe.
 func (p *probes) forget(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/relay/crash_test.go
+++ b/internal/relay/crash_test.go
@@ -13,7 +13,8 @@
 	"basilrudder/internal/crashes"
 )
 
-// startThenClose takes a request, answers the start of a stream after a while, and breaks off.
+// startThenClose reads a request, optionally sends the head and first event of a stream,
+// and closes the connection after a while.
 func startThenClose(head bool, after time.Duration) script {
 	return func(t *testing.T, c net.Conn, in *bufio.Reader) {
 		req, _ := readRequest(t, in)
@@ -24,7 +25,8 @@
 	}
 }
 
-// Guards against a server's end put down to the wrong request, and a lost connection taken for one.
+// Guards against attributing the end of a server to the wrong request, and against taking
+// a lost connection for a crash.
 func TestACrashIsAttributedToTheRequestJustStarted(t *testing.T) {
 	alive := replying()
 	for _, c := range []struct {
@@ -45,7 +47,7 @@
 				b.serve(request("POST", c.path, "r", "body"))
 				b.close()
 				if len(b.fleet.crashed) != c.crashed || len(b.fleet.survived) != c.survived {
-					t.Errorf("%d crashes, %d runs without; %d and %d wanted", len(b.fleet.crashed), len(b.fleet.survived), c.crashed, c.survived)
+					t.Errorf("%d crashes and %d runs without, want %d and %d", len(b.fleet.crashed), len(b.fleet.survived), c.crashed, c.survived)
 				}
 				for _, crash := range b.fleet.crashed {
 					if crash.Server != "s1" || crash.Customer != "acme" {
@@ -57,7 +59,8 @@
 	}
 }
 
-// Guards against a request that crashes servers and is sent on, or is told to come back.
+// Guards against sending a poison request to another server, and against a Retry-After in
+// its refusal.
 func TestAPoisonRequestGetsAFinalAnswerAtOnce(t *testing.T) {
 	for _, path := range []string{"/once/x", "/again/x", "/stream/x", "/resumable/x"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -76,7 +79,8 @@
 	}
 }
 
-// Guards against a repeat taken for another request, and another request taken for a repeat.
+// Guards against a retry with another fingerprint, and against different requests with
+// the same one.
 func TestTheFingerprintCoversMethodPathCallerAndBody(t *testing.T) {
 	fingerprint := func(method, path, id, key, body string) crashes.Fingerprint {
 		b := newRig(t, allRoutes, nil)
@@ -87,7 +91,7 @@
 	}
 	one := fingerprint("POST", "/once/x?q=1", "r1", "key", "body")
 	if again := fingerprint("POST", "/once/x?q=1", "r2", "key", "body"); again != one {
-		t.Error("the same request under another id is another one")
+		t.Error("the fingerprint depends on the request id")
 	}
 	for name, other := range map[string]crashes.Fingerprint{
 		"method": fingerprint("PUT", "/once/x?q=1", "r1", "key", "body"),
@@ -97,12 +101,13 @@
 		"body":   fingerprint("POST", "/once/x?q=1", "r1", "key", "body2"),
 	} {
 		if other == one {
-			t.Errorf("another %s makes no other request", name)
+			t.Errorf("another %s gives the same fingerprint", name)
 		}
 	}
 }
 
-// Guards against a request sent although it was found out while it waited for a server.
+// Guards against sending a request that is identified as a poison request while it waits
+// for a server.
 func TestAPoisonRequestIdentifiedWhileItWaitsIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying()}}, "s1")
@@ -115,12 +120,12 @@
 	})
 }
 
-// Guards against a caller's key that is told to peers or stands in a log.
+// Guards against disclosing a caller's key to peers or in logs.
 func TestAKeyWithoutACustomerIsNotDisclosed(t *testing.T) {
 	name := func(key string) string {
 		return (&forwarder{request: Request{Key: key}}).callerName()
 	}
 	if got := name("secret"); strings.Contains(got, "secret") || got == name("another") || name("") != "" {
-		t.Errorf("callers are named %q, %q and %q", got, name("another"), name(""))
+		t.Errorf("caller names are %q, %q and %q", got, name("another"), name(""))
 	}
 }
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	// maxBufferedAnswer is the size up to which an answer is read to its end before
-	// the caller gets any of it, so that one that is cut off can still be
-	// replaced. Longer ones are passed on as they come.
+	// maxBufferedAnswer is the size up to which an answer is read completely before the
+	// caller gets any of it, so that a truncated one can still be replaced. Longer
+	// answers are passed on as they arrive.
 	maxBufferedAnswer = 256 << 10
-	// copyBufferSize is the size of one read of a long answer or stream.
+	// copyBufferSize is the size of one read of a long answer or a stream.
 	copyBufferSize = 16 << 10
-	// callerReadGrace is how long beyond the deadline a caller may take to read.
+	// callerReadGrace is how long beyond the deadline a caller may take to read the
+	// answer. It bounds how long a stalled caller can hold its request.
 	callerReadGrace = time.Second
-	// responseTimeoutFactor times the predicted first event is how long a stream that may
-	// run again waits for it before another server is tried, and at least
-	// silenceGoals times its goal. Before the goal a second server can only be
-	// later than a first one that is slow: it has to read the prompt too. Beyond
-	// it the stream is late, and only a server that will never answer is worth
-	// leaving; callers give up after four times the goal.
+	// responseTimeoutFactor times the predicted time of the first event is how long a
+	// stream that may be sent again waits for it before another server is tried, and at
+	// least responseTimeoutGoals times its goal. Before the goal, a second server can
+	// only be later than a slow first one, because it has to read the prompt too. After
+	// it the stream is late, and only a server that will never answer is worth giving up.
+	// Callers give up after four times the goal.
 	responseTimeoutFactor = 3
 	responseTimeoutGoals  = 1.75
-	// plainResponseTimeout is that wait for requests that are no prompts: five times
-	// the goal of the strictest class, 100 ms.
+	// plainResponseTimeout is that wait for requests that are not prompts: five times the
+	// goal of the strictest class, 100 ms.
 	plainResponseTimeout = 500 * time.Millisecond
 )
 
-// receive reads the answer of one send and passes it on. An error means that
-// the caller has no final answer yet.
+// receive reads the answer to one send and passes it on. After an error the caller has no
+// final answer yet.
 func (f *forwarder) receive(e *exchange, run int) *verdict.Error {
 	fleet := f.relay.cfg.Fleet
 	err := f.awaitBytes(e, run, f.responseTimeout())
@@ -74,8 +75,9 @@
 	return f.relayWhole(e)
 }
 
-// applyNotice tells what the server said of itself, also in an answer that no caller gets. One
-// that was sent to the wrong address tells of another server.
+// applyNotice applies what the server reported about itself, also in an answer that is
+// not passed on. An answer to a request sent to the wrong address comes from another
+// server and is ignored.
 func (f *forwarder) applyNotice(e *exchange) {
 	if e.resp == nil || e.resp.StatusCode == http.StatusMisdirectedRequest {
 		return
@@ -87,7 +89,8 @@
 	f.relay.cfg.Fleet.ApplyNotice(f.target.ID, notice, e.sentAt, monotime.Now())
 }
 
-// handleRefusal handles a server's promise that it did not run the request.
+// handleRefusal handles an answer that guarantees that the server did not run the
+// request.
 func (f *forwarder) handleRefusal(e *exchange) *verdict.Error {
 	status := e.resp.StatusCode
 	after := parseRetryAfter(e.resp.Header)
@@ -97,7 +100,7 @@
 		e.finish()
 	}
 	if status == http.StatusMisdirectedRequest {
-		// The address belongs to another incarnation now.
+		// The address now belongs to another incarnation.
 		f.observe(placement.Unreachable)
 	} else {
 		f.observe(placement.Refused)
@@ -106,8 +109,8 @@
 	return problem.After(max(after, retryFull))
 }
 
-// responseTimeout is how long to wait for the start of an answer before another
-// server is tried; 0 to wait until the deadline because no other may be.
+// responseTimeout returns how long to wait for the start of an answer before another
+// server is tried; 0 means until the deadline, because no other server may be tried.
 func (f *forwarder) responseTimeout() time.Duration {
 	if !f.route.MayRepeat() || f.sends >= f.route.Attempts {
 		return 0
@@ -119,7 +122,7 @@
 	return max(goals, responseTimeoutFactor*f.target.Choice.First)
 }
 
-// relayWhole passes on an answer that is no stream.
+// relayWhole passes on an answer that is not a stream.
 func (f *forwarder) relayWhole(e *exchange) *verdict.Error {
 	body, err := io.ReadAll(io.LimitReader(e.resp.Body, maxBufferedAnswer))
 	if err != nil {
@@ -150,7 +153,7 @@
 	return f.relayRest(e)
 }
 
-// relayRest passes on the rest of a long answer as it comes.
+// relayRest passes on the rest of a long answer as it arrives.
 func (f *forwarder) relayRest(e *exchange) *verdict.Error {
 	f.stream.started = true
 	if _, err := io.CopyBuffer(f.w, e.resp.Body, make([]byte, copyBufferSize)); err != nil {
@@ -161,18 +164,18 @@
 	return nil
 }
 
-// beginAnswer sets the status and headers of the final answer.
+// beginAnswer sets the headers of the final answer and records its status.
 func (f *forwarder) beginAnswer(resp *http.Response) {
 	copyAnswer(f.w.Header(), resp.Header)
 	f.closeDuringDrain()
 	f.status = resp.StatusCode
 	f.firstByte = monotime.Now()
 	f.worst = verdict.Ran
-	// A writer without deadlines can only be a test's.
+	// Only the response writers of tests have no deadlines.
 	_ = http.NewResponseController(f.w).SetWriteDeadline(f.deadline.Add(callerReadGrace))
 }
 
-// callerGone ends a request whose caller takes no more bytes.
+// callerGone returns the error of a request whose caller accepts no more bytes.
 func (f *forwarder) callerGone(err error) *verdict.Error {
 	f.stream.started = true
 	return verdict.Wrap(verdict.Ran, verdict.ReasonCallerGone, err)
@@ -180,7 +183,7 @@
 
 func (f *forwarder) observe(outcome placement.Outcome) {
 	if f.hr.Context().Err() != nil {
-		return // a caller that left says nothing about the server
+		return // the caller left; this is no failure of the server
 	}
 	f.relay.cfg.Fleet.Observe(f.target.ID, outcome, monotime.Now())
 }
@@ -200,10 +203,12 @@
 	return status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// maxRetryAfterSeconds bounds a time to come back that is believed, in seconds.
+// maxRetryAfterSeconds bounds the Retry-After times of servers. Without the bound, one
+// faulty header could keep a server paused indefinitely.
 const maxRetryAfterSeconds = 3600
 
-// parseRetryAfter reads a Retry-After header in seconds; 0 when there is none that can be read.
+// parseRetryAfter parses a Retry-After header in seconds; 0 when it is missing, invalid
+// or not positive.
 func parseRetryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err != nil || !(seconds > 0) {
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -16,41 +16,42 @@
 )
 
 const (
-	// maxInlineBody is the size up to which a request is written in one piece
-	// before its answer is read. Longer ones are written beside the reading,
-	// because a server may answer early and read the rest later.
+	// maxInlineBody is the size up to which a request is written in one piece before its
+	// answer is read. Longer bodies are written concurrently with the reading, because a
+	// server may answer early and read the rest later.
 	maxInlineBody = 32 << 10
-	// maxStrayAnswers is how many answers to other requests are skipped on one
-	// connection before it is given up.
+	// maxStrayAnswers is how many answers are read on one connection in search of the
+	// right one, before the connection is given up. Without a bound, a server that keeps
+	// sending answers could hold a request until its deadline.
 	maxStrayAnswers = 3
 	// bodyWriteTimeout is how long the rest of a long request may take once its answer
-	// was read to the end.
+	// was read completely. It bounds the wait for a server that stops reading.
 	bodyWriteTimeout = 500 * time.Millisecond
 )
 
 // Errors of an exchange.
 var (
-	errStray        = errors.New("answers on the connection belong to other requests")
-	errUnsigned     = errors.New("answer is not the server's")
-	errAmbiguous    = errors.New("server refused without saying that the request was not run")
-	errUnresponsive = errors.New("server was silent")
-	errTruncated    = errors.New("answer ended before its end")
+	errStray        = errors.New("connection carries answers to other requests")
+	errUnsigned     = errors.New("answer is unsigned, content-encoded or without a request id")
+	errAmbiguous    = errors.New("server refused without a guarantee that the request was not run")
+	errUnresponsive = errors.New("no bytes received from the server within the timeout")
+	errTruncated    = errors.New("answer was truncated")
 )
 
-// exchange is one request on one connection.
+// exchange is one request and its answer on one connection.
 type exchange struct {
 	conn    *conn
 	pool    *pool
-	stop    func() bool // ends the watch over the caller's context
-	written chan error  // result of writing a long request, nil for a short one
+	stop    func() bool // stops closing conn when the context ends
+	written chan error  // result of writing a long request; nil for a short one
 	sentAt  monotime.Instant
 	answer  Answer
 	resp    *http.Response
 	done    bool
 }
 
-// send writes a request and returns the exchange. A failure tells by its
-// verdict whether the request may have run: without its whole header it can't.
+// send writes a request and returns the exchange. The verdict of an error says whether
+// the request may have run: it can't have without its complete header.
 func send(ctx context.Context, p *pool, c *conn, head, body []byte, deadline time.Time) (*exchange, *verdict.Error) {
 	e := &exchange{conn: c, pool: p, sentAt: monotime.Now()}
 	e.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
@@ -87,18 +88,18 @@
 	if hasBody {
 		out.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n")
 	}
-	// A bytes.Buffer takes every write.
+	// Writes to a bytes.Buffer never fail.
 	_ = h.Write(&out)
 	out.WriteString("\r\n")
 	return out.Bytes()
 }
 
-// readHead reads the header of the answer to request id. silence bounds the
-// wait for it; 0 leaves it to the connection's deadline.
+// readHead reads the header of the answer to request id. timeout bounds the wait for it;
+// 0 leaves it to the connection's deadline.
 //
-// A server may send a second answer to an earlier request late, just where the
-// next answer is due. The id in each answer tells them apart: those of others
-// are read and dropped.
+// A server may send a late second answer to an earlier request just before the next
+// answer. The id in each answer tells them apart; answers with other ids are read and
+// dropped.
 func (e *exchange) readHead(method, id string, protocol Protocol, timeout time.Duration, deadline time.Time) error {
 	if timeout > 0 {
 		if err := e.conn.SetReadDeadline(earlier(time.Now().Add(timeout), deadline)); err != nil {
@@ -133,7 +134,7 @@
 	return errStray
 }
 
-// checkAnswer refuses answers that must not reach a caller.
+// checkAnswer returns an error for answers that must not reach a caller.
 func checkAnswer(resp *http.Response, answer Answer) error {
 	switch {
 	case answer.NotRun:
@@ -149,7 +150,7 @@
 	}
 }
 
-// promisesNotRun reports whether a status tells callers that a request has not
+// promisesNotRun reports whether a status guarantees to callers that a request has not
 // run and never will.
 func promisesNotRun(status int) bool {
 	switch status {
@@ -160,7 +161,7 @@
 	return false
 }
 
-// finish keeps the connection after an answer that was read to its end.
+// finish returns the connection to the pool after the answer was read completely.
 func (e *exchange) finish() {
 	if e.done {
 		return
@@ -173,9 +174,9 @@
 	e.pool.putIdle(e.conn, e.resp.Header.Get("Keep-Alive"))
 }
 
-// requestWritten waits for the rest of a long request. A connection on which
-// part of it is missing can't be used again: the next request would be read as
-// its rest.
+// requestWritten waits for the rest of a long request to be written. A connection on
+// which part of it is missing can't be reused: the server would read the next request as
+// that part.
 func (e *exchange) requestWritten() bool {
 	if e.written == nil {
 		return true
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -23,8 +23,8 @@
 	"basilrudder/internal/servers"
 )
 
-// plainProtocol is a Protocol with headers of its own, so that the tests need none of
-// an outside system.
+// plainProtocol is a Protocol with headers of its own, so that the tests depend on no
+// outside system.
 type plainProtocol struct{}
 
 func (plainProtocol) Request(h http.Header) (Request, error) {
@@ -62,26 +62,28 @@
 	return ""
 }
 
-// fakeFleet gives the servers in their order and keeps what it is told.
+// fakeFleet places requests on its servers in their order and records what the relay
+// reports.
 type fakeFleet struct {
 	table     *routing.Table
 	confirmed bool
 	servers   []string
 	noBudget  bool
 	full      bool
-	// cold servers get nothing once a connection to them is open.
+	// cold servers refuse requests in Begin, once a connection to them is open.
 	cold map[string]bool
-	// coldPlaces is how often all servers are cold when one is asked for.
+	// coldPlaces is how many calls of Place find all servers rate limited.
 	coldPlaces int
-	// queued is how often a run that is asked about still waits behind other prompts.
+	// queued is how many calls of QueueState report that the run still waits behind other
+	// prompts.
 	queued int
-	// otherIsSooner says that another server begins what waits otherIsSooner.
+	// otherIsSooner means that another server would start a waiting request sooner.
 	otherIsSooner bool
-	// outage says that no instance reaches a server.
+	// outage means that no instance reaches a server.
 	outage bool
 
-	// poison says that every request is known to crash servers, from the question after
-	// unknown ones on.
+	// poison means that every request is confirmed to crash servers, but only after the
+	// first poisonAfter calls of IsPoison.
 	poison      bool
 	poisonAfter int
 
@@ -178,23 +180,23 @@
 func (f *fakeFleet) Spend(string, monotime.Instant) bool   { return !f.noBudget }
 func (f *fakeFleet) Count(string, monotime.Instant)        {}
 
-// script is what a server does on one connection.
+// script is the behaviour of a server on one connection.
 type script func(t *testing.T, c net.Conn, in *bufio.Reader)
 
-// rig is a Relay before scripted servers.
+// rig is a Relay in front of scripted servers.
 type rig struct {
 	t     *testing.T
 	fleet *fakeFleet
 	relay *Relay
-	// connections by server; each new one runs the next script of the server.
+	// scripts by server; each new connection runs the server's next one.
 	scripts map[string][]script
 	dials   map[string]int
 	mu      sync.Mutex
 	running sync.WaitGroup
 }
 
-// newRig returns a rig in which each server runs the given scripts, one a
-// connection. A server without any refuses connections.
+// newRig returns a rig in which each server runs the given scripts, one per connection. A
+// server without any left refuses connections.
 func newRig(t *testing.T, routes []routing.Route, scripts map[string][]script, order ...string) *rig {
 	t.Helper()
 	table, err := routing.NewTable(&routing.Config{
@@ -229,7 +231,7 @@
 	return near, nil
 }
 
-// serve sends a request and returns the answer; aborted says that the relay cut
+// serve handles a request and returns the answer; aborted reports that the relay aborted
 // the connection.
 func (b *rig) serve(req *http.Request) (rec *httptest.ResponseRecorder, aborted bool) {
 	rec = httptest.NewRecorder()
@@ -245,7 +247,7 @@
 	return rec, false
 }
 
-// close ends the idle connections, so that the scripts end.
+// close closes the idle connections, so that the scripts end.
 func (b *rig) close() {
 	b.relay.Sweep(func(string) bool { return false })
 	b.running.Wait()
@@ -272,12 +274,13 @@
 	return req, string(body)
 }
 
-// answer is an answer to a request id with a length.
+// answer returns an answer with a Content-Length to the request id.
 func answer(id string, status int, headers, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d Any\r\nX-Id: %s\r\nX-Seal: s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, headers, len(body), body)
 }
 
-// replying answers each request of a connection with the next text; "" closes.
+// replying answers each request of a connection with the next text; "" closes the
+// connection.
 func replying(texts ...string) script {
 	return func(t *testing.T, c net.Conn, in *bufio.Reader) {
 		for _, text := range texts {
@@ -289,12 +292,12 @@
 				return
 			}
 		}
-		// Wait until the relay closes.
+		// Wait until the relay closes the connection.
 		_, _ = in.ReadByte()
 	}
 }
 
-// unresponsive takes a request and never answers.
+// unresponsive reads a request and never answers.
 func unresponsive(t *testing.T, _ net.Conn, in *bufio.Reader) {
 	readRequest(t, in)
 	_, _ = in.ReadByte()
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -16,7 +16,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// forwarder is one request from its arrival to its final answer.
+// forwarder handles one request from its arrival to its final answer.
 type forwarder struct {
 	relay   *Relay
 	w       http.ResponseWriter
@@ -33,26 +33,27 @@
 	work     placement.Work
 	body     []byte
 
-	// cachedFingerprint is the fingerprint once it is known.
+	// cachedFingerprint is the fingerprint once it has been computed.
 	cachedFingerprint *crashes.Fingerprint
 
 	target   Target
 	excluded map[string]bool
 	sends    int
-	// budgetSpent says that the next send was taken from the budget already.
+	// budgetSpent means that the next send has already been taken from the retry budget.
 	budgetSpent bool
-	// worst is what is known of the request's execution over all sends.
+	// worst is the worst verdict over all sends on whether the request has run.
 	worst verdict.Verdict
-	// firstEventAt is when the first bytes of the last server's stream came; 0 for none.
+	// firstEventAt is when the first bytes of the last server's stream arrived; 0 for
+	// none.
 	firstEventAt monotime.Instant
-	// stream holds what was delivered of a stream so far.
+	// stream tracks what has been delivered of a stream so far.
 	stream delivery
 
 	status    int
 	reason    verdict.Reason
 	cause     error
 	firstByte monotime.Instant
-	// retryAfter is the time to come back that a refusal told.
+	// retryAfter is the Retry-After time of a refusal.
 	retryAfter time.Duration
 }
 
@@ -75,7 +76,7 @@
 	f.sendUntilFinal()
 }
 
-// admit reads the request and decides whether it may be sent at all.
+// admit parses the request and decides whether it may be sent at all.
 func (f *forwarder) admit() *failure {
 	var err error
 	f.request, err = f.relay.cfg.Protocol.Request(f.hr.Header)
@@ -96,9 +97,10 @@
 	return f.readBody()
 }
 
-// authorize finds the route and the customer. What the table in force does not
-// know may have just been added: an instance that can't make sure says when to
-// come back, because callers give up for good after a 401 or 404.
+// authorize finds the route and the customer. A route or key that is missing from the
+// table in force may have been added since. If the instance can't confirm that its table
+// is current, it answers with a Retry-After, because callers never retry after a 401 or
+// 404.
 func (f *forwarder) authorize() *failure {
 	problem := f.matchRoute()
 	if problem == nil {
@@ -145,9 +147,9 @@
 	}
 }
 
-// admitDuringDrain refuses what would be cut off by the end of the process.
-// Callers keep connections and old directory answers for seconds, so requests
-// still come; another instance serves them at once.
+// admitDuringDrain refuses requests that the end of the process would cut off. Callers
+// keep connections and old directory answers for seconds, so requests still arrive;
+// another instance can serve them at once.
 func (f *forwarder) admitDuringDrain() *failure {
 	since, draining := f.relay.draining(f.arrived)
 	if !draining {
@@ -160,12 +162,12 @@
 	return nil
 }
 
-// readBody reads the whole body before anything is sent, so that a caller that
-// breaks off leaves no half request at a server.
+// readBody reads the whole body before anything is sent: a caller that aborts then leaves
+// no partial request on a server.
 func (f *forwarder) readBody() *failure {
 	limit := int64(f.table.Limits().BodyBytes)
 	if limit > 0 && f.hr.ContentLength > limit {
-		return fail(http.StatusRequestEntityTooLarge, verdict.ReasonTooLarge, errors.Errorf("body over %d bytes", limit))
+		return fail(http.StatusRequestEntityTooLarge, verdict.ReasonTooLarge, errors.Errorf("body is larger than %d bytes", limit))
 	}
 	if f.relay.bodyBytes.Load()+max(f.hr.ContentLength, 0) > maxHeldBodies {
 		return unavailable(verdict.ReasonOverloaded, retryFull)
@@ -207,9 +209,9 @@
 	}
 }
 
-// expired reports whether the caller left or the time is up. The deadline of the
-// server's connection can fire a moment before the context's; what it breaks off
-// is the end of the time too and no failure of the server.
+// expired reports whether the caller left or the deadline passed. The deadline of the
+// server's connection can fire slightly before the context's. An answer broken off by it
+// also counts as expired and not as a failure of the server.
 func (f *forwarder) expired() bool {
 	return f.ctx.Err() != nil || !time.Now().Before(f.deadline)
 }
@@ -220,7 +222,7 @@
 	case problem.Reason == verdict.ReasonNoServer, problem.Reason == verdict.ReasonOverloaded, problem.Reason == verdict.ReasonCrashesServers:
 		return false
 	case problem.Reason == verdict.ReasonConnect:
-		// Nothing was sent, so it does not count as a server tried.
+		// Nothing was sent, so it does not count as an attempt.
 		return len(f.excluded) <= maxUnreachable
 	case f.worst != verdict.NotRun && !f.route.MayRepeat():
 		return false
@@ -236,8 +238,8 @@
 	}
 }
 
-// maxUnreachable bounds how many servers that can't be reached are passed over
-// for one request; each may cost connectTimeout.
+// maxUnreachable bounds how many unreachable servers are skipped for one request. Each
+// may cost connectTimeout.
 const maxUnreachable = 4
 
 // sendOnce sends the request to one server and delivers its answer.
@@ -248,7 +250,7 @@
 	case placement.NoneReachable:
 		return verdict.New(verdict.NotRun, verdict.ReasonNoServer, "no server can be reached").After(f.retryAfterUnreachable())
 	case placement.AllBounded:
-		return verdict.New(verdict.NotRun, verdict.ReasonOverloaded, "all servers have just started, named a limit or want nothing for a while, and get what they bear").After(jitter(retryOverloaded))
+		return verdict.New(verdict.NotRun, verdict.ReasonOverloaded, "all servers are rate limited (just started, announced a limit or asked for a pause) and at their limits").After(jitter(retryOverloaded))
 	case placement.AllFull, placement.NotWorth:
 		return verdict.New(verdict.NotRun, verdict.ReasonOverloaded, overloadMessage(target.Choice)).After(jitter(retryOverloaded))
 	}
@@ -269,7 +271,7 @@
 	run, ok := fleet.Begin(target, f.work, monotime.Now())
 	if !ok {
 		f.relay.pool.putIdle(c, "")
-		return verdict.New(verdict.NotRun, verdict.ReasonConnect, "the server has just started, named a limit or wants nothing for a while, and gets what it bears").After(retryFull)
+		return verdict.New(verdict.NotRun, verdict.ReasonConnect, "the server is rate limited (just started, announced a limit or asked for a pause) and at its limit").After(retryFull)
 	}
 	f.sends++
 	f.firstEventAt = 0
@@ -288,17 +290,19 @@
 }
 
 const (
-	// rateLimitWaitShare is how long a request waits for its turn where all servers are bounded, as
-	// a share of its goal, and turnWaitMost bounds it. Owners of such a server mostly get
-	// a turn each second, so most requests that would be refused in between find one; a
-	// caller that is refused comes back later than that, and only once.
+	// rateLimitWaitShare is how long a request waits, as a share of its goal, where all
+	// servers are rate limited; maxRateLimitWait bounds it. An owner of such a server
+	// mostly gets a send each second, so most requests that would otherwise be refused in
+	// between are served. A refused caller returns later than that, and only once.
 	rateLimitWaitShare = 0.5
 	maxRateLimitWait   = 500 * time.Millisecond
-	// rateLimitPoll is the time between looks for a turn.
+	// rateLimitPoll is the interval between attempts to place a waiting request. A longer
+	// one would miss sends that become free meanwhile.
 	rateLimitPoll = 25 * time.Millisecond
 )
 
-// place chooses a server. Nothing has been sent while it waits for a turn at one.
+// place chooses a server. It may wait for one that is rate limited; nothing has been sent
+// meanwhile.
 func (f *forwarder) place() (Target, placement.Refusal) {
 	wait := min(time.Duration(rateLimitWaitShare*float64(f.work.Goal)), maxRateLimitWait)
 	until := monotime.Now().Add(wait)
@@ -317,7 +321,7 @@
 	}
 }
 
-// encodeRequest encodes the request for a server.
+// encodeRequest encodes the request line and headers for a server.
 func (f *forwarder) encodeRequest(target Target) []byte {
 	headers := endToEnd(f.hr.Header)
 	customer := ""
@@ -341,8 +345,8 @@
 	return requestHead(f.hr.Method, originForm(f.hr), f.hr.Host, headers, f.body, hasBody)
 }
 
-// originForm returns path and query as the caller sent them; of a request that
-// names a whole URL, as to a proxy, only those.
+// originForm returns path and query as the caller sent them. For a request that names a
+// whole URL, as to a proxy, it drops scheme and host.
 func originForm(hr *http.Request) string {
 	if strings.HasPrefix(hr.RequestURI, "/") {
 		return hr.RequestURI
--- a/internal/relay/headers.go
+++ b/internal/relay/headers.go
@@ -5,16 +5,15 @@
 	"strings"
 )
 
-// hopByHop are the headers of one connection (RFC 9110, section 7.6.1); they
-// are not passed on. The length and coding of a body are set anew for each
-// connection.
+// hopByHop lists the headers of a single connection (RFC 9110, section 7.6.1), which are
+// not passed on. Length and transfer coding of a body are set anew for each connection.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Content-Length", "Expect",
 }
 
-// endToEnd returns a copy of headers without those of one connection.
+// endToEnd returns a copy of the headers without those of a single connection.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, value := range h["Connection"] {
@@ -28,9 +27,8 @@
 	return out
 }
 
-// copyAnswer sets the headers of a server's answer for the caller. net/http
-// adds a date and a guessed content type to answers without; an empty entry
-// keeps it from doing so.
+// copyAnswer copies a server's headers to the caller's answer. net/http adds a date and a
+// guessed content type to answers that lack them; a nil entry prevents that.
 func copyAnswer(to, from http.Header) {
 	for name, values := range endToEnd(from) {
 		to[name] = values
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// maxLatencyMicros bounds the histograms, in microseconds: a minute, above
-	// the longest deadline.
+	// maxLatencyMicros bounds the histograms, in microseconds: a minute, above the
+	// longest deadline. Latencies beyond it count as this value.
 	maxLatencyMicros = 60_000_000
-	// significantDigits of the histograms' values.
+	// significantDigits is the precision of the histograms, in significant decimal
+	// digits.
 	significantDigits = 2
 )
 
 // Metrics counts requests by how they ended and keeps histograms of latency.
 type Metrics struct {
 	inFlight  expvar.Int
-	answers   expvar.Map // by status; "cut" for answers that were cut off
+	answers   expvar.Map // by status; "cut" for aborted answers without a status
 	reasons   expvar.Map
 	sends     expvar.Map // failed sends by reason
 	total     histogram
@@ -44,7 +45,7 @@
 	return m
 }
 
-// Vars returns the variables, to be published by expvar.
+// Vars returns the variables to be published by expvar.
 func (m *Metrics) Vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
 	vars.Set("in_flight", &m.inFlight)
@@ -88,11 +89,11 @@
 func (h *histogram) record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A value beyond the bound counts as the bound.
+	// RecordValue fails only for values outside the bounds.
 	_ = h.values.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros))
 }
 
-// String returns count and quantiles as JSON, as expvar.Var wants.
+// String returns count and quantiles as JSON. It implements expvar.Var.
 func (h *histogram) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// connectTimeout bounds opening a connection to a server. Servers answer
-	// within a few ms; one that is dark or crowded does not, and another one can
-	// still serve the request in time.
+	// connectTimeout bounds opening a connection to a server. Servers accept within a few
+	// ms; an unresponsive or overcrowded one does not. A longer timeout would leave too
+	// little time for another server to answer.
 	connectTimeout = 300 * time.Millisecond
-	// maxIdle closes connections unused for this long where the server does not
-	// say how long it keeps them.
+	// maxIdle is how long unused connections are kept if the server does not announce its
+	// own timeout.
 	maxIdle = 10 * time.Second
-	// idleReserve is kept between this side's idle timeout and the server's, so
-	// that no request is sent on a connection that the server is closing.
+	// idleReserve is the margin between this side's idle timeout and the server's.
+	// Without it a request could be sent on a connection that the server is closing.
 	idleReserve = 700 * time.Millisecond
-	// readBufferSize is the size of a connection's read buffer: an answer of the
-	// usual size in one read.
+	// readBufferSize is the size of a connection's read buffer. It holds an answer of the
+	// usual size, so that one read suffices.
 	readBufferSize = 8 << 10
 )
 
 var errPoolFull = errors.New("relay: all connections to the server are in use")
 
-// conn is a connection to a server. One request at a time uses it.
+// conn is a connection to a server, used by one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
 	server string
-	// idleUntil is when an unused connection is closed.
+	// idleUntil is when the unused connection is closed.
 	idleUntil monotime.Instant
 }
 
@@ -51,7 +51,7 @@
 
 	mu    sync.Mutex
 	idle  map[string][]*conn
-	count map[string]int // open, in use or not
+	count map[string]int // open connections, in use or idle
 }
 
 func newPool(dial dialFunc) *pool {
@@ -64,8 +64,8 @@
 	return &pool{dial: dial, idle: make(map[string][]*conn), count: make(map[string]int)}
 }
 
-// get returns a connection to the server, a kept one where there is one that
-// still works. An error means that nothing was sent.
+// get returns a connection to the server, preferably an idle one that still works. After
+// an error nothing has been sent.
 func (p *pool) get(ctx context.Context, target Target) (*conn, error) {
 	if c := p.takeIdle(target.ID); c != nil {
 		return c, nil
@@ -92,7 +92,7 @@
 			p.mu.Unlock()
 			return nil
 		}
-		// The newest one, so that those beyond the need run into their timeout.
+		// Reusing the newest one lets surplus connections reach their timeout.
 		c := list[len(list)-1]
 		p.idle[server] = list[:len(list)-1]
 		p.mu.Unlock()
@@ -122,8 +122,8 @@
 	}
 }
 
-// putIdle puts a connection back whose answer was read to its end. keepAlive is
-// the value of the server's Keep-Alive header.
+// putIdle returns a connection to the pool after its answer was read completely.
+// keepAlive is the value of the server's Keep-Alive header.
 func (p *pool) putIdle(c *conn, keepAlive string) {
 	idle := maxIdle
 	if timeout, ok := keepAliveTimeout(keepAlive); ok {
@@ -139,15 +139,15 @@
 	p.idle[c.server] = append(p.idle[c.server], c)
 }
 
-// discard closes a connection, also one in use.
+// discard closes a connection, idle or in use.
 func (p *pool) discard(c *conn) {
-	// The connection may be closed already; there is nothing to tell anyone.
+	// An error means that it was closed already.
 	_ = c.Close()
 	p.release(c.server)
 }
 
-// sweep closes idle connections whose time is up, and those to servers that
-// are not known any more.
+// sweep closes idle connections that reached their timeout or whose server is not needed
+// any more.
 func (p *pool) sweep(needed func(server string) bool) {
 	now := monotime.Now()
 	var expired []*conn
@@ -173,7 +173,7 @@
 	}
 }
 
-// keepAliveTimeout reads the timeout of a Keep-Alive header.
+// keepAliveTimeout parses the timeout parameter, in seconds, of a Keep-Alive header.
 func keepAliveTimeout(header string) (time.Duration, bool) {
 	for field := range strings.SplitSeq(header, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -1,11 +1,11 @@
-// Package relay takes requests from callers, sends each to a server, and gives
-// the server's answer back unchanged. It decides what may be sent again, and
-// gives every request one final answer.
+// Package relay forwards requests from callers to servers and returns the servers'
+// answers unchanged. It decides which requests may be sent again, and gives every request
+// one final answer.
 //
-// The HTTP server and the parser of answers are those of net/http. A handler of
-// fasthttp does not learn that its caller hung up, so a server would go on
-// working for nobody; and its client hides whether an answer without a length
-// was cut off. Both decide here whether an answer is whole.
+// The HTTP server and the parser of answers are those of net/http. A handler of fasthttp
+// does not detect that its caller hung up, so a server would keep working on an abandoned
+// request; and its client hides whether an answer without a length was truncated. The
+// relay needs both to decide whether an answer is complete.
 package relay
 
 import (
@@ -20,116 +20,121 @@
 	"basilrudder/internal/servers"
 )
 
-// Request is what the relay needs of a caller's headers.
+// Request holds the fields of a caller's headers that the relay uses.
 type Request struct {
-	// ID is the caller's, one for each try.
+	// ID is chosen by the caller, a new one for each try.
 	ID string
-	// Deadline is how long the caller waits; 0 when it does not say.
+	// Deadline is how long the caller waits; 0 when the headers do not say.
 	Deadline time.Duration
-	// Key that the caller shows; empty for none.
+	// Key is the caller's API key; empty for none.
 	Key string
-	// ResumeAfter is the id of the last event that the caller has; empty for none.
+	// ResumeAfter is the id of the last event that the caller has received; empty for
+	// none.
 	ResumeAfter string
 	// Parts, Prompt and Output describe a prompt, see placement.Work.
 	Parts          []placement.Part
 	Prompt, Output int
 }
 
-// Forward is what the relay tells a server in headers of its own.
+// Forward holds what the relay adds to the headers for a server.
 type Forward struct {
-	// Server that must take the request; another one refuses it.
+	// Server is the server that must execute the request; any other one refuses it.
 	Server string
-	// Deadline is how long an answer is of use.
+	// Deadline is how long an answer remains useful.
 	Deadline time.Duration
-	// Customer whose request it is; empty when there are none.
+	// Customer that sent the request; empty when no customers are configured.
 	Customer string
-	// HideKey keeps the caller's key from the server.
+	// HideKey removes the caller's key from the request.
 	HideKey bool
-	// Priority, 0 first.
+	// Priority of the request; 0 is the most urgent.
 	Priority int
 	// ResumeAfter is the id of the last event received; empty for none.
 	ResumeAfter string
-	// FetchFrom is the address of a server to fetch the start of the prompt from;
-	// empty for none.
+	// FetchFrom is the address of a server to fetch the start of the prompt from; empty
+	// for none.
 	FetchFrom string
 }
 
-// Answer is what the relay needs of a server's headers.
+// Answer holds the fields of a server's headers that the relay uses.
 type Answer struct {
-	// ID of the request it answers; empty when it does not say.
+	// ID of the request that is answered; empty when the headers do not say.
 	ID string
-	// Signed answers are those of a server that worked on the request.
+	// Signed reports that the answer comes from a server that worked on the request.
 	Signed bool
-	// NotRun says that the server promises not to have run the request.
+	// NotRun reports that the server guarantees not to have run the request.
 	NotRun bool
-	// Notice is what the server says of itself.
+	// Notice is what the server reports about itself.
 	Notice servers.Notice
 }
 
 // Protocol translates the headers of callers and servers.
 type Protocol interface {
-	// Request reads the headers of a caller.
+	// Request parses the headers of a caller.
 	Request(h http.Header) (Request, error)
-	// Forward changes a copy of a caller's headers into those for a server.
+	// Forward changes a copy of a caller's headers into the headers for a server.
 	Forward(h http.Header, f Forward)
-	// Answer reads the headers of a server.
+	// Answer parses the headers of a server.
 	Answer(status int, h http.Header) Answer
-	// Event returns the id of an event of a stream, given as its lines; empty
-	// when it has none.
+	// EventID returns the id of a stream's event, given as its lines; empty when it has
+	// none.
 	EventID(event []byte) string
 }
 
 // Target is a server chosen for a request.
 type Target struct {
 	servers.Server
-	// Choice says what decided.
+	// Choice holds the figures that decided the choice.
 	Choice placement.Choice
-	// MaxConns is this instance's share of the server's connections.
+	// MaxConns is this instance's share of the server's connections; 0 for no limit.
 	MaxConns int
-	// FetchFrom is the address of the server to fetch from; empty for none.
+	// FetchFrom is the address of the server to fetch the start of the prompt from; empty
+	// for none.
 	FetchFrom string
-	// EntryAge is the time since the store last confirmed what is known of servers.
+	// EntryAge is the time since the store last confirmed its entries for servers.
 	EntryAge time.Duration
 }
 
-// Fleet is what the relay asks of, and tells, the instance it runs in.
+// Fleet is the interface between the relay and the instance it runs in. It chooses
+// servers and records how requests went.
 type Fleet interface {
-	// Table in force; nil before the first configuration is known.
+	// Table returns the routing table in force; nil before the first configuration has
+	// been received.
 	Table() *routing.Table
-	// Confirm reports whether the table in force is the newest there is, by
-	// asking who would know.
+	// Confirm reports whether the table in force is the newest one, by asking its source.
 	Confirm(ctx context.Context) bool
-	// Place chooses a server of a service, none of those excluded, or says why
-	// there is none.
+	// Place chooses a server of a service that is not excluded, or returns why there is
+	// none.
 	Place(service string, work placement.Work, excluded map[string]bool, now monotime.Instant) (Target, placement.Refusal)
-	// Serving reports whether any instance has sent a request to a server of a service
-	// lately, as far as this one has heard.
+	// Serving reports whether any instance has recently sent a request to a server of the
+	// service, according to the updates received so far.
 	Serving(service string, now monotime.Instant) bool
-	// Begin, First, Events and End tell of a run at a server; Begin returns its
-	// number, or false when the server may not get the request now after all, and
-	// Events takes how many events of a stream have just come.
+	// Begin, First, Events and End report the progress of a run on a server. Begin
+	// returns the run's number, or false if the server may not get the request now after
+	// all. Events takes the number of stream events that have just arrived.
 	Begin(target Target, work placement.Work, now monotime.Instant) (run int, ok bool)
 	First(run int, now monotime.Instant)
 	Events(run, count int, now monotime.Instant)
 	End(run int, now monotime.Instant)
-	// QueueState tells where a run stands that its server has not answered yet.
+	// QueueState returns the estimated position of a run in the server's queue while the
+	// server has not answered.
 	QueueState(run int, now monotime.Instant) placement.Standing
-	// Observe tells what became of a request at a server.
+	// Observe records the outcome of a request at a server.
 	Observe(server string, outcome placement.Outcome, now monotime.Instant)
-	// AnySuspected reports whether any request is suspected of crashing servers; while there is
-	// none, requests need no fingerprint.
+	// AnySuspected reports whether any request is suspected of crashing servers. While
+	// there is none, requests need no fingerprint.
 	AnySuspected() bool
-	// IsPoison reports whether a request is known to crash servers.
+	// IsPoison reports whether a request is confirmed to crash servers.
 	IsPoison(request crashes.Fingerprint, now monotime.Instant) bool
-	// Crashed tells that a server ended soon after it began to run a request, and Survived
-	// that one did not.
+	// Crashed reports that a server ended soon after it began to run a request, and
+	// Survived that one did not.
 	Crashed(crash crashes.Crash, now monotime.Instant)
 	Survived(request crashes.Fingerprint, now monotime.Instant)
-	// ApplyNotice tells what a server said of itself in its answer to a request that was sent
-	// at an instant.
+	// ApplyNotice applies what a server reported about itself in its answer to a request
+	// sent at the instant sent.
 	ApplyNotice(server string, notice servers.Notice, sent, now monotime.Instant)
-	// Spend takes one send to a further server from the budget of a service.
+	// Spend takes one send to a further server from the retry budget of a service and
+	// reports whether there was any left.
 	Spend(service string, now monotime.Instant) bool
-	// Count notes a request for a service, which adds to that budget.
+	// Count counts a request for a service, which adds to its retry budget.
 	Count(service string, now monotime.Instant)
 }
--- a/internal/relay/record.go
+++ b/internal/relay/record.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// logFailedSend logs a send that did not give the final answer.
+// logFailedSend logs a send that did not produce the final answer.
 func (f *forwarder) logFailedSend(problem *verdict.Error) {
 	fields := []zap.Field{
 		zap.String("id", f.request.ID),
@@ -22,7 +22,7 @@
 	f.relay.cfg.Metrics.sendFailed(problem.Reason)
 }
 
-// logEnd logs how the request ended, with what decided it.
+// logEnd logs how the request ended and the choice of server behind it.
 func (f *forwarder) logEnd() {
 	now := monotime.Now()
 	f.relay.cfg.Metrics.ended(f, now)
@@ -58,7 +58,7 @@
 	f.relay.cfg.Log.Info("request_ended", fields...)
 }
 
-// choiceFields tell which server was chosen last and what decided it.
+// choiceFields describe the server chosen last and the figures that decided the choice.
 func (f *forwarder) choiceFields() []zap.Field {
 	if f.target.ID == "" {
 		return nil
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -12,19 +12,19 @@
 	"basilrudder/internal/monotime"
 )
 
-// Config of a Relay.
+// Config configures a Relay.
 type Config struct {
-	// Fleet that the instance belongs to.
+	// Fleet is the instance's view of the fleet.
 	Fleet Fleet
-	// Protocol of callers and servers.
+	// Protocol translates the headers of callers and servers.
 	Protocol Protocol
-	// Log takes a line per decision.
+	// Log receives a line per decision; nil discards them.
 	Log *zap.Logger
-	// Metrics counts what happens; nil for none kept.
+	// Metrics counts requests; nil means counts that are not published.
 	Metrics *Metrics
 	// Dial opens a connection to a server; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// DrainTime is how long the process may go on after it was told to leave.
+	// DrainTime is how long the process may run after the drain began.
 	DrainTime time.Duration
 }
 
@@ -33,20 +33,22 @@
 	cfg    Config
 	pool   *pool
 	probes probes
-	// drainSince is the instant at which the drain began; 0 while there is none.
+	// drainSince is when the drain began; 0 while there is none.
 	drainSince atomic.Int64
 	bodyBytes  atomic.Int64
 }
 
 const (
-	// maxHeldBodies bounds the bodies held at once: a quarter of the memory of the
-	// smallest instance, 184 MB.
+	// maxHeldBodies bounds the total size of the request bodies held at once: a quarter
+	// of the memory of the smallest instance (184 MB). Beyond it requests are refused,
+	// before the instance runs out of memory.
 	maxHeldBodies = 48 << 20
-	// drainStreamWindow is how long after the start of a drain streams are
-	// still taken. They last up to some 5 s, and the process is killed 8 s
-	// after the signal.
+	// drainStreamWindow is how long after the start of a drain streams are still
+	// accepted. They last up to about 5 s and the process is killed 8 s after the signal;
+	// with a longer window the last of them would be cut off.
 	drainStreamWindow = 1500 * time.Millisecond
-	// drainReserve is kept between the last answer and the end of the drain.
+	// drainReserve is the time between the last answer and the end of the drain. Without
+	// it, answers that use their whole timeout could be cut off.
 	drainReserve = 500 * time.Millisecond
 )
 
@@ -61,13 +63,13 @@
 	return &Relay{cfg: cfg, pool: newPool(cfg.Dial), probes: probes{recent: make(map[string]*probe)}}
 }
 
-// Drain begins to leave: answers tell callers to connect elsewhere, and what
-// could not end in time is refused.
+// Drain starts draining: answers ask callers to connect elsewhere, and requests that may
+// not end in time are refused.
 func (r *Relay) Drain() {
 	r.drainSince.CompareAndSwap(0, int64(monotime.Now()))
 }
 
-// draining returns for how long the drain lasts; false when there is none.
+// draining returns how long the drain has lasted; false when there is none.
 func (r *Relay) draining(now monotime.Instant) (time.Duration, bool) {
 	since := monotime.Instant(r.drainSince.Load())
 	return now.Sub(since), since != 0
@@ -78,7 +80,7 @@
 	r.pool.sweep(needed)
 }
 
-// InFlight returns the number of requests held now.
+// InFlight returns the number of requests in flight.
 func (r *Relay) InFlight() int64 {
 	return r.cfg.Metrics.inFlight.Value()
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("aborted %v, %d %q %v", aborted, rec.Code, rec.Body, rec.Header())
 		}
 		if rec.Header().Get("Keep-Alive") != "" {
-			t.Error("a header of the server's connection reached the caller")
+			t.Error("a hop-by-hop header reached the caller")
 		}
 		if got.RequestURI != "/once/a%2Fb?q=1" || body != "body" || got.Host != "h.example" {
 			t.Errorf("server got %s %q for %s", got.RequestURI, body, got.Host)
@@ -50,9 +50,9 @@
 	})
 }
 
-// Callers see a final answer for each way in which a server can fail, and the
-// request reaches a second server only where it may run twice or surely has not
-// run. A 503 says that it has not run, so it must not follow a doubt.
+// A caller gets a final answer for each kind of server failure. The request reaches a
+// second server only if it may run twice or has certainly not run. A 503 states that it
+// has not run, so it must not follow a failure after which that is uncertain.
 func TestTheFinalAnswerForEachServerFailure(t *testing.T) {
 	notRun := answer("r", 503, "X-Not-Run: 1\r\n", "")
 	good := answer("r", 200, "", "ok")
@@ -104,8 +104,8 @@
 	}
 }
 
-// All servers say that they did not run the request. The caller hears that too,
-// with a time to come back, as soon as the servers that may be tried are spent.
+// All servers report that they did not run the request. The caller gets the same, with a
+// Retry-After time, as soon as the allowed attempts are used up.
 func TestARefusalCarriesRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		full := replying(answer("r", 503, "X-Not-Run: 1\r\nRetry-After: 0.4\r\n", ""))
@@ -113,14 +113,14 @@
 		rec, _ := b.serve(request("POST", "/once/", "r", "x"))
 		b.close()
 		if rec.Code != 503 || rec.Header().Get("Retry-After") != "0.4" || b.dials["s3"] != 0 {
-			t.Errorf("%d, come back after %q, third server asked %d times", rec.Code, rec.Header().Get("Retry-After"), b.dials["s3"])
+			t.Errorf("%d, Retry-After %q, third server dialled %d times", rec.Code, rec.Header().Get("Retry-After"), b.dials["s3"])
 		}
 	})
 }
 
-// Servers tell of themselves in answers of every kind: one that callers get, a refusal, a
-// failure. The instance hears each; a refusal by another incarnation that now holds the
-// address says nothing of the server that was meant.
+// Servers report their state in answers of every kind: one that is passed on, a refusal,
+// a failure. The instance applies each. A refusal by another incarnation that now holds
+// the address says nothing about the intended server.
 func TestServerNoticesAreApplied(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -172,8 +172,8 @@
 	})
 }
 
-// A server answers an earlier request a second time, late: its bytes stand
-// where the next answer is due. The caller must get its own answer.
+// A server answers an earlier request a second time, just before its next answer. The
+// caller must get the answer to its own request.
 func TestALateDuplicateAnswerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying(
@@ -189,8 +189,8 @@
 	})
 }
 
-// A server sends bytes after its answer, before the next request. They belong
-// to no request, so the connection is not used again.
+// A server sends bytes after its answer, before the next request. They belong to no
+// request, so the connection must not be reused.
 func TestAConnectionWithBytesLeftIsNotUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {
@@ -206,8 +206,8 @@
 	})
 }
 
-// A server answers before it has read a long body and keeps the connection. The
-// rest of the body must come, or the next request would be read as its rest.
+// A server answers before it has read a long body and keeps the connection. The rest of
+// the body must follow, or the server would read the next request as that rest.
 func TestTheRestOfALongBodyFollowsAnEarlyAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		long := strings.Repeat("x", 200<<10)
@@ -249,17 +249,17 @@
 		_, _ = b.serve(request("POST", "/stream/", "r", "x").WithContext(ctx))
 		b.close()
 		if at := <-closed; at.After(left) {
-			t.Errorf("the server was freed %v after the caller left", at.Sub(left))
+			t.Errorf("the server's connection was closed %v after the caller left", at.Sub(left))
 		}
 		if len(b.fleet.outcomes) != 0 {
-			t.Errorf("the server is blamed for it: %v", b.fleet.outcomes)
+			t.Errorf("outcomes were recorded for the server: %v", b.fleet.outcomes)
 		}
 	})
 }
 
-// A server never answers. The timer of its connection and that of the request
-// fire at the same instant, in either order; the caller gets 504 each time, at
-// the timeout of the route.
+// A server never answers. The deadlines of its connection and of the request pass at the
+// same instant, and their timers fire in either order. The caller must get a 504 each
+// time, at the timeout of the route.
 func TestTheFinalAnswerComesByTheRoutesTimeout(t *testing.T) {
 	for range 50 {
 		synctest.Test(t, func(t *testing.T) {
@@ -274,8 +274,9 @@
 	}
 }
 
-// What the table in force does not know may be new. An instance that can't ask
-// whether it is says when to come back; callers would give up after a 404.
+// A route or key missing from the table in force may be new. An instance that can't
+// confirm its table must answer with a Retry-After; callers would never retry after a 404
+// or 401.
 func TestUnknownRoutesAndKeysAreRefusedForGoodOnlyWhenConfirmed(t *testing.T) {
 	for _, c := range []struct {
 		path, key string
@@ -292,7 +293,7 @@
 		req := request("GET", c.path, "r", "")
 		req.Header.Set("X-Key", c.key)
 		if rec, _ := b.serve(req); rec.Code != c.want {
-			t.Errorf("%s with key %q, sure %v: %d, want %d", c.path, c.key, c.confirmed, rec.Code, c.want)
+			t.Errorf("%s with key %q, confirmed %v: %d, want %d", c.path, c.key, c.confirmed, rec.Code, c.want)
 		}
 	}
 }
@@ -306,9 +307,9 @@
 	}
 }
 
-// The process was told to leave and will be killed. Callers still send on
-// connections that they kept. What can end in time is served, with the word to
-// connect elsewhere; a stream that would be cut is refused at once.
+// The process is draining and will be killed, but callers still send on open connections.
+// Requests that can end in time are served with Connection: close; a stream that would be
+// cut off is refused at once.
 func TestADrainServesShortRequestsAndRefusesStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying(answer("a", 200, "", "ok"))}}, "s1")
@@ -326,7 +327,7 @@
 	})
 }
 
-// events are the events from first to last, of two lines each.
+// events returns the events from first to last, of two lines each.
 func events(first, last int) string {
 	var out strings.Builder
 	for i := first; i <= last; i++ {
@@ -341,7 +342,7 @@
 
 const lastChunk = "0\r\n\r\n"
 
-// sendThenClose sends a part of a stream and closes the connection.
+// sendThenClose sends parts of a stream and closes the connection.
 func sendThenClose(parts ...string) script {
 	return func(t *testing.T, c net.Conn, in *bufio.Reader) {
 		readRequest(t, in)
@@ -362,9 +363,9 @@
 	})
 }
 
-// A server dies in the middle of a stream that must not run twice. The caller
-// has its first events; the connection is cut so that what it has does not look
-// complete, and no other server gets the request.
+// A server fails in the middle of a stream that must not run twice. The caller has
+// received the first events; its connection must be aborted, so that the stream does not
+// look complete, and no other server may get the request.
 func TestACutStreamDoesNotLookComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {sendThenClose(streamHead, chunk(events(1, 2)))}, "s2": {unresponsive}}, "s1", "s2")
@@ -376,9 +377,9 @@
 	})
 }
 
-// A server dies in the middle of the third event of a stream that may be
-// resumed. The second server is asked for what follows the second event, and the
-// caller gets each event once, under the first server's headers.
+// A server fails in the middle of the third event of a resumable stream. The second
+// server must be asked for what follows the second event, and the caller gets each event
+// once, under the first server's headers.
 func TestABrokenResumableStreamResumesOnAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var after string
@@ -399,8 +400,8 @@
 	})
 }
 
-// A server goes silent in the middle of a resumable stream without closing. The
-// caller would give up after two seconds; another server goes on before.
+// A server stalls in the middle of a resumable stream without closing the connection. The
+// caller would give up after two seconds; another server must resume the stream before.
 func TestAStalledResumableStreamResumesOnAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
@@ -478,9 +479,9 @@
 	}
 }
 
-// A server is slower than predicted: the first event of a stream comes after
-// 700 ms, within its goal of 800. A switch to another server before would have
-// made it late, since that one starts to read the prompt anew.
+// A server is slower than predicted: the first event of a stream comes after 700 ms,
+// within its goal of 800 ms. Switching to another server before would have made it late,
+// since that one has to read the prompt again.
 func TestASlowServerIsNotReplacedBeforeTheGoal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
@@ -502,8 +503,8 @@
 	})
 }
 
-// A server takes a stream and never answers. Its caller would give up after 3.2
-// seconds; another server gives the stream before, late but whole.
+// A server accepts a stream and never answers. The caller would give up after 3.2
+// seconds; another server must deliver the stream before, late but complete.
 func TestAnUnresponsiveServerIsReplacedBeforeTheCallerGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
@@ -528,15 +529,15 @@
 	}
 }
 
-// A connection to a server is open, and meanwhile others have sent it what it bears
-// after its start. Nothing was written to it, so the request goes to another server, also
-// one that may run only once.
+// A connection to a server is open, but other requests have meanwhile used up the
+// server's limit after its start. Nothing was written to it, so the request goes to
+// another server, even if it may run only once.
 func TestARequestRejectedByAColdServersLimitGoesToAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
 			"s1": {func(_ *testing.T, _ net.Conn, in *bufio.Reader) {
 				if _, err := in.ReadByte(); err == nil {
-					t.Error("the cold server got something")
+					t.Error("the cold server received data")
 				}
 			}},
 			"s2": {replying(answer("r", 200, "", "ok"))},
@@ -553,9 +554,9 @@
 	})
 }
 
-// All servers bear only so much, and their turns of this second are taken. A caller whose
-// request finds one a moment later is served without coming back; one that finds none is
-// refused soon, and may come back.
+// All servers are rate limited and at their limits. A request for which one becomes
+// available a moment later is served without a retry by its caller; otherwise it is
+// refused soon, with a Retry-After.
 func TestARequestWaitsBrieflyForARateLimitedServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
@@ -577,15 +578,16 @@
 				t.Errorf("cold %d times: %d after %v", c.places, rec.Code, took)
 			}
 			if c.status == 503 && (rec.Header().Get("Retry-After") == "" || len(b.fleet.begun) > 0) {
-				t.Errorf("refused without a time to come back, or sent to %v", b.fleet.begun)
+				t.Errorf("refused without a Retry-After, or sent to %v", b.fleet.begun)
 			}
 			b.close()
 		}
 	})
 }
 
-// A service is down for all. Callers come back once, so they are told a time in which
-// servers may be up again, which differs between them and lies within what they wait.
+// No instance reaches a service. Callers retry once, so their Retry-After times must lie
+// where servers may have recovered, differ from each other, and stay within the time that
+// the callers wait.
 func TestRetryAfterInAnOutageIsLongAndSpread(t *testing.T) {
 	shortest, longest := time.Hour, time.Duration(0)
 	for range 200 {
@@ -600,8 +602,9 @@
 	}
 }
 
-// All servers crash and are back after 1.5 s. Callers with 6 s left that are refused at the
-// crash come back once, and half of them did so before the servers: they got nothing.
+// All servers crash and recover after 1.5 s. Callers with 6 s left that are refused at
+// the crash retry once. With a uniform draw of the Retry-After time, half of them would
+// return before the servers and get nothing.
 func TestMostCallersRetryAfterAShortOutageEnds(t *testing.T) {
 	const callers, outage = 3000, 1500 * time.Millisecond
 	after := 0
@@ -611,12 +614,12 @@
 		}
 	}
 	if after < callers*2/3 {
-		t.Errorf("%d of %d come back after it", after, callers)
+		t.Errorf("%d of %d callers retry after the outage", after, callers)
 	}
 }
 
-// A server refuses connections. Where other instances reach some, the caller is told to
-// come back at once; in an outage for all, when servers may be up again.
+// A server refuses connections. If other instances reach some server, the caller must be
+// told to retry at once; in an outage for all, when servers may have recovered.
 func TestRetryAfterIsShortOnlyWhereOtherInstancesServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, down := range []bool{false, true} {
@@ -628,14 +631,15 @@
 				t.Fatalf("%d, Retry-After %q", rec.Code, rec.Header().Get("Retry-After"))
 			}
 			if late := seconds >= minOutageRetry.Seconds(); late != down {
-				t.Errorf("down for all: %v, told to come back after %v s", down, seconds)
+				t.Errorf("outage for all: %v, Retry-After %v s", down, seconds)
 			}
 			b.close()
 		}
 	})
 }
 
-// A prompt in the queue of an engine at work is given up, and its caller gets 502 for an answer on its way.
+// Guards against abandoning a prompt in the queue of a working engine: its caller would
+// get a 502 although the answer is on its way.
 func TestAQueuedRequestIsNotAbandoned(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/relay/retryafter.go
+++ b/internal/relay/retryafter.go
@@ -7,42 +7,45 @@
 	"basilrudder/internal/monotime"
 )
 
-// Times to come back that refusals tell.
+// Retry-After times of refusals.
 const (
-	// retryElsewhere: another instance can serve it now.
+	// retryElsewhere applies when another instance can serve the request now.
 	retryElsewhere = 20 * time.Millisecond
-	// retryNotReady: configuration or its confirmation is on its way.
+	// retryNotReady applies while the configuration or its confirmation is on its way.
 	retryNotReady = 300 * time.Millisecond
-	// retryNoServer: servers that can't be reached are tried again.
+	// retryNoServer applies when servers are unreachable: they are tried again.
 	retryNoServer = 200 * time.Millisecond
-	// retryOverloaded: engines whose slots are all taken have room again when
-	// some of their streams end, which last one to three seconds. It is spread,
-	// so that those refused at once do not come back at once.
+	// retryOverloaded applies when all slots of the engines are taken. Slots become free
+	// when streams end, which last one to three seconds. It is jittered: otherwise
+	// callers refused at the same time would all return at the same time.
 	retryOverloaded = 700 * time.Millisecond
-	// retryFull: a server's queue moves within some steps of its engine.
+	// retryFull applies when a server's queue is full. The queue advances within a few
+	// steps of the engine.
 	retryFull = 150 * time.Millisecond
 )
 
-// jitter returns a time between half of d and one and a half of it.
+// jitter returns a random time between 0.5 d and 1.5 d.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
 
 const (
-	// minOutageShare and outageTo bound the time to come back to a service that no instance
-	// reaches, as shares of the time that the caller has left. Callers come back once, and
-	// no later than after a third of it. Servers that were killed are back after one to
-	// five seconds: of callers told 200 ms in an outage of 1.5 s none was served. One that
-	// is refused now will mostly be late, so a later return costs it little and makes an
-	// answer likelier.
+	// minOutageShare and maxOutageShare bound the Retry-After time for a service that no
+	// instance reaches, as shares of the caller's remaining time. Callers retry once, and
+	// no later than after a third of that time. Killed servers recover after one to five
+	// seconds: in an outage of 1.5 s, no caller that was told to return after 200 ms was
+	// served. A refused request will mostly be late, so a later retry costs it little and
+	// makes an answer more likely.
 	minOutageShare = 1.0 / 6
 	maxOutageShare = 1.0 / 3
-	// minOutageRetry bounds that from below where little time is left.
+	// minOutageRetry is the lower bound of that time where little time remains. Callers
+	// that return earlier would mostly find no server yet.
 	minOutageRetry = 500 * time.Millisecond
 )
 
-// retryAfterUnreachable is when the caller should come back after this instance reached no
-// server: soon where others reach one, since the next instance serves it then.
+// retryAfterUnreachable returns the Retry-After time after this instance reached no
+// server. It is short if other instances reach one, since the next instance can serve the
+// request at once.
 func (f *forwarder) retryAfterUnreachable() time.Duration {
 	if f.relay.cfg.Fleet.Serving(f.service, monotime.Now()) {
 		return retryNoServer
@@ -50,10 +53,11 @@
 	return retryAfterOutage(f.work.Left)
 }
 
-// retryAfterOutage is when a caller with so much time left should come back to a service that
-// no instance reaches. It is spread, so that those refused at once do not all return at
-// once to servers that have just started, and the later of two draws: most of those that
-// are refused at the start of an outage return in vain if they return early in that span.
+// retryAfterOutage returns the Retry-After time of a service that no instance reaches,
+// for a caller with the remaining time left. The time is random: otherwise callers
+// refused at once would all return at once to servers that have just started. It is the
+// later of two draws, because most callers refused at the start of an outage would find
+// no server if they returned early in the range.
 func retryAfterOutage(left time.Duration) time.Duration {
 	share := minOutageShare + (maxOutageShare-minOutageShare)*max(rand.Float64(), rand.Float64())
 	return max(minOutageRetry, time.Duration(share*float64(left)))
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// resumeTimeoutGaps is how long a stream that may go on elsewhere can be silent,
-	// as a multiple of its longest pause on time, and at least resumeMin. Callers
-	// give up after eight times that pause, or two seconds.
+	// resumeTimeoutGaps is how long a stream that may be resumed on another server can go
+	// without an event, as a multiple of its MaxGap, and at least minResumeTimeout.
+	// Callers give up after eight times that gap, or two seconds; the rest is left for
+	// the other server.
 	resumeTimeoutGaps = 4
 	minResumeTimeout  = 700 * time.Millisecond
 )
 
-// delivery is what the caller has of a stream.
+// delivery tracks what the caller has received of a stream.
 type delivery struct {
 	started bool
-	// lastID is the id of the last event delivered whole.
+	// lastID is the id of the last event delivered completely.
 	lastID string
-	// partialEvent holds the start of an event whose end has not come.
+	// partialEvent holds the start of an event that has not arrived completely.
 	partialEvent []byte
-	// lastAt is when the last bytes came.
+	// lastAt is when the last bytes were passed on.
 	lastAt     monotime.Instant
 	longestGap time.Duration
 }
 
 func (d *delivery) begun() bool { return d.started }
 
-// relayStream passes events on as they come. Headers go out with the first of
-// them, so that a server which dies before can still be replaced.
+// relayStream passes events on as they arrive. The headers go out with the first one, so
+// that a server that fails before it can still be replaced.
 func (f *forwarder) relayStream(e *exchange, run int) *verdict.Error {
 	f.stream.partialEvent = nil
 	buffer := make([]byte, copyBufferSize)
@@ -70,7 +71,8 @@
 	}
 }
 
-// awaitEvents bounds the silence of a stream that can go on elsewhere.
+// awaitEvents bounds the wait for events of a stream that can be resumed on another
+// server.
 func (f *forwarder) awaitEvents(e *exchange, run int) error {
 	if !f.route.Resumable || f.sends >= f.route.Attempts {
 		return nil
@@ -82,8 +84,8 @@
 	return e.conn.SetReadDeadline(earlier(time.Now().Add(timeout), f.deadline))
 }
 
-// deliver delivers bytes of a stream. Of a stream that may go on elsewhere only
-// whole events are delivered: a server can die in the middle of one.
+// deliver passes on bytes of a stream. Of a stream that may be resumed on another server
+// only complete events are delivered, because a server can fail in the middle of one.
 func (f *forwarder) deliver(e *exchange, data []byte) *verdict.Error {
 	if f.route.Resumable {
 		data = f.completeEvents(data)
@@ -107,17 +109,17 @@
 	return nil
 }
 
-// startStream sends the headers of the first server that gave an event.
+// startStream sends the headers of the first server that produced an event.
 func (f *forwarder) startStream(e *exchange) {
 	f.stream.started = true
 	f.beginAnswer(e.resp)
 	f.w.WriteHeader(e.resp.StatusCode)
 }
 
-// eventEnd separates events of a stream.
+// eventEnd separates the events of a stream.
 var eventEnd = []byte("\n\n")
 
-// completeEvents returns what is complete and keeps the rest for later.
+// completeEvents returns the complete events and keeps the rest for the next call.
 func (f *forwarder) completeEvents(data []byte) []byte {
 	all := append(f.stream.partialEvent, data...)
 	end := bytes.LastIndex(all, eventEnd)
@@ -138,7 +140,7 @@
 	return whole
 }
 
-// endStream ends the caller's stream as the server ended its own.
+// endStream ends the caller's stream after the server ended its own.
 func (f *forwarder) endStream(e *exchange) *verdict.Error {
 	f.reportSurvived()
 	f.observe(placement.Served)
--- a/internal/relaylog/relaylog.go
+++ b/internal/relaylog/relaylog.go
@@ -1,5 +1,5 @@
-// Package relaylog reads the log lines of relaying instances and tells what
-// happened to one request, and what the instance believed then.
+// Package relaylog reads the log lines of relaying instances and explains one request:
+// what happened to it, and the state of its instance when it arrived.
 package relaylog
 
 import (
@@ -17,22 +17,24 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrUnknownRequest means that no line tells of the request.
-var ErrUnknownRequest = errors.New("no log line tells of this request")
+// ErrUnknownRequest means that no log line mentions the request.
+var ErrUnknownRequest = errors.New("no log line mentions this request")
 
 const (
-	// maxLine bounds a line in bytes; a longer one is skipped.
+	// maxLine is the maximum length of a line in bytes. A longer line ends the reading of
+	// its file with an error.
 	maxLine = 1 << 20
-	// peerWindow is how long before a request what happened to a peer is told.
+	// peerWindow is how long before a request an event of a peer still counts as
+	// relevant.
 	peerWindow = 5 * time.Second
 )
 
-// Line is one line of a log.
+// Line is one line of a log. Fields that the line lacks are empty.
 type Line struct {
 	At       time.Time `json:"ts"`
 	Message  string    `json:"msg"`
 	Instance string    `json:"instance"`
-	// ID of a request, Server and Peer that the line is about, where it is.
+	// ID of the request, and the Server and Peer that the line concerns.
 	ID     string  `json:"id"`
 	Server string  `json:"server"`
 	Peer   string  `json:"peer"`
@@ -41,16 +43,17 @@
 	text string
 }
 
-// Explanation is what the logs tell of one request.
+// Explanation holds the log lines that concern one request.
 type Explanation struct {
 	// Request holds the lines of the request, oldest first.
 	Request []Line
-	// State are the newest lines, before the request arrived, on what decided
-	// it: configuration, the servers tried, store, peers, drain.
+	// State holds the newest line before the request arrived on each subject that decided
+	// it: configuration, the servers tried, store, peers, drain. Oldest first.
 	State []Line
 }
 
-// Explain reads the story of a request from files of log lines.
+// Explain collects the explanation of request id from log files. It returns
+// ErrUnknownRequest if no line mentions the request.
 func Explain(id string, files []string) (*Explanation, error) {
 	var lines []Line
 	for _, name := range files {
@@ -73,8 +76,8 @@
 	return read(file)
 }
 
-// read takes the JSON object of each line; what stands before it, such as the
-// collector's own time, and lines without one are passed over.
+// read parses the JSON object of each line. It ignores text before the object, such as a
+// collector's timestamp, and skips lines without a valid object.
 func read(in io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLine)
@@ -132,8 +135,9 @@
 	return out, nil
 }
 
-// subjectOf names what a line is about, if that could have decided a request:
-// of lines with the same subject the newest counts.
+// subjectOf returns the subject of a line that could have affected a request that arrived
+// at the given time and tried these servers. Of several lines with one subject only the
+// newest counts.
 func subjectOf(line Line, servers map[string]bool, arrived time.Time) (string, bool) {
 	switch line.Message {
 	case "config_in_force", "draining", "started", "isolation_changed":
@@ -149,9 +153,9 @@
 	}
 }
 
-// WriteText writes the story for a person.
+// WriteText writes the explanation as text.
 func (s *Explanation) WriteText(out io.Writer) error {
-	if _, err := fmt.Fprintln(out, "what the instance believed:"); err != nil {
+	if _, err := fmt.Fprintln(out, "state of the instance when the request arrived:"); err != nil {
 		return err
 	}
 	if err := writeLines(out, s.State); err != nil {
