--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -43,7 +43,7 @@
 }
 
 // Standing implements relay.Fleet.
-func (f *fleet) Standing(run int, now monotime.Instant) placement.QueueStatus {
+func (f *fleet) QueueState(run int, now monotime.Instant) placement.QueueStatus {
 	return f.board.QueueStatus(placement.RunID{Instance: f.self, Number: run}, now)
 }
 
