--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -16,8 +16,8 @@
 func BenchmarkTakeRun(b *testing.B) {
 	const engines, each = 106, 8
 	f, _, _ := newFleet()
-	f.adopt(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 12, MemoryTokens: 467_556, EventTokens: 2}}}}, fromStore)
-	f.update("peer", func(r *servers.Registry, now monotime.Instant) (ids []string) {
+	f.installConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 12, MemoryTokens: 467_556, EventTokens: 2}}}}, fromStore)
+	f.changeServers("peer", func(r *servers.Registry, now monotime.Instant) (ids []string) {
 		for n := range engines {
 			s := servers.Server{ID: fmt.Sprint("i-", n), Service: "llm", Address: fmt.Sprint("10.0.0.1:", n), Slots: 12, Revision: servers.Revision(n + 1)}
 			r.Put(s, now)
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -7,75 +7,75 @@
 	"basilrudder/internal/monotime"
 )
 
-// budget bounds how many requests are sent to a further server. The bound holds
+// retryBudget bounds how many requests are sent to a further server. The bound holds
 // for the whole fleet in any window, and nothing may be written anywhere to
 // share it, so each instance keeps to its part: the ratio of the requests that
 // it took itself, and an equal part of the burst.
-type budget struct {
+type retryBudget struct {
 	ratio  float64
 	burst  float64
 	window time.Duration
 
 	mu       sync.Mutex
-	services map[string]*spending
+	services map[string]*budgetUsage
 }
 
 const (
 	// budgetSlices is the number of slices of a window that are counted apart.
 	budgetSlices = 10
-	// budgetSafety is the part of the budget that is used. The rest covers what
+	// budgetSafetyFactor is the part of the budget that is used. The rest covers what
 	// instances know of each other's number too late.
-	budgetSafety = 0.8
+	budgetSafetyFactor = 0.8
 )
 
-// spending counts the slices of one service's window.
-type spending struct {
+// budgetUsage counts the slices of one service's window.
+type budgetUsage struct {
 	slice    int64
 	requests [budgetSlices]int
 	sends    [budgetSlices]int
 }
 
-func newBudget(ratio, burst float64, window time.Duration) *budget {
-	return &budget{ratio: ratio, burst: burst, window: window, services: make(map[string]*spending)}
+func newRetryBudget(ratio, burst float64, window time.Duration) *retryBudget {
+	return &retryBudget{ratio: ratio, burst: burst, window: window, services: make(map[string]*budgetUsage)}
 }
 
 // count notes a request for a service.
-func (b *budget) count(service string, now monotime.Instant) {
+func (b *retryBudget) count(service string, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.at(service, now)
+	s := b.usageAt(service, now)
 	s.requests[s.slice%budgetSlices]++
 }
 
 // spend takes one further send and reports whether the budget has it.
-func (b *budget) spend(service string, now monotime.Instant, members int) bool {
+func (b *retryBudget) spend(service string, now monotime.Instant, members int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.at(service, now)
+	s := b.usageAt(service, now)
 	requests, sends := 0, 0
 	for i := range budgetSlices {
 		requests += s.requests[i]
 		sends += s.sends[i]
 	}
-	room := budgetSafety * (b.ratio*float64(requests) + b.burst/float64(max(1, members)))
-	if float64(sends+1) > room {
+	limit := budgetSafetyFactor * (b.ratio*float64(requests) + b.burst/float64(max(1, members)))
+	if float64(sends+1) > limit {
 		return false
 	}
 	s.sends[s.slice%budgetSlices]++
 	return true
 }
 
-// at returns the counts of a service with the slices that are over cleared.
-func (b *budget) at(service string, now monotime.Instant) *spending {
+// usageAt returns the counts of a service with the slices that are over cleared.
+func (b *retryBudget) usageAt(service string, now monotime.Instant) *budgetUsage {
 	s := b.services[service]
 	slice := int64(now) / int64(b.window/budgetSlices)
 	if s == nil {
-		s = &spending{slice: slice}
+		s = &budgetUsage{slice: slice}
 		b.services[service] = s
 	}
 	for ; s.slice < slice; s.slice++ {
 		if slice-s.slice > budgetSlices {
-			*s = spending{slice: slice}
+			*s = budgetUsage{slice: slice}
 			break
 		}
 		next := (s.slice + 1) % budgetSlices
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -23,18 +23,18 @@
 // part of the engines, which costs each of them a little, and tells the others.
 
 const (
-	// coldStart is how long a process that starts waits for peers that know.
-	coldStart = 500 * time.Millisecond
-	// listTimeout bounds the question to one engine.
-	listTimeout = 500 * time.Millisecond
-	// listsAtOnce bounds the questions open at the same time.
-	listsAtOnce = 4
-	// mostParts bounds what is told of one engine: more than engines keep of the
+	// peerCacheWait is how long a process that starts waits for peers that know.
+	peerCacheWait = 500 * time.Millisecond
+	// cacheListTimeout bounds the question to one engine.
+	cacheListTimeout = 500 * time.Millisecond
+	// maxConcurrentLists bounds the questions open at the same time.
+	maxConcurrentLists = 4
+	// maxPartsPerEngine bounds what is told of one engine: more than engines keep of the
 	// prompts in use, some 35 of 16,000 tokens. mostPartsOfAll bounds it for all engines
 	// together: some 120 KB for each instance that starts. The busiest of 100 instances
 	// before 999 engines has 1,084 KB a second with it and 1,209 without.
-	mostParts      = 80
-	mostPartsOfAll = 5000
+	maxPartsPerEngine = 80
+	maxPartsInTotal   = 5000
 )
 
 // CacheReader asks engines what they keep.
@@ -43,40 +43,40 @@
 	Cached(ctx context.Context, server servers.Server) ([]placement.Part, error)
 }
 
-// learnCaches asks peers, and after coldStart engines, what engines keep. After a restart
+// discoverCaches asks peers, and after coldStart engines, what engines keep. After a restart
 // of all instances each of them must ask its own engines, also when others were faster:
 // what they tell is of theirs.
-func (g *Gateway) learnCaches(ctx context.Context) error {
-	sleep(ctx, coldStart)
-	if ctx.Err() != nil || g.peers.warm.Load() || g.cfg.Caches == nil {
+func (g *Gateway) discoverCaches(ctx context.Context) error {
+	sleep(ctx, peerCacheWait)
+	if ctx.Err() != nil || g.peers.cachesComplete.Load() || g.cfg.Caches == nil {
 		return nil
 	}
 	var lists errgroup.Group
-	lists.SetLimit(listsAtOnce)
-	for _, s := range g.ownEngines() {
+	lists.SetLimit(maxConcurrentLists)
+	for _, s := range g.ownedEngines() {
 		if g.fleet.board.CacheLearned(s.ID) {
 			continue
 		}
 		lists.Go(func() error {
-			g.listEngine(ctx, s)
+			g.listCache(ctx, s)
 			return nil
 		})
 	}
 	err := lists.Wait()
-	sleep(ctx, listTimeout)
-	g.peers.warm.Store(true)
+	sleep(ctx, cacheListTimeout)
+	g.peers.cachesComplete.Store(true)
 	return err
 }
 
-// ownEngines returns the engines that this instance asks.
-func (g *Gateway) ownEngines() []servers.Server {
+// ownedEngines returns the engines that this instance asks.
+func (g *Gateway) ownedEngines() []servers.Server {
 	table := g.fleet.Table()
 	if table == nil {
 		return nil
 	}
 	members := g.peers.routeMembers()
 	var out []servers.Server
-	for _, s := range g.fleet.takingRequests() {
+	for _, s := range g.fleet.acceptingServers() {
 		service := table.Service(s.Service)
 		if service == nil || service.Engine == nil {
 			continue
@@ -88,8 +88,8 @@
 	return out
 }
 
-func (g *Gateway) listEngine(ctx context.Context, s servers.Server) {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+func (g *Gateway) listCache(ctx context.Context, s servers.Server) {
+	ctx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
 	parts, err := g.cfg.Caches.Cached(ctx, s)
 	if err != nil {
@@ -101,48 +101,48 @@
 		return
 	}
 	g.fleet.board.Learn(s.ID, parts, monotime.Now())
-	told := parts[max(0, len(parts)-partsTold(g.fleet.serverCount())):]
-	g.fleet.news.caches(wire.RelayCache{Server: s.ID, Parts: encodeParts(told)})
+	recent := parts[max(0, len(parts)-partsPerEngine(g.fleet.serverCount())):]
+	g.fleet.updates.addCache(wire.RelayCache{Server: s.ID, Parts: encodeParts(recent)})
 }
 
-// partsTold is how many parts are told of each of so many engines, the most recently used
+// partsPerEngine is how many parts are told of each of so many engines, the most recently used
 // ones.
-func partsTold(engines int) int {
-	return min(mostParts, max(1, mostPartsOfAll/max(1, engines)))
+func partsPerEngine(engines int) int {
+	return min(maxPartsPerEngine, max(1, maxPartsInTotal/max(1, engines)))
 }
 
-// takeCaches believes a peer what engines keep.
-func (p *peers) takeCaches(news *wire.RelayNews) {
+// applyCaches believes a peer what engines keep.
+func (p *peers) applyCaches(update *wire.RelayNews) {
 	now := monotime.Now()
-	if len(news.Caches) > 0 {
-		p.informed.Store(true)
+	if len(update.Caches) > 0 {
+		p.cachesReceived.Store(true)
 	}
-	if news.CachesWhole {
-		p.warm.Store(true)
+	if update.CachesWhole {
+		p.cachesComplete.Store(true)
 	}
-	for _, cache := range news.Caches {
+	for _, cache := range update.Caches {
 		p.fleet.board.Learn(cache.Server, decodeParts(cache.Parts), now)
 	}
 }
 
-// caches returns what engines are believed to keep.
-func (f *fleet) caches() []wire.RelayCache {
+// cacheStates returns what engines are believed to keep.
+func (f *fleet) cacheStates() []wire.RelayCache {
 	var out []wire.RelayCache
-	for id, parts := range f.board.Kept(partsTold(f.serverCount())) {
+	for id, parts := range f.board.Kept(partsPerEngine(f.serverCount())) {
 		out = append(out, wire.RelayCache{Server: id, Parts: encodeParts(parts)})
 	}
 	return out
 }
 
-// partsAtOnce is how many parts are told in a message: some 16 KB.
-const partsAtOnce = 640
+// partsPerMessage is how many parts are told in a message: some 16 KB.
+const partsPerMessage = 640
 
 // splitCaches cuts what engines keep into messages.
 func splitCaches(caches []wire.RelayCache) (out [][]wire.RelayCache) {
 	start, parts := 0, 0
 	for i, cache := range caches {
 		parts += len(cache.Parts)
-		if parts >= partsAtOnce || i+1 == len(caches) {
+		if parts >= partsPerMessage || i+1 == len(caches) {
 			out = append(out, caches[start:i+1])
 			start, parts = i+1, 0
 		}
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -28,33 +28,33 @@
 	"basilrudder/internal/servers"
 )
 
-// bareHeaders is a protocol with the least headers.
-type bareHeaders struct{}
+// minimalProtocol is a protocol with the least headers.
+type minimalProtocol struct{}
 
-func (bareHeaders) Request(h http.Header) (relay.Request, error) {
+func (minimalProtocol) Request(h http.Header) (relay.Request, error) {
 	return relay.Request{ID: h.Get("X-Id"), Key: h.Get("X-Key")}, nil
 }
 
-func (bareHeaders) Forward(h http.Header, f relay.Forward) { h.Set("X-Server", f.Server) }
+func (minimalProtocol) Forward(h http.Header, f relay.Forward) { h.Set("X-Server", f.Server) }
 
-func (bareHeaders) Answer(_ int, h http.Header) relay.Answer {
+func (minimalProtocol) Answer(_ int, h http.Header) relay.Answer {
 	return relay.Answer{ID: h.Get("X-Id"), Signed: true}
 }
 
-func (bareHeaders) EventID([]byte) string { return "" }
+func (minimalProtocol) EventID([]byte) string { return "" }
 
 const (
-	// queueTime is how long a request waits at a server before it runs, and runTime how
+	// serverQueueTime is how long a request waits at a server before it runs, and runTime how
 	// long it runs.
-	queueTime = 150 * time.Millisecond
-	runTime   = 250 * time.Millisecond
-	// downTime is how long a server that crashed is away.
-	downTime = 2 * time.Second
+	serverQueueTime = 150 * time.Millisecond
+	serverRunTime   = 250 * time.Millisecond
+	// serverDownTime is how long a server that crashed is away.
+	serverDownTime = 2 * time.Second
 )
 
 // crashingServer is a server that crashes when it runs a request with a certain body.
 type crashingServer struct {
-	site    *crashSite
+	site    *crashCluster
 	address string
 
 	mu          sync.Mutex
@@ -63,8 +63,8 @@
 	conns       map[net.Conn]bool
 }
 
-// crashSite is a fleet before servers that may crash.
-type crashSite struct {
+// crashCluster is a fleet before servers that may crash.
+type crashCluster struct {
 	t        *testing.T
 	fleet    []*linkedInstance
 	relays   []*relay.Relay
@@ -78,8 +78,8 @@
 
 const crashBody = "crash"
 
-func newCrashSite(t *testing.T, ctx context.Context, tasks *errgroup.Group, instances, size int) *crashSite {
-	site := &crashSite{t: t, arrivals: make(map[string][]time.Time)}
+func newCrashCluster(t *testing.T, ctx context.Context, tasks *errgroup.Group, instances, size int) *crashCluster {
+	site := &crashCluster{t: t, arrivals: make(map[string][]time.Time)}
 	site.fleet = startLinked(t, ctx, tasks, instances)
 	config := &routing.Config{
 		Version: 1, Services: []routing.Service{{Name: "svc"}},
@@ -90,8 +90,8 @@
 		KeysRequired: true, Customers: []routing.Customer{{Name: "a", Keys: []string{"key-a"}}, {Name: "b", Keys: []string{"key-b"}}},
 	}
 	for _, i := range site.fleet {
-		i.fleet.adopt(config, fromStore)
-		site.relays = append(site.relays, relay.New(relay.Config{Fleet: i.fleet, Protocol: bareHeaders{}, Log: zap.NewNop(), Dial: site.dial, DrainTime: time.Minute}))
+		i.fleet.installConfig(config, fromStore)
+		site.relays = append(site.relays, relay.New(relay.Config{Fleet: i.fleet, Protocol: minimalProtocol{}, Log: zap.NewNop(), Dial: site.dial, DrainTime: time.Minute}))
 	}
 	time.Sleep(2 * time.Second)
 	for n := range size {
@@ -113,7 +113,7 @@
 	s.up = true
 	entry := servers.Server{ID: s.id(), Name: s.id(), Service: "svc", Address: s.address, Slots: 16}
 	s.mu.Unlock()
-	s.site.fleet[0].fleet.update(fromStore, func(r *servers.Registry, now monotime.Instant) []string {
+	s.site.fleet[0].fleet.changeServers(fromStore, func(r *servers.Registry, now monotime.Instant) []string {
 		s.site.revision += 2
 		entry.Revision = s.site.revision
 		r.Put(entry, now)
@@ -136,10 +136,10 @@
 	s.site.mu.Lock()
 	s.site.crashes = append(s.site.crashes, time.Now())
 	s.site.mu.Unlock()
-	time.AfterFunc(downTime, s.start)
+	time.AfterFunc(serverDownTime, s.start)
 }
 
-func (site *crashSite) dial(_ context.Context, address string) (net.Conn, error) {
+func (site *crashCluster) dial(_ context.Context, address string) (net.Conn, error) {
 	for _, s := range site.servers {
 		if s.address != address {
 			continue
@@ -175,21 +175,21 @@
 			s.site.arrivals[string(body)] = append(s.site.arrivals[string(body)], time.Now())
 			s.site.mu.Unlock()
 		}
-		time.Sleep(queueTime)
+		time.Sleep(serverQueueTime)
 		if crashes {
 			s.crash()
 			return
 		}
-		time.Sleep(runTime)
+		time.Sleep(serverRunTime)
 		if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: 2\r\n\r\nok", req.Header.Get("X-Id")); err != nil {
 			return
 		}
 	}
 }
 
-// ask sends a request to an instance and returns the status of its answer, or 0 when the
+// request sends a request to an instance and returns the status of its answer, or 0 when the
 // instance cut it off.
-func (site *crashSite) ask(instance int, path, key, body string) (status int) {
+func (site *crashCluster) request(instance int, path, key, body string) (status int) {
 	defer func() {
 		if p := recover(); p != nil && p != http.ErrAbortHandler {
 			panic(p)
@@ -203,16 +203,16 @@
 	return rec.Code
 }
 
-// callers sends requests of other callers, thirty a second, until the context ends and
+// sendOthers sends requests of other sendOthers, thirty a second, until the context ends and
 // returns which were served in their last part.
-func (site *crashSite) callers(ctx context.Context, lasts, counted time.Duration) (served, asked int) {
+func (site *crashCluster) sendOthers(ctx context.Context, lasts, measured time.Duration) (served, asked int) {
 	begun := time.Now()
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for n := 0; time.Since(begun) < lasts && ctx.Err() == nil; n++ {
-		counts := time.Since(begun) >= lasts-counted
+		counts := time.Since(begun) >= lasts-measured
 		all.Go(func() {
-			status := site.ask(n%len(site.relays), "/once/x", "key-b", fmt.Sprint("note ", n))
+			status := site.request(n%len(site.relays), "/once/x", "key-b", fmt.Sprint("note ", n))
 			mu.Lock()
 			defer mu.Unlock()
 			if counts {
@@ -228,7 +228,7 @@
 	return served, asked
 }
 
-func (site *crashSite) stop(cancel func(), tasks *errgroup.Group) {
+func (site *crashCluster) stop(cancel func(), tasks *errgroup.Group) {
 	for _, r := range site.relays {
 		r.Sweep(func(string) bool { return false })
 	}
@@ -236,7 +236,7 @@
 }
 
 // lateArrivals counts those of a body that came later than a while after the third crash.
-func (site *crashSite) lateArrivals(body string, after time.Duration) (late, all int) {
+func (site *crashCluster) lateArrivals(body string, after time.Duration) (late, all int) {
 	site.mu.Lock()
 	defer site.mu.Unlock()
 	if len(site.crashes) < 3 {
@@ -256,8 +256,8 @@
 	const (
 		lasts, counted = 20 * time.Second, 8 * time.Second
 		contact        = 3 * time.Second
-		most           = 3
-		servedLeast    = 0.95
+		maxLate        = 3
+		minServed      = 0.95
 	)
 	for _, c := range []struct {
 		path  string
@@ -267,14 +267,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			var tasks errgroup.Group
-			site := newCrashSite(t, ctx, &tasks, 3, 8)
+			site := newCrashCluster(t, ctx, &tasks, 3, 8)
 			var statuses []int
 			var mu sync.Mutex
 			tasks.Go(func() error {
 				begun := time.Now()
 				for n := 0; time.Since(begun) < lasts-time.Second; n++ {
 					tasks.Go(func() error {
-						status := site.ask(n%3, path, "key-a", crashBody)
+						status := site.request(n%3, path, "key-a", crashBody)
 						mu.Lock()
 						defer mu.Unlock()
 						statuses = append(statuses, status)
@@ -284,44 +284,44 @@
 				}
 				return nil
 			})
-			served, asked := site.callers(ctx, lasts, counted)
+			served, asked := site.sendOthers(ctx, lasts, counted)
 			late, all := site.lateArrivals(crashBody, contact)
-			if late > most {
+			if late > maxLate {
 				t.Errorf("%s: reached servers %d times, %d of them over %v after the third crash", path, all, late, contact)
 			}
-			if share := float64(served) / float64(asked); share < servedLeast {
+			if share := float64(served) / float64(asked); share < minServed {
 				t.Errorf("%s: %d of %d requests of other callers served in the last %v", path, served, asked, counted)
 			}
 			slices.Sort(statuses)
-			t.Logf("%s: %d arrivals, %d crashes, answers %v", path, all, len(site.crashes), countsOf(statuses))
+			t.Logf("%s: %d arrivals, %d crashes, answers %v", path, all, len(site.crashes), countByStatus(statuses))
 			site.stop(cancel, &tasks)
 		})
 	}
 }
 
 // Guards against an instance that starts later and sends on what all others know to crash servers.
-func TestCrashesAreToldToInstancesThatComeLater(t *testing.T) {
+func TestCrashesReachInstancesThatStartLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks errgroup.Group
-		known := crashes.Fingerprint{1}
+		poison := crashes.Fingerprint{1}
 		passProcessStart()
 		host := fastHosts()
 		early := startLinkedOver(t, ctx, &tasks, 2, host)
 		time.Sleep(time.Second)
 		for n := range 3 {
 			// Two instances each see a part of the crashes.
-			early[n%2].fleet.Crashed(crashes.Crash{Request: known, Customer: "a", Server: fmt.Sprint("s", n), At: monotime.Now()}, monotime.Now())
+			early[n%2].fleet.Crashed(crashes.Crash{Request: poison, Customer: "a", Server: fmt.Sprint("s", n), At: monotime.Now()}, monotime.Now())
 		}
 		time.Sleep(100 * time.Millisecond)
 		for _, i := range early {
-			if !i.fleet.Culprit(known, monotime.Now()) {
+			if !i.fleet.Culprit(poison, monotime.Now()) {
 				t.Errorf("%s does not know of it", i.fleet.self)
 			}
 		}
 		late := startLinkedFrom(t, ctx, &tasks, 2, 1, host)[0]
 		time.Sleep(time.Second)
-		if !late.fleet.Culprit(known, monotime.Now()) {
+		if !late.fleet.Culprit(poison, monotime.Now()) {
 			t.Error("an instance that starts later does not know of it")
 		}
 		stopLinked(t, cancel, &tasks)
@@ -335,7 +335,7 @@
 	request := crashes.Fingerprint{1}
 	f.Crashed(crashes.Crash{Request: request, Server: "s", At: now}, now)
 	const age = 20_000
-	news := f.crashes.take("peer", []wire.RelayCrash{{Request: request[:], AgeMS: age}}, now)
+	news := f.crashes.receive("peer", []wire.RelayCrash{{Request: request[:], AgeMS: age}}, now)
 	if len(news) != 1 || news[0].AgeMS != age {
 		t.Errorf("passed on as %+v", news)
 	}
@@ -345,17 +345,17 @@
 func TestDamagedCrashesAreRefused(t *testing.T) {
 	f, _, _ := newFleet()
 	now := monotime.Instant(time.Hour)
-	for _, told := range []wire.RelayCrash{
+	for _, crash := range []wire.RelayCrash{
 		{Request: []byte("short"), Server: "s"}, {Server: "s"},
 		{Request: make([]byte, 16), Server: "s", AgeMS: -1}, {Request: make([]byte, 16), Server: "s", AgeMS: 1 << 62},
 	} {
-		if news := f.crashes.take("peer", []wire.RelayCrash{told}, now); len(news) > 0 || f.Suspects() {
-			t.Errorf("%+v was believed", told)
+		if news := f.crashes.receive("peer", []wire.RelayCrash{crash}, now); len(news) > 0 || f.Suspects() {
+			t.Errorf("%+v was believed", crash)
 		}
 	}
 }
 
-func countsOf(statuses []int) map[int]int {
+func countByStatus(statuses []int) map[int]int {
 	out := make(map[int]int)
 	for _, status := range statuses {
 		out[status]++
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -12,17 +12,17 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// crashesAtOnce is how many crashes are told in a message: some 16 KB.
-const crashesAtOnce = 256
+// crashesPerMessage is how many crashes are told in a message: some 16 KB.
+const crashesPerMessage = 256
 
-// crashBook is what this instance knows of requests that crash servers, shared with all
+// crashTracker is what this instance knows of requests that crash servers, shared with all
 // others.
-type crashBook struct {
-	log  *zap.Logger
-	news *newsroom
+type crashTracker struct {
+	log     *zap.Logger
+	updates *updateBatcher
 
-	// known is the number of requests in the book, so that calm costs nothing.
-	known atomic.Int64
+	// suspects is the number of requests in the book, so that calm costs nothing.
+	suspects atomic.Int64
 	// refused counts requests that were not sent on.
 	refused atomic.Int64
 
@@ -30,29 +30,29 @@
 	book *crashes.Book
 }
 
-func newCrashBook(news *newsroom, log *zap.Logger) *crashBook {
-	return &crashBook{log: log, news: news, book: crashes.NewBook()}
+func newCrashTracker(news *updateBatcher, log *zap.Logger) *crashTracker {
+	return &crashTracker{log: log, updates: news, book: crashes.NewBook()}
 }
 
 // Suspects implements relay.Fleet.
-func (f *fleet) Suspects() bool { return f.crashes.known.Load() > 0 }
+func (f *fleet) Suspects() bool { return f.crashes.suspects.Load() > 0 }
 
 // Culprit implements relay.Fleet.
 func (f *fleet) Culprit(request crashes.Fingerprint, now monotime.Instant) bool {
-	return f.crashes.culprit(request, now)
+	return f.crashes.isPoison(request, now)
 }
 
 // Crashed implements relay.Fleet.
 func (f *fleet) Crashed(crash crashes.Crash, now monotime.Instant) {
-	f.crashes.tell(f.crashes.add(f.self, []crashes.Crash{crash}, now))
+	f.crashes.broadcast(f.crashes.add(f.self, []crashes.Crash{crash}, now))
 }
 
 // Survived implements relay.Fleet.
 func (f *fleet) Survived(request crashes.Fingerprint, now monotime.Instant) {
-	f.crashes.tell(f.crashes.addServed(request, now, now))
+	f.crashes.broadcast(f.crashes.addServed(request, now, now))
 }
 
-func (c *crashBook) culprit(request crashes.Fingerprint, now monotime.Instant) bool {
+func (c *crashTracker) isPoison(request crashes.Fingerprint, now monotime.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := c.book.Culprit(request, now)
@@ -63,7 +63,7 @@
 }
 
 // add takes crashes and returns what of them is news.
-func (c *crashBook) add(from string, list []crashes.Crash, now monotime.Instant) (news []wire.RelayCrash) {
+func (c *crashTracker) add(from string, list []crashes.Crash, now monotime.Instant) (added []wire.RelayCrash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, crash := range list {
@@ -71,47 +71,47 @@
 		if !fresh {
 			continue
 		}
-		news = append(news, encodeCrash(crash, now))
+		added = append(added, encodeCrash(crash, now))
 		if culprit {
 			c.log.Warn("request_crashes_servers", zap.String("from", from), zap.Binary("fingerprint", crash.Request[:]),
 				zap.String("customer", crash.Customer), zap.String("server", crash.Server), zap.Duration("age_ms", now.Sub(crash.At)))
 		}
 	}
-	c.known.Store(int64(c.book.Len()))
-	return news
+	c.suspects.Store(int64(c.book.Len()))
+	return added
 }
 
 // addServed takes a run without a crash and returns what of it is news.
-func (c *crashBook) addServed(request crashes.Fingerprint, at, now monotime.Instant) []wire.RelayCrash {
+func (c *crashTracker) addServed(request crashes.Fingerprint, at, now monotime.Instant) []wire.RelayCrash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.book.Served(request, at) {
 		return nil
 	}
-	return []wire.RelayCrash{{Request: request[:], AgeMS: ageOf(at, now)}}
+	return []wire.RelayCrash{{Request: request[:], AgeMS: ageMS(at, now)}}
 }
 
-// tell tells all peers.
-func (c *crashBook) tell(news []wire.RelayCrash) {
-	if len(news) > 0 {
-		c.news.crashes(news)
+// broadcast tells all peers.
+func (c *crashTracker) broadcast(list []wire.RelayCrash) {
+	if len(list) > 0 {
+		c.updates.addCrashes(list)
 	}
 }
 
 // expire forgets what has not come for long.
-func (c *crashBook) expire(now monotime.Instant) {
-	if c.known.Load() == 0 {
+func (c *crashTracker) expire(now monotime.Instant) {
+	if c.suspects.Load() == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.book.Expire(now)
-	c.known.Store(int64(c.book.Len()))
+	c.suspects.Store(int64(c.book.Len()))
 }
 
-// all returns all that is known, for a peer that may have missed some.
-func (c *crashBook) all(now monotime.Instant) (out []wire.RelayCrash) {
-	if c.known.Load() == 0 {
+// encodeAll returns encodeAll that is known, for a peer that may have missed some.
+func (c *crashTracker) encodeAll(now monotime.Instant) (out []wire.RelayCrash) {
+	if c.suspects.Load() == 0 {
 		return nil
 	}
 	c.mu.Lock()
@@ -120,66 +120,66 @@
 		out = append(out, encodeCrash(crash, now))
 	}
 	for request, at := range c.book.ServedAt() {
-		out = append(out, wire.RelayCrash{Request: request[:], AgeMS: ageOf(at, now)})
+		out = append(out, wire.RelayCrash{Request: request[:], AgeMS: ageMS(at, now)})
 	}
 	return out
 }
 
-// take takes what a peer tells and returns what of it is news here.
-func (c *crashBook) take(from string, told []wire.RelayCrash, now monotime.Instant) (news []wire.RelayCrash) {
+// receive takes what a peer tells and returns what of it is news here.
+func (c *crashTracker) receive(from string, received []wire.RelayCrash, now monotime.Instant) (fresh []wire.RelayCrash) {
 	var list []crashes.Crash
-	for _, t := range told {
+	for _, t := range received {
 		crash, ok := decodeCrash(t, now)
 		switch {
 		case !ok:
 			c.log.Warn("crash_unreadable", zap.String("from", from), zap.Int("bytes", len(t.Request)), zap.Int("age_ms", t.AgeMS))
 		case crash.Server == "":
-			news = append(news, c.addServed(crash.Request, crash.At, now)...)
+			fresh = append(fresh, c.addServed(crash.Request, crash.At, now)...)
 		default:
 			list = append(list, crash)
 		}
 	}
-	return append(news, c.add(from, list, now)...)
+	return append(fresh, c.add(from, list, now)...)
 }
 
 func encodeCrash(crash crashes.Crash, now monotime.Instant) wire.RelayCrash {
-	return wire.RelayCrash{Request: crash.Request[:], Customer: crash.Customer, Server: crash.Server, AgeMS: ageOf(crash.At, now)}
+	return wire.RelayCrash{Request: crash.Request[:], Customer: crash.Customer, Server: crash.Server, AgeMS: ageMS(crash.At, now)}
 }
 
-func ageOf(at, now monotime.Instant) int { return int(max(0, now.Sub(at)).Milliseconds()) }
+func ageMS(at, now monotime.Instant) int { return int(max(0, now.Sub(at)).Milliseconds()) }
 
-func decodeCrash(told wire.RelayCrash, now monotime.Instant) (out crashes.Crash, ok bool) {
-	if len(told.Request) != len(out.Request) || told.AgeMS < 0 || told.AgeMS > int(crashes.Memory.Milliseconds()) {
+func decodeCrash(received wire.RelayCrash, now monotime.Instant) (out crashes.Crash, ok bool) {
+	if len(received.Request) != len(out.Request) || received.AgeMS < 0 || received.AgeMS > int(crashes.Memory.Milliseconds()) {
 		return out, false
 	}
-	copy(out.Request[:], told.Request)
-	out.Customer, out.Server = told.Customer, told.Server
-	out.At = now.Add(-time.Duration(told.AgeMS) * time.Millisecond)
+	copy(out.Request[:], received.Request)
+	out.Customer, out.Server = received.Customer, received.Server
+	out.At = now.Add(-time.Duration(received.AgeMS) * time.Millisecond)
 	return out, true
 }
 
-// takeCrashes takes what a peer tells of crashes. What it tells this instance alone is
+// applyCrashes takes what a peer tells of crashes. What it tells this instance alone is
 // passed on: there was no way between the two, and so perhaps none between others.
-func (p *peers) takeCrashes(from string, news *wire.RelayNews, direct bool) {
-	if len(news.Crashes) == 0 {
+func (p *peers) applyCrashes(from string, update *wire.RelayNews, direct bool) {
+	if len(update.Crashes) == 0 {
 		return
 	}
 	now := monotime.Now()
-	fresh := p.fleet.crashes.take(from, news.Crashes, now)
+	fresh := p.fleet.crashes.receive(from, update.Crashes, now)
 	if direct {
-		p.fleet.crashes.tell(fresh)
+		p.fleet.crashes.broadcast(fresh)
 	}
 }
 
-// crashState is what the metrics tell of requests that crash servers.
-type crashState struct {
+// crashMetrics is what the metrics tell of requests that crash servers.
+type crashMetrics struct {
 	Suspects int   `json:"suspects"`
 	Culprits int   `json:"culprits"`
 	Refused  int64 `json:"refused"`
 }
 
-func (c *crashBook) state() crashState {
+func (c *crashTracker) metrics() crashMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return crashState{Suspects: c.book.Len(), Culprits: c.book.Culprits(), Refused: c.refused.Load()}
+	return crashMetrics{Suspects: c.book.Len(), Culprits: c.book.Culprits(), Refused: c.refused.Load()}
 }
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -10,14 +10,14 @@
 	"basilrudder/internal/servers"
 )
 
-// takeEvacuations takes evacuations that began or ended, as the store or a peer says.
-func (f *fleet) takeEvacuations(from string, told []servers.Evacuation) {
-	if len(told) == 0 {
+// applyEvacuations takes evacuations that began or ended, as the store or a peer says.
+func (f *fleet) applyEvacuations(from string, list []servers.Evacuation) {
+	if len(list) == 0 {
 		return
 	}
 	now := monotime.Now()
-	f.evacuate(from, func(r *servers.Registry) (changed []servers.Evacuation) {
-		for _, e := range told {
+	f.changeEvacuations(from, func(r *servers.Registry) (changed []servers.Evacuation) {
+		for _, e := range list {
 			if r.Plausible(e.Revision) && r.Evacuate(e, now) {
 				changed = append(changed, e)
 			}
@@ -26,15 +26,15 @@
 	})
 }
 
-// evacuate runs a change of what the registry knows of evacuations and tells the peers
+// changeEvacuations runs a change of what the registry knows of evacuations and tells the peers
 // of what changed. The servers of a data centre that is taken back count as cold.
-func (f *fleet) evacuate(from string, change func(r *servers.Registry) []servers.Evacuation) {
+func (f *fleet) changeEvacuations(from string, change func(r *servers.Registry) []servers.Evacuation) {
 	now := monotime.Now()
-	lasts := func(service string) time.Duration { return f.coldLimit(service).Lasts }
+	coldStart := func(service string) time.Duration { return f.coldLimit(service).Lasts }
 	f.mu.Lock()
 	before := f.registry.Latest()
 	changed := change(f.registry)
-	f.noteEra(from, before, f.registry.Latest())
+	f.recordEraChange(from, before, f.registry.Latest())
 	if len(changed) == 0 {
 		f.mu.Unlock()
 		return
@@ -42,13 +42,13 @@
 	var cold []string
 	for _, e := range changed {
 		if !e.Active {
-			cold = append(cold, f.registry.AssumeCold(e.DataCentre, lasts, e.Revision, now)...)
+			cold = append(cold, f.registry.AssumeCold(e.DataCentre, coldStart, e.Revision, now)...)
 		}
 	}
 	for _, id := range cold {
 		f.throttle.SetCold(id, f.registry.ColdUntil(id))
 	}
-	f.listServers(f.table.Load())
+	f.rebuildServerLists(f.table.Load())
 	f.digest.Store(int64(f.registry.Digest() >> 1))
 	f.mu.Unlock()
 	for _, e := range changed {
@@ -56,12 +56,12 @@
 			zap.String("from", from), zap.Stringer("revision", e.Revision), zap.Int("cold_servers", len(cold)))
 	}
 	if from == fromStore || from == fromTimer {
-		f.news.evacuations(encodeEvacuations(changed))
+		f.updates.addEvacuations(encodeEvacuations(changed))
 	}
 }
 
-// evacuated returns the data centres whose servers get nothing, by name.
-func (f *fleet) evacuated() []string {
+// evacuatedDataCentres returns the data centres whose servers get nothing, by name.
+func (f *fleet) evacuatedDataCentres() []string {
 	out := []string{}
 	for _, e := range f.allEvacuations() {
 		if e.Active {
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -58,40 +58,40 @@
 
 // The store turns an instance away while a data centre is emptied. A peer that hears
 // the store tells it; a late word of another peer does not bring the data centre back.
-func TestAPeersWordEmptiesADataCentre(t *testing.T) {
+func TestPeerUpdateEvacuatesDataCentre(t *testing.T) {
 	f, _, _ := newFleet()
-	f.adopt(config(1), fromStore)
+	f.installConfig(config(1), fromStore)
 	p := linkedPeers(f, "me", wire.RelayMember{ID: "reader"}, wire.RelayMember{ID: "late"})
 	put(f, fromStore, entryIn("a", "north", 1))
 	put(f, fromStore, entryIn("b", "south", 2))
-	p.take("late", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Revision: 3}}})
-	p.take("reader", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Active: true, Revision: 7}}})
-	p.take("late", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Revision: 3}}})
+	p.receive("late", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Revision: 3}}})
+	p.receive("reader", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Active: true, Revision: 7}}})
+	p.receive("late", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Revision: 3}}})
 	if diff := cmp.Diff([]string{"b"}, ready(f)); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"north"}, f.evacuated()); diff != "" {
+	if diff := cmp.Diff([]string{"north"}, f.evacuatedDataCentres()); diff != "" {
 		t.Error("told to operators", diff)
 	}
 }
 
 // What the store told this instance alone reaches its peers: with the news of the
 // change, and in the state that a peer asks for which has missed it.
-func TestEvacuationsAreToldToPeers(t *testing.T) {
+func TestEvacuationsAreSentToPeers(t *testing.T) {
 	f, fd, _ := newFleet()
 	p := linkedPeers(f, "me", wire.RelayMember{ID: "peer"})
-	var told []wire.RelayEvacuation
-	f.news.send = func(n *wire.RelayNews, _ monotime.Instant, _ bool) { told = append(told, n.Evacuations...) }
-	fd.take(&Changes{Evacuations: []servers.Evacuation{evacuation("north", true, 4)}, Revision: 4})
-	f.news.flush()
+	var sent []wire.RelayEvacuation
+	f.updates.send = func(n *wire.RelayNews, _ monotime.Instant, _ bool) { sent = append(sent, n.Evacuations...) }
+	fd.applyChanges(&Changes{Evacuations: []servers.Evacuation{evacuation("north", true, 4)}, Revision: 4})
+	f.updates.flush()
 	want := []wire.RelayEvacuation{{DataCentre: "north", Active: true, Revision: 4}}
-	if diff := cmp.Diff(want, told); diff != "" {
+	if diff := cmp.Diff(want, sent); diff != "" {
 		t.Error("news", diff)
 	}
-	if diff := cmp.Diff(want, p.stateNews().Evacuations); diff != "" {
+	if diff := cmp.Diff(want, p.stateUpdate().Evacuations); diff != "" {
 		t.Error("state", diff)
 	}
-	data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{p.stateNews()}})
+	data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{p.stateUpdate()}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,13 +109,13 @@
 // and again for servers that it knows.
 func TestWithAllDataCentresEvacuatedCallersAreRefused(t *testing.T) {
 	f, fd, _ := newFleet()
-	f.adopt(config(1), fromStore)
+	f.installConfig(config(1), fromStore)
 	put(f, fromStore, entryIn("a", "north", 1))
-	f.takeEvacuations(fromStore, []servers.Evacuation{evacuation("north", true, 2)})
+	f.applyEvacuations(fromStore, []servers.Evacuation{evacuation("north", true, 2)})
 	if _, refusal := f.Place("svc", placement.Work{}, nil, monotime.Now()); refusal != placement.NoneReachable {
 		t.Errorf("placed: %v", refusal)
 	}
-	if f.serverCount() != 1 || fd.cold() {
+	if f.serverCount() != 1 || fd.lacksState() {
 		t.Error("the instance takes itself for one that knows no servers")
 	}
 }
@@ -128,8 +128,8 @@
 	}}}
 }
 
-// placed counts the requests that a fleet of one may begin within a second.
-func placed(t *testing.T, f *fleet) int {
+// countPlaced counts the requests that a fleet of one may begin within a second.
+func countPlaced(t *testing.T, f *fleet) int {
 	t.Helper()
 	n := 0
 	work := placement.Work{Prompt: 100, Output: 10, Goal: time.Second, Left: time.Minute}
@@ -154,25 +154,25 @@
 		passProcessStart()
 		f, fd, _ := newFleet()
 		time.Sleep(2 * time.Second)
-		f.adopt(engines(), fromStore)
+		f.installConfig(engines(), fromStore)
 		put(f, fromStore, entryIn("a", "north", 1))
-		if n := placed(t, f); n != 100 {
+		if n := countPlaced(t, f); n != 100 {
 			t.Errorf("%d of 100 before", n)
 		}
-		fd.take(&Changes{Evacuations: []servers.Evacuation{evacuation("north", true, 2)}, Revision: 2})
+		fd.applyChanges(&Changes{Evacuations: []servers.Evacuation{evacuation("north", true, 2)}, Revision: 2})
 		time.Sleep(time.Second)
-		fd.take(&Changes{Evacuations: []servers.Evacuation{evacuation("north", false, 3)}, Revision: 3})
-		if n := placed(t, f); n < 4 || n > 6 {
+		fd.applyChanges(&Changes{Evacuations: []servers.Evacuation{evacuation("north", false, 3)}, Revision: 3})
+		if n := countPlaced(t, f); n < 4 || n > 6 {
 			t.Errorf("%d in the first second, of a server that bears 6", n)
 		}
 		cold := entryIn("a", "north", 4)
 		cold.ColdLeft = 3 * time.Second
 		put(f, fromStore, cold)
-		if n := placed(t, f); n < 4 || n > 6 {
+		if n := countPlaced(t, f); n < 4 || n > 6 {
 			t.Errorf("%d once its entry says that it is cold", n)
 		}
 		put(f, fromStore, entryIn("a", "north", 5))
-		if n := placed(t, f); n != 100 {
+		if n := countPlaced(t, f); n != 100 {
 			t.Errorf("%d of 100 once its entry says that it is warm", n)
 		}
 	})
@@ -186,15 +186,15 @@
 		passProcessStart()
 		f, _, _ := newFleet()
 		time.Sleep(2 * time.Second)
-		f.adopt(engines(), fromStore)
+		f.installConfig(engines(), fromStore)
 		put(f, fromStore, entryIn("a", "north", 1))
 		f.Observe("a", placement.Unreachable, monotime.Now())
 		time.Sleep(300 * time.Millisecond)
-		if n := placed(t, f); n < 4 || n > 6 {
+		if n := countPlaced(t, f); n < 4 || n > 6 {
 			t.Errorf("%d in the first second, of a server that bears 6", n)
 		}
-		f.heard.Store(int64(monotime.Now()))
-		if n := placed(t, f); n != 100 {
+		f.confirmedByStore.Store(int64(monotime.Now()))
+		if n := countPlaced(t, f); n != 100 {
 			t.Errorf("%d of 100 once the store vouches for it", n)
 		}
 	})
@@ -220,15 +220,15 @@
 // All servers of a service crash at once. Callers come back once, so those of an outage
 // for all are told a later time than those of an instance that alone reaches none. News of
 // what others send tell which it is.
-func TestAnOutageForAllIsToldFromOneOfThisInstance(t *testing.T) {
+func TestServiceOutageIsDistinguishedFromLocalOutage(t *testing.T) {
 	f, _, _ := newFleet()
-	f.adopt(config(1), fromStore)
+	f.installConfig(config(1), fromStore)
 	p := linkedPeers(f, "me", wire.RelayMember{ID: "peer"})
 	put(f, fromStore, entryIn("a", "north", 1))
 	if f.Serving("svc", monotime.Now()) {
 		t.Error("nobody has sent anything")
 	}
-	p.takeRuns("peer", &wire.RelayNews{Begun: []wire.RelayRun{{Number: 1, Server: "a"}}}, monotime.Now())
+	p.applyRuns("peer", &wire.RelayNews{Begun: []wire.RelayRun{{Number: 1, Server: "a"}}}, monotime.Now())
 	if !f.Serving("svc", monotime.Now()) {
 		t.Error("a peer reaches it")
 	}
@@ -242,14 +242,14 @@
 // get nothing then: 163 of them in the first half second of one that lasted 1.5 s. News of
 // what others had begun just before the crash, some of them still on their way, were taken
 // for a sign that others reach a server.
-func TestAnOutageForAllIsKnownAtOnce(t *testing.T) {
+func TestServiceOutageIsDetectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
 		f, _, _ := newFleet()
-		f.adopt(config(1), fromStore)
+		f.installConfig(config(1), fromStore)
 		p := linkedPeers(f, "me", wire.RelayMember{ID: "peer"})
 		begun := func(server string) {
-			p.takeRuns("peer", &wire.RelayNews{Begun: []wire.RelayRun{{Number: 1, Server: server}}}, monotime.Now())
+			p.applyRuns("peer", &wire.RelayNews{Begun: []wire.RelayRun{{Number: 1, Server: server}}}, monotime.Now())
 		}
 		all := []string{"a", "b", "c"}
 		for n, id := range all {
@@ -271,13 +271,13 @@
 		if f.Serving("svc", monotime.Now()) {
 			t.Error("30 ms later: taken for served, by news that were on their way")
 		}
-		time.Sleep(newsTravel)
+		time.Sleep(updateTravelTime)
 		begun("a")
 		if !f.Serving("svc", monotime.Now()) {
 			t.Error("a peer reaches a server, but callers are told of an outage")
 		}
 		f.Begin(relay.Target{Server: servers.Server{ID: "b", Service: "svc"}}, placement.Work{}, monotime.Now())
-		time.Sleep(newsTravel)
+		time.Sleep(updateTravelTime)
 		begun("c")
 		unreachable()
 		if f.Serving("svc", monotime.Now()) {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -25,23 +25,23 @@
 	self   string
 	log    *zap.Logger
 	board  *placement.Board
-	budget *budget
+	budget *retryBudget
 	// throttle bounds what this instance sends to servers that bear few requests.
 	throttle *throttle.Limiter
-	outages  *outages
-	crashes  *crashBook
+	outages  *outageDetector
+	crashes  *crashTracker
 	regions  regions
 	members  func() int // instances known, this one among them
 	confirm  func(ctx context.Context) bool
 	publish  func(config *routing.Config) // has peers fetch it
-	news     *newsroom
+	updates  *updateBatcher
 
 	table atomic.Pointer[routing.Table]
-	// heard is when the store last answered this instance, as a monotime.Instant.
-	heard atomic.Int64
-	// vouched is when the store last answered an instance that has the same
+	// confirmedByStore is when the store last answered this instance, as a monotime.Instant.
+	confirmedByStore atomic.Int64
+	// confirmedByPeer is when the store last answered an instance that has the same
 	// version in force, as a monotime.Instant.
-	vouched atomic.Int64
+	confirmedByPeer atomic.Int64
 
 	// eraSince is when this instance heard that the store is back from an older copy, as a
 	// monotime.Instant; 0 for never.
@@ -49,9 +49,9 @@
 
 	// digest is that of the registry, cut to an int.
 	digest atomic.Int64
-	// limited is the number of servers that name a limit, so that answers of others cost
+	// limitedCount is the number of servers that name a limit, so that answers of others cost
 	// nothing while there is none.
-	limited atomic.Int64
+	limitedCount atomic.Int64
 
 	mu       sync.Mutex // guards registry, byService, sources
 	registry *servers.Registry
@@ -61,7 +61,7 @@
 	// sources are the servers of evacuated data centres, rebuilt and read likewise.
 	sources map[string][]servers.Server
 
-	number atomic.Int64 // of the last own run
+	lastRun atomic.Int64 // of the last own run
 }
 
 var _ relay.Fleet = (*fleet)(nil)
@@ -70,10 +70,10 @@
 // seconds before its start. Ages since then do not overflow.
 const never = monotime.Instant(math.MinInt64 / 2)
 
-// neverHeard resets what is known of the store's last answers.
-func (f *fleet) neverHeard() {
-	f.heard.Store(int64(never))
-	f.vouched.Store(int64(never))
+// resetConfirmations resets what is known of the store's last answers.
+func (f *fleet) resetConfirmations() {
+	f.confirmedByStore.Store(int64(never))
+	f.confirmedByPeer.Store(int64(never))
 }
 
 // Table implements relay.Fleet.
@@ -82,20 +82,20 @@
 // Confirm implements relay.Fleet.
 func (f *fleet) Confirm(ctx context.Context) bool { return f.confirm(ctx) }
 
-// adopt puts a configuration in force unless one at least as new is. It reports
+// installConfig puts a configuration in force unless one at least as new is. It reports
 // whether it did. A version never goes back while the process lives.
-func (f *fleet) adopt(config *routing.Config, from string) bool {
-	done, err := f.enforce(config, from)
+func (f *fleet) installConfig(config *routing.Config, from string) bool {
+	done, err := f.tryInstallConfig(config, from)
 	if err != nil {
 		f.log.Error("config_refused", zap.Int64("version", config.Version), zap.String("from", from), eventlog.Cause(err))
 	}
 	return done
 }
 
-// enforce is adopt, and returns why a configuration can't be put in force. The table is
+// tryInstallConfig is adopt, and returns why a configuration can't be put in force. The table is
 // built without the lock, which changes of servers take too.
-func (f *fleet) enforce(config *routing.Config, from string) (done bool, err error) {
-	if config == nil || f.version() >= config.Version {
+func (f *fleet) tryInstallConfig(config *routing.Config, from string) (done bool, err error) {
+	if config == nil || f.configVersion() >= config.Version {
 		return false, nil
 	}
 	table, err := routing.NewTable(config)
@@ -103,60 +103,60 @@
 		return false, err
 	}
 	f.mu.Lock()
-	was := f.version()
+	was := f.configVersion()
 	if was >= config.Version {
 		f.mu.Unlock()
 		return false, nil
 	}
 	f.table.Store(table)
-	f.listServers(table)
+	f.rebuildServerLists(table)
 	f.mu.Unlock()
 	f.log.Info("config_in_force",
 		zap.Int64("version", config.Version), zap.Int64("was", was), zap.String("from", from),
 		zap.Int("routes", len(config.Routes)), zap.Int("customers", len(config.Customers)))
-	f.news.soon()
+	f.updates.sendStatus()
 	return true, nil
 }
 
-// version of the configuration in force; 0 for none.
-func (f *fleet) version() int64 {
+// configVersion of the configuration in force; 0 for none.
+func (f *fleet) configVersion() int64 {
 	if table := f.table.Load(); table != nil {
 		return table.Version()
 	}
 	return 0
 }
 
-// take is adopt for what the store tells; peers may fetch it from this instance then.
-func (f *fleet) take(config *routing.Config, from string) {
-	if f.adopt(config, from) {
+// installAndPublish is adopt for what the store tells; peers may fetch it from this instance then.
+func (f *fleet) installAndPublish(config *routing.Config, from string) {
+	if f.installConfig(config, from) {
 		f.publish(config)
 	}
 }
 
-// status fills in what is in force here, for peers.
-func (f *fleet) status(own *wire.RelayNews) {
-	own.Digest = int(f.digest.Load())
-	own.ConfigVersion = int(f.version())
+// fillStatus fills in what is in force here, for peers.
+func (f *fleet) fillStatus(update *wire.RelayNews) {
+	update.Digest = int(f.digest.Load())
+	update.ConfigVersion = int(f.configVersion())
 	// What others vouched for is passed on: an instance that subscribes to one that
 	// does not read the store would read it too.
 	if at := f.confirmedAt(); at != never {
-		own.Confirmed = 1 + int(monotime.Now().Sub(at).Milliseconds())
+		update.Confirmed = 1 + int(monotime.Now().Sub(at).Milliseconds())
 	}
 }
 
-// vouch takes a peer's word that the version was the newest at an instant.
-func (f *fleet) vouch(version int64, at monotime.Instant) {
-	if version == 0 || f.version() != version {
+// confirmVersion takes a peer's word that the version was the newest at an instant.
+func (f *fleet) confirmVersion(version int64, at monotime.Instant) {
+	if version == 0 || f.configVersion() != version {
 		return
 	}
-	raise(&f.vouched, at)
+	advance(&f.confirmedByPeer, at)
 }
 
-// raise sets an instant unless a later one is set.
-func raise(to *atomic.Int64, at monotime.Instant) {
+// advance sets an instant unless a later one is set.
+func advance(to *atomic.Int64, at monotime.Instant) {
 	for {
-		was := to.Load()
-		if int64(at) <= was || to.CompareAndSwap(was, int64(at)) {
+		current := to.Load()
+		if int64(at) <= current || to.CompareAndSwap(current, int64(at)) {
 			return
 		}
 	}
@@ -165,37 +165,37 @@
 // confirmedAt is when the version in force was last known to be the newest, or
 // never.
 func (f *fleet) confirmedAt() monotime.Instant {
-	return monotime.Instant(max(f.heard.Load(), f.vouched.Load()))
+	return monotime.Instant(max(f.confirmedByStore.Load(), f.confirmedByPeer.Load()))
 }
 
-// storeWord is when the entries of servers were last known to be the newest. A store that
+// serversConfirmedAt is when the entries of servers were last known to be the newest. A store that
 // is back from an older copy vouches for none until servers had time to write again.
-func (f *fleet) storeWord(now monotime.Instant) monotime.Instant {
-	word := f.confirmedAt()
+func (f *fleet) serversConfirmedAt(now monotime.Instant) monotime.Instant {
+	confirmed := f.confirmedAt()
 	since := monotime.Instant(f.eraSince.Load())
 	if since != 0 && now.Sub(since) < servers.EraGrace {
-		return min(word, since)
+		return min(confirmed, since)
 	}
-	return word
+	return confirmed
 }
 
 // Observe implements relay.Fleet.
 func (f *fleet) Observe(server string, outcome placement.Outcome, now monotime.Instant) {
 	if outcome == placement.Unreachable {
 		f.throttle.Lost(server)
-		f.noteUnreachable(server, now)
+		f.recordUnreachable(server, now)
 	}
 	if f.board.Observe(server, outcome, now) {
 		f.log.Info("server_reachability", zap.String("server", server), zap.Bool("reachable", outcome == placement.Served))
 	}
 }
 
-func (f *fleet) noteUnreachable(server string, now monotime.Instant) {
+func (f *fleet) recordUnreachable(server string, now monotime.Instant) {
 	f.mu.Lock()
 	s, ok := f.registry.Get(server)
 	f.mu.Unlock()
 	if ok {
-		f.outages.unreachable(s.Service, server, now)
+		f.outages.recordUnreachable(s.Service, server, now)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,27 +26,27 @@
 )
 
 const (
-	// tick is the interval of what is done regularly.
-	tick = 100 * time.Millisecond
-	// sweepTicks is the number of ticks between sweeps of idle connections.
-	sweepTicks = 10
+	// tickInterval is the interval of what is done regularly.
+	tickInterval = 100 * time.Millisecond
+	// ticksPerSweep is the number of ticks between sweeps of idle connections.
+	ticksPerSweep = 10
 	// headerTimeout and idleTimeout bound a caller's connection. Configured
 	// limits are tighter on the header and may change; a connection that is kept
 	// longer than they say harms nobody, one that closes early loses a request.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// headerBytes bounds a request's header in bytes.
-	headerBytes = 64 << 10
-	// endReserve is kept between the end of the drain and the kill.
-	endReserve = 700 * time.Millisecond
-	// drainLeast is how long a leaving instance stays although it has nothing to
+	// maxHeaderBytes bounds a request's header in bytes.
+	maxHeaderBytes = 64 << 10
+	// drainReserve is kept between the end of the drain and the kill.
+	drainReserve = 700 * time.Millisecond
+	// minDrain is how long a leaving instance stays although it has nothing to
 	// do: callers use a directory answer up to three times as long as they may.
-	drainLeast = 4 * time.Second
+	minDrain = 4 * time.Second
 	// isolatedAfter is how long an instance that hears neither the store nor a
 	// peer still counts as able to serve.
 	isolatedAfter = 1500 * time.Millisecond
-	// noKey stands for the secret of links where none is set.
-	noKey = "no-secret-is-set"
+	// defaultLinkSecret stands for the secret of links where none is set.
+	defaultLinkSecret = "no-secret-is-set"
 	// linkKeyID names the key of the links.
 	linkKeyID = "relay"
 )
@@ -66,9 +66,9 @@
 // bulkShare is the share of an instance's link that configurations may take.
 const bulkShare = 0.5
 
-// timingOf returns the times and bounds of links between instances for a machine whose link
+// linkTimingFor returns the times and bounds of links between instances for a machine whose link
 // has so many Mbit/s; 0 for unknown.
-func timingOf(linkMbps float64) peer.Timing {
+func linkTimingFor(linkMbps float64) peer.Timing {
 	const bytesPerMegabit = 1e6 / 8
 	out := linkTiming
 	out.BulkBytes = int(bulkShare * linkMbps * bytesPerMegabit)
@@ -105,15 +105,15 @@
 
 	leaving  atomic.Bool
 	isolated atomic.Bool
-	// begun is when the process began.
-	begun monotime.Instant
+	// started is when the process began.
+	started monotime.Instant
 	// reload asks for the settings to be read at once.
 	reload chan struct{}
 	// Of the regular task alone: the seeds in use, what was last logged of how fast
 	// engines are, by service, and when the others were told what was seen of them.
-	seeds        []string
-	loggedPaces  map[string]pace.Pace
-	toldEvidence monotime.Instant
+	seeds           []string
+	loggedPaces     map[string]pace.Pace
+	paceStatsSentAt monotime.Instant
 }
 
 // New returns a Gateway that does nothing until Run.
@@ -123,51 +123,51 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gateway{cfg: cfg, begun: monotime.Now(), stats: relay.NewMetrics(), reload: make(chan struct{}, 1), seeds: s.Peers.Seeds, loggedPaces: make(map[string]pace.Pace)}
+	g := &Gateway{cfg: cfg, started: monotime.Now(), stats: relay.NewMetrics(), reload: make(chan struct{}, 1), seeds: s.Peers.Seeds, loggedPaces: make(map[string]pace.Pace)}
 	g.fleet = &fleet{
 		self:     s.Instance.ID,
 		log:      cfg.Log,
 		board:    placement.NewBoard(pace.Neutral, s.Instance.DataCentre),
-		budget:   newBudget(s.Retries.Ratio, s.Retries.Burst, seconds(s.Retries.WindowS)),
+		budget:   newRetryBudget(s.Retries.Ratio, s.Retries.Burst, seconds(s.Retries.WindowS)),
 		registry: servers.New(),
-		news:     newNewsroom(),
+		updates:  newUpdateBatcher(),
 		regions:  newRegions(s.Places),
 		throttle: throttle.New(s.Instance.ID, monotime.Now()),
-		outages:  newOutages(),
+		outages:  newOutageDetector(),
 	}
-	g.fleet.crashes = newCrashBook(g.fleet.news, cfg.Log)
-	g.fleet.neverHeard()
-	g.fleet.board.SetNoise(choiceNoise(0, 1))
+	g.fleet.crashes = newCrashTracker(g.fleet.updates, cfg.Log)
+	g.fleet.resetConfirmations()
+	g.fleet.board.SetNoise(placementJitter(0, 1))
 	g.feed = &feed{
 		source: cfg.Source, fleet: g.fleet, log: cfg.Log,
-		wait: milliseconds(s.Store.WatchMS), slack: milliseconds(s.Store.TimeoutMS),
+		minWatch: milliseconds(s.Store.WatchMS), answerTimeout: milliseconds(s.Store.TimeoutMS),
 		confirming: make(chan struct{}, 1),
 	}
 	g.peers = newPeers(wire.RelayMember{
 		ID: s.Instance.ID, Incarnation: incarnation, DataCentre: s.Instance.DataCentre,
 		CallerAddress: s.Listen.Callers, PeerAddress: s.Listen.Peers,
-		Capacity: int(s.Instance.Processor * capacityOfCore),
+		Capacity: int(s.Instance.Processor * capacityPerCore),
 	}, s.Peers.Seeds, g.fleet, cfg.Log)
 	g.fleet.members = g.peers.count
 	g.fleet.confirm = g.feed.confirm
 	g.fleet.publish = g.peers.configs.publish
-	g.feed.rank, g.feed.hears = g.peers.rank, g.peers.hears
-	g.wireNews()
+	g.feed.rank, g.feed.hasHub = g.peers.rank, g.peers.hasHub
+	g.connectUpdates()
 	g.relay = relay.New(relay.Config{
 		Fleet: g.fleet, Protocol: cfg.Protocol, Log: cfg.Log, Metrics: g.stats,
-		DrainTime: seconds(s.Drain.GraceS) - endReserve,
+		DrainTime: seconds(s.Drain.GraceS) - drainReserve,
 	})
 	return g, nil
 }
 
-// capacityOfCore is the capacity told of an instance with a whole core.
-const capacityOfCore = 1000
+// capacityPerCore is the capacity told of an instance with a whole core.
+const capacityPerCore = 1000
 
-// wireNews connects what happens here to the peers that are told of it.
-func (g *Gateway) wireNews() {
-	news := g.fleet.news
-	news.gather, news.due, news.send = g.peers.gather, g.peers.due, g.peers.broadcast
-	news.status = g.fleet.status
+// connectUpdates connects what happens here to the peers that are told of it.
+func (g *Gateway) connectUpdates() {
+	batcher := g.fleet.updates
+	batcher.batchDelay, batcher.due, batcher.send = g.peers.batchDelay, g.peers.due, g.peers.broadcast
+	batcher.fillStatus = g.fleet.fillStatus
 }
 
 // Run serves until the context ends and the drain after it.
@@ -176,23 +176,23 @@
 	if err != nil {
 		return err
 	}
-	if err := g.makeLinks(listeners.peers); err != nil {
+	if err := g.createLinks(listeners.peers); err != nil {
 		return err
 	}
 	g.cfg.Log.Info("started", zap.String("incarnation", g.peers.node.Self().Incarnation), zap.Strings("seeds", g.seeds))
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	tasks, work := errgroup.WithContext(work)
-	server := g.callersServer()
+	server := g.callerServer()
 	tasks.Go(func() error { return serveUntilClosed(server, listeners.callers) })
-	tasks.Go(func() error { return serveSmall(work, listeners.ready, g.cfg.Ready(g)) })
-	tasks.Go(func() error { return serveSmall(work, listeners.directory, g.cfg.Directory(g)) })
-	tasks.Go(func() error { return serveSmall(work, listeners.metrics, g.metrics) })
+	tasks.Go(func() error { return serveUntilDone(work, listeners.ready, g.cfg.Ready(g)) })
+	tasks.Go(func() error { return serveUntilDone(work, listeners.directory, g.cfg.Directory(g)) })
+	tasks.Go(func() error { return serveUntilDone(work, listeners.metrics, g.metrics) })
 	tasks.Go(func() error { return g.peers.links.Run(work) })
 	tasks.Go(func() error { return g.feed.run(work) })
-	tasks.Go(func() error { return g.fleet.news.run(work) })
-	tasks.Go(func() error { return g.regularly(work) })
-	tasks.Go(func() error { return g.learnCaches(work) })
+	tasks.Go(func() error { return g.fleet.updates.run(work) })
+	tasks.Go(func() error { return g.runPeriodic(work) })
+	tasks.Go(func() error { return g.discoverCaches(work) })
 	tasks.Go(func() error {
 		select {
 		case <-ctx.Done():
@@ -208,10 +208,10 @@
 	return err
 }
 
-func (g *Gateway) makeLinks(listener net.Listener) error {
+func (g *Gateway) createLinks(listener net.Listener) error {
 	secret := g.cfg.Settings.Peers.Key
 	if secret == "" {
-		secret = noKey
+		secret = defaultLinkSecret
 		g.cfg.Log.Warn("links_unauthenticated", zap.String("reason", "no key is set for the links between instances"))
 	}
 	self := g.peers.node.Self()
@@ -224,7 +224,7 @@
 		Listener: listener,
 		Resolve:  func(string) (string, bool) { return "", false },
 		Handler:  g.peers,
-		Timing:   timingOf(g.cfg.Settings.Instance.LinkMbps),
+		Timing:   linkTimingFor(g.cfg.Settings.Instance.LinkMbps),
 		Log:      g.cfg.Log,
 	})
 	if err != nil {
@@ -243,20 +243,20 @@
 // they may use them; false when this instance can't tell. Instances of another region are
 // named only where the caller's has none: what callers send stays in their region then.
 func (g *Gateway) Callers(region string) (addresses []string, ttl time.Duration, ok bool) {
-	known := g.peers.staying()
+	reachable := g.peers.staying()
 	if g.Ready() {
-		known = append(known, g.peers.node.Self())
+		reachable = append(reachable, g.peers.node.Self())
 	}
-	var elsewhere []string
-	for _, m := range known {
+	var otherRegions []string
+	for _, m := range reachable {
 		if region == "" || g.fleet.regions[m.DataCentre] == region {
 			addresses = append(addresses, m.CallerAddress)
 		} else {
-			elsewhere = append(elsewhere, m.CallerAddress)
+			otherRegions = append(otherRegions, m.CallerAddress)
 		}
 	}
 	if len(addresses) == 0 {
-		addresses = elsewhere
+		addresses = otherRegions
 	}
 	ttl = milliseconds(g.cfg.Settings.Directory.TTLMS)
 	return addresses, ttl, len(addresses) > 0 && !g.isolated.Load()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -27,7 +27,7 @@
 // over them.
 func linkedPeers(f *fleet, self string, others ...wire.RelayMember) *peers {
 	p := newPeers(wire.RelayMember{ID: self, Incarnation: self}, nil, f, zap.NewNop())
-	links, err := peer.New(peer.Config{Keys: []peer.Key{{ID: linkKeyID, Secret: noKey}}})
+	links, err := peer.New(peer.Config{Keys: []peer.Key{{ID: linkKeyID, Secret: defaultLinkSecret}}})
 	if err != nil {
 		panic(err)
 	}
@@ -54,7 +54,7 @@
 	after   time.Duration
 }
 
-func next(ctx context.Context, list *[]result) (*Changes, error) {
+func nextResult(ctx context.Context, list *[]result) (*Changes, error) {
 	if len(*list) == 0 {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -67,17 +67,17 @@
 
 func (s *fakeSource) All(ctx context.Context) (*Changes, error) {
 	s.calls = append(s.calls, "all")
-	return next(ctx, &s.all)
+	return nextResult(ctx, &s.all)
 }
 
 func (s *fakeSource) Watch(ctx context.Context, _ servers.Revision, _ time.Duration) (*Changes, error) {
 	s.calls = append(s.calls, "watch")
-	return next(ctx, &s.watch)
+	return nextResult(ctx, &s.watch)
 }
 
 func (s *fakeSource) Config(ctx context.Context) (*routing.Config, error) {
 	s.calls = append(s.calls, "config")
-	changes, err := next(ctx, &s.config)
+	changes, err := nextResult(ctx, &s.config)
 	if err != nil {
 		return nil, err
 	}
@@ -97,14 +97,14 @@
 	source := &fakeSource{}
 	f := &fleet{
 		self: "me", log: zap.NewNop(), board: placement.NewBoard(pace.Neutral, "here"),
-		budget: newBudget(0.2, 56, 10*time.Second), members: func() int { return 8 },
-		registry: servers.New(), news: newNewsroom(),
+		budget: newRetryBudget(0.2, 56, 10*time.Second), members: func() int { return 8 },
+		registry: servers.New(), updates: newUpdateBatcher(),
 		throttle: throttle.New("me", monotime.Now()),
-		outages:  newOutages(), publish: func(*routing.Config) {},
+		outages:  newOutageDetector(), publish: func(*routing.Config) {},
 	}
-	f.crashes = newCrashBook(f.news, f.log)
-	f.neverHeard()
-	fd := &feed{source: source, fleet: f, log: zap.NewNop(), wait: time.Second, slack: 500 * time.Millisecond, confirming: make(chan struct{}, 1), rank: func() (int, int) { return 0, 1 }, hears: func() bool { return false }}
+	f.crashes = newCrashTracker(f.updates, f.log)
+	f.resetConfirmations()
+	fd := &feed{source: source, fleet: f, log: zap.NewNop(), minWatch: time.Second, answerTimeout: 500 * time.Millisecond, confirming: make(chan struct{}, 1), rank: func() (int, int) { return 0, 1 }, hasHub: func() bool { return false }}
 	return f, fd, source
 }
 
@@ -136,7 +136,7 @@
 			t.Error("within the grace", diff)
 		}
 		time.Sleep(servers.LapseGrace)
-		f.update(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
+		f.changeServers(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
 		if diff := cmp.Diff([]string{"a"}, ready(f)); diff != "" {
 			t.Error("after the grace", diff)
 		}
@@ -185,7 +185,7 @@
 		version int64
 		taken   bool
 	}{{5, true}, {4, false}, {5, false}, {9, true}} {
-		if got := f.adopt(config(step.version), "test"); got != step.taken {
+		if got := f.installConfig(config(step.version), "test"); got != step.taken {
 			t.Errorf("version %d taken: %v", step.version, got)
 		}
 	}
@@ -196,10 +196,10 @@
 
 func TestAConfigurationThatCannotServeLeavesTheOldOneInForce(t *testing.T) {
 	f, _, _ := newFleet()
-	f.adopt(config(1), "test")
+	f.installConfig(config(1), "test")
 	bad := config(2)
 	bad.Routes = []routing.Route{{Prefix: "no slash"}}
-	if f.adopt(bad, "test") || f.Table().Version() != 1 {
+	if f.installConfig(bad, "test") || f.Table().Version() != 1 {
 		t.Errorf("version %d in force", f.Table().Version())
 	}
 }
@@ -207,7 +207,7 @@
 func TestConfirmingReadsTheStoreOnceForMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
-		f.adopt(config(1), "test")
+		f.installConfig(config(1), "test")
 		source.config = []result{{changes: &Changes{Config: config(2)}, after: 4 * time.Millisecond}}
 		answers := make(chan bool)
 		for range 10 {
@@ -221,7 +221,7 @@
 		if len(source.calls) != 1 || f.Table().Version() != 2 {
 			t.Errorf("%d calls, version %d", len(source.calls), f.Table().Version())
 		}
-		time.Sleep(confirmFresh)
+		time.Sleep(confirmationTTL)
 		if fd.confirm(t.Context()) {
 			t.Error("confirmed although the store is silent")
 		}
@@ -235,7 +235,7 @@
 	const members, requests = 8, 100
 	total := 0
 	for range members {
-		b := newBudget(0.2, 56, 10*time.Second)
+		b := newRetryBudget(0.2, 56, 10*time.Second)
 		for i := range requests {
 			now := monotime.Instant(time.Hour).Add(time.Duration(i) * 10 * time.Millisecond)
 			b.count("svc", now)
@@ -244,16 +244,16 @@
 			}
 		}
 	}
-	if most := 0.2*members*requests + 56; float64(total) > most {
-		t.Errorf("%d sends of at most %v", total, most)
+	if limit := 0.2*members*requests + 56; float64(total) > limit {
+		t.Errorf("%d sends of at most %v", total, limit)
 	}
 	if total < 150 {
 		t.Errorf("only %d sends of a budget of 216", total)
 	}
 }
 
-func TestTheBudgetOfAWindowComesBackWithTheNext(t *testing.T) {
-	b := newBudget(0, 10, 10*time.Second)
+func TestRetryBudgetRenewsWithTheWindow(t *testing.T) {
+	b := newRetryBudget(0, 10, 10*time.Second)
 	now := monotime.Instant(time.Hour)
 	for b.spend("svc", now, 1) {
 	}
@@ -267,15 +267,15 @@
 
 // A server leaves while this instance is cut off from the store. A peer that
 // still hears it tells so.
-func TestAPeersWordRemovesAServer(t *testing.T) {
+func TestPeerUpdateRemovesServer(t *testing.T) {
 	f, _, _ := newFleet()
 	p := linkedPeers(f, "me")
-	p.takeServers("peer", []wire.RelayServer{{ID: "a", Service: "svc", Address: "x:1", Revision: 3}, {ID: "b", Service: "svc", Address: "y:1", Revision: 4}}, 0)
-	p.takeServers("peer", []wire.RelayServer{{ID: "a", Gone: true, Revision: 8}, {ID: "b", Service: "svc", Address: "y:1", Draining: true, Revision: 9}}, 0)
+	p.applyServers("peer", []wire.RelayServer{{ID: "a", Service: "svc", Address: "x:1", Revision: 3}, {ID: "b", Service: "svc", Address: "y:1", Revision: 4}}, 0)
+	p.applyServers("peer", []wire.RelayServer{{ID: "a", Gone: true, Revision: 8}, {ID: "b", Service: "svc", Address: "y:1", Draining: true, Revision: 9}}, 0)
 	if got := ready(f); len(got) != 0 {
 		t.Errorf("%v still get requests", got)
 	}
-	p.takeServers("late", []wire.RelayServer{{ID: "a", Service: "svc", Address: "x:1", Revision: 3}}, 0)
+	p.applyServers("late", []wire.RelayServer{{ID: "a", Service: "svc", Address: "x:1", Revision: 3}}, 0)
 	if got := ready(f); len(got) != 0 {
 		t.Errorf("%v came back by old news", got)
 	}
@@ -299,7 +299,7 @@
 		wire.RelayMember{ID: "c", CallerAddress: "c:1"})
 	now := monotime.Now()
 	p.node.LinkDown("b", now)
-	if !p.take("c", &wire.RelayNews{Leaving: true}) {
+	if !p.receive("c", &wire.RelayNews{Leaving: true}) {
 		t.Error("that a peer leaves changes nothing")
 	}
 	p.node.Refresh(now)
@@ -322,11 +322,11 @@
 			p.compareServers("r", &wire.RelayNews{Confirmed: 1, Digest: 7})
 			time.Sleep(100 * time.Millisecond)
 		}
-		if asked := p.differs["r"].asked; asked < 3 || asked > 4 {
+		if asked := p.differences["r"].requests; asked < 3 || asked > 4 {
 			t.Errorf("asked %d times", asked)
 		}
 		p.compareServers("r", &wire.RelayNews{Confirmed: 1, Digest: int(f.digest.Load())})
-		if len(p.differs) != 0 {
+		if len(p.differences) != 0 {
 			t.Error("still counts as different")
 		}
 	})
@@ -337,12 +337,12 @@
 // seconds, however many instances there are.
 func TestWatchesOfAFleetEndOftenEnough(t *testing.T) {
 	_, fd, _ := newFleet()
-	fd.wait = 1100 * time.Millisecond
+	fd.minWatch = 1100 * time.Millisecond
 	for _, n := range []int{1, 3, 8, 59, 360} {
 		fd.rank = func() (int, int) { return 0, n }
 		for range 100 {
-			wait := fd.watchTime()
-			if wait > watchMost || wait > max(fd.wait, time.Duration(n)*watchSpread) {
+			wait := fd.watchDuration()
+			if wait > maxWatch || wait > max(fd.minWatch, time.Duration(n)*watchPerInstance) {
 				t.Fatalf("%d instances: a watch waits %v", n, wait)
 			}
 		}
@@ -365,36 +365,36 @@
 		if err := fd.run(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if most := int(length/watchLeast) + 1; len(source.calls) > most {
-			t.Errorf("%d calls in %v, at most %d wanted", len(source.calls), length, most)
+		if maxCalls := int(length/minWatchInterval) + 1; len(source.calls) > maxCalls {
+			t.Errorf("%d calls in %v, at most %d wanted", len(source.calls), length, maxCalls)
 		}
 	})
 }
 
 // A peer says that the store confirmed its version. That vouches for the same
 // version here, not for another one.
-func TestAPeersWordConfirmsTheSameVersion(t *testing.T) {
+func TestPeerConfirmsOnlyTheSameVersion(t *testing.T) {
 	f, fd, source := newFleet()
 	p := linkedPeers(f, "me")
-	f.adopt(config(5), "test")
-	p.takeConfig("peer", &wire.RelayNews{ConfigVersion: 4, Confirmed: 1})
-	if fd.fresh() {
+	f.installConfig(config(5), "test")
+	p.applyConfigStatus("peer", &wire.RelayNews{ConfigVersion: 4, Confirmed: 1})
+	if fd.recentlyConfirmed() {
 		t.Error("an older version vouches for this one")
 	}
-	p.takeConfig("peer", &wire.RelayNews{ConfigVersion: 5, Confirmed: 200})
-	if !fd.fresh() || !fd.confirm(t.Context()) || len(source.calls) != 0 {
+	p.applyConfigStatus("peer", &wire.RelayNews{ConfigVersion: 5, Confirmed: 200})
+	if !fd.recentlyConfirmed() || !fd.confirm(t.Context()) || len(source.calls) != 0 {
 		t.Errorf("not vouched for; %d calls", len(source.calls))
 	}
 }
 
-// cacheReader tells what each address keeps and which were asked.
-type cacheReader struct {
+// fakeCacheReader tells what each address keeps and which were asked.
+type fakeCacheReader struct {
 	mu    sync.Mutex
 	parts map[string][]placement.Part
 	asked []string
 }
 
-func (c *cacheReader) Cached(_ context.Context, s servers.Server) ([]placement.Part, error) {
+func (c *fakeCacheReader) Cached(_ context.Context, s servers.Server) ([]placement.Part, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.asked = append(c.asked, s.Address)
@@ -407,14 +407,14 @@
 func TestAfterARestartOfAllEachEngineIsAskedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := placement.Part{ID: "x", Tokens: 9000}
-		reader := &cacheReader{parts: map[string][]placement.Part{}}
-		var told []wire.RelayCache
+		reader := &fakeCacheReader{parts: map[string][]placement.Part{}}
+		var sent []wire.RelayCache
 		gateways := map[string]*Gateway{}
 		for _, name := range []string{"a", "b"} {
 			f, fd, _ := newFleet()
 			f.self = name
-			f.adopt(&routing.Config{Version: 1, Services: []routing.Service{{Name: "svc", Engine: &routing.Engine{Slots: 4}}}}, "test")
-			f.update(fromTimer, func(r *servers.Registry, now monotime.Instant) (ids []string) {
+			f.installConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "svc", Engine: &routing.Engine{Slots: 4}}}}, "test")
+			f.changeServers(fromTimer, func(r *servers.Registry, now monotime.Instant) (ids []string) {
 				for _, id := range []string{"e1", "e2", "e3", "e4"} {
 					s := entry(id, 1)
 					reader.parts[s.Address] = []placement.Part{part}
@@ -428,20 +428,20 @@
 			gateways[name] = &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, feed: fd, peers: p}
 		}
 		for _, g := range gateways {
-			if err := g.learnCaches(t.Context()); err != nil {
+			if err := g.discoverCaches(t.Context()); err != nil {
 				t.Fatal(err)
 			}
-			told = append(told, g.fleet.news.pending.Caches...)
+			sent = append(sent, g.fleet.updates.pending.Caches...)
 		}
-		if len(reader.asked) != 4 || len(told) != 4 {
-			t.Errorf("asked %v, told %v", reader.asked, told)
+		if len(reader.asked) != 4 || len(sent) != 4 {
+			t.Errorf("asked %v, told %v", reader.asked, sent)
 		}
 		late := gateways["a"]
-		late.peers.takeCaches(&wire.RelayNews{Caches: told, CachesWhole: true})
-		if err := late.learnCaches(t.Context()); err != nil || len(reader.asked) != 4 {
+		late.peers.applyCaches(&wire.RelayNews{Caches: sent, CachesWhole: true})
+		if err := late.discoverCaches(t.Context()); err != nil || len(reader.asked) != 4 {
 			t.Errorf("%v; asked again: %v", err, reader.asked)
 		}
-		if got := late.fleet.caches(); len(got) != 4 {
+		if got := late.fleet.cacheStates(); len(got) != 4 {
 			t.Errorf("knows of %d engines", len(got))
 		}
 	})
@@ -450,33 +450,33 @@
 // All instances were restarted, and one asks its engines and tells the others before they
 // ask theirs. They must ask all the same: prompts that the other engines keep would be
 // read again for as long as it takes to fill them anew.
-func TestNewsOfSomeEnginesDoNotStopTheQuestionToOthers(t *testing.T) {
+func TestPartialCacheUpdateDoesNotStopCacheDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := placement.Part{ID: "x", Tokens: 9000}
-		reader := &cacheReader{parts: map[string][]placement.Part{}}
+		reader := &fakeCacheReader{parts: map[string][]placement.Part{}}
 		f, fd, _ := newFleet()
-		f.adopt(&routing.Config{Version: 1, Services: []routing.Service{{Name: "svc", Engine: &routing.Engine{Slots: 4}}}}, "test")
+		f.installConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "svc", Engine: &routing.Engine{Slots: 4}}}}, "test")
 		for _, id := range []string{"e1", "e2", "e3"} {
 			s := entry(id, 1)
 			reader.parts[s.Address] = []placement.Part{part}
 			put(f, fromStore, s)
 		}
 		g := &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, feed: fd, peers: linkedPeers(f, "me")}
-		g.peers.takeCaches(&wire.RelayNews{Caches: []wire.RelayCache{{Server: "e1", Parts: encodeParts([]placement.Part{part})}}})
-		if g.peers.cacheNews(f.caches())[0].CachesWhole {
+		g.peers.applyCaches(&wire.RelayNews{Caches: []wire.RelayCache{{Server: "e1", Parts: encodeParts([]placement.Part{part})}}})
+		if g.peers.cacheUpdates(f.cacheStates())[0].CachesWhole {
 			t.Error("tells others that it knows all")
 		}
-		if g.peers.wantsState() {
+		if g.peers.needsState() {
 			t.Error("asks the next peer for all that the first has told")
 		}
-		if err := g.learnCaches(t.Context()); err != nil {
+		if err := g.discoverCaches(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		slices.Sort(reader.asked)
 		if diff := cmp.Diff([]string{entry("e2", 1).Address, entry("e3", 1).Address}, reader.asked); diff != "" {
 			t.Error(diff)
 		}
-		if !g.peers.cacheNews(f.caches())[0].CachesWhole {
+		if !g.peers.cacheUpdates(f.cacheStates())[0].CachesWhole {
 			t.Error("does not tell others what it knows by now")
 		}
 	})
@@ -485,16 +485,16 @@
 // A whole fleet starts again, and each instance is told what the engines keep. That must
 // not fill the links of small instances: a link of 10 Mbit/s takes a tenth of a second for
 // 120 KB, and a part is some 25 bytes.
-func TestWhatIsToldOfEnginesIsBounded(t *testing.T) {
-	const bytesOfPart, most = 25, 130_000
+func TestCacheUpdatesAreBounded(t *testing.T) {
+	const bytesOfPart, maxBytes = 25, 130_000
 	for _, engines := range []int{0, 1, 9, 60, 100, 333, 1000, 2400} {
-		parts := partsTold(engines)
-		if parts < 1 || parts > mostParts || engines*parts*bytesOfPart > most {
+		parts := partsPerEngine(engines)
+		if parts < 1 || parts > maxPartsPerEngine || engines*parts*bytesOfPart > maxBytes {
 			t.Errorf("%d parts of each of %d engines", parts, engines)
 		}
 	}
 	f, _, _ := newFleet()
-	f.adopt(engines(), fromStore)
+	f.installConfig(engines(), fromStore)
 	for n := range 1000 {
 		id := fmt.Sprintf("e%04d", n)
 		put(f, fromStore, entry(id, servers.Revision(n+1)))
@@ -504,12 +504,12 @@
 		}
 		f.board.Learn(id, kept, monotime.Now())
 	}
-	told := 0
-	for _, cache := range f.caches() {
-		told += len(cache.Parts)
+	sent := 0
+	for _, cache := range f.cacheStates() {
+		sent += len(cache.Parts)
 	}
-	if told == 0 || told > mostPartsOfAll {
-		t.Errorf("%d parts told of 1,000 engines", told)
+	if sent == 0 || sent > maxPartsInTotal {
+		t.Errorf("%d parts told of 1,000 engines", sent)
 	}
 }
 
@@ -517,28 +517,28 @@
 // for by their news; when all of them are dead, cut off or turned away, nobody
 // vouches any more, and it reads before a change could be two seconds late by
 // much.
-func TestAnInstanceOfLowRankReadsWhenNobodyVouches(t *testing.T) {
+func TestLowRankInstanceReadsStoreWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
 		fd.rank = func() (int, int) { return 40, 59 }
-		fd.begun = monotime.Now()
-		time.Sleep(coldSettle)
-		if !fd.reads() {
+		fd.started = monotime.Now()
+		time.Sleep(hubDiscoveryWait)
+		if !fd.shouldRead() {
 			t.Error("a cold instance must read")
 		}
-		f.adopt(config(1), "peer")
-		f.update("peer", func(r *servers.Registry, now monotime.Instant) []string {
+		f.installConfig(config(1), "peer")
+		f.changeServers("peer", func(r *servers.Registry, now monotime.Instant) []string {
 			r.Put(entry("a", 1), now)
 			return []string{"a"}
 		})
-		f.vouch(1, monotime.Now())
-		ctx, cancel := context.WithTimeout(t.Context(), takeOverAfter-restInterval)
+		f.confirmVersion(1, monotime.Now())
+		ctx, cancel := context.WithTimeout(t.Context(), takeOverAfter-readCheckInterval)
 		_ = fd.run(ctx)
 		cancel()
 		if len(source.calls) != 0 {
 			t.Errorf("reads although vouched for: %v", source.calls)
 		}
-		ctx, cancel = context.WithTimeout(t.Context(), takeOverSpread+2*restInterval)
+		ctx, cancel = context.WithTimeout(t.Context(), takeOverJitter+2*readCheckInterval)
 		defer cancel()
 		_ = fd.run(ctx)
 		if len(source.calls) == 0 || source.calls[0] != "all" {
@@ -554,9 +554,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
 		fd.rank = func() (int, int) { return 50, 95 }
-		f.adopt(config(1), "peer")
+		f.installConfig(config(1), "peer")
 		put(f, "peer", entry("a", 1))
-		f.vouch(1, monotime.Now())
+		f.confirmVersion(1, monotime.Now())
 		for range 1000 {
 			source.all = append(source.all, result{err: errors.New("refused"), after: time.Millisecond})
 		}
@@ -583,16 +583,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
 		fd.rank = func() (int, int) { return 40, 59 }
-		fd.hears = func() bool { return true }
+		fd.hasHub = func() bool { return true }
 		all := result{changes: &Changes{Config: config(1), Servers: []servers.Server{entry("a", 1)}, Revision: 1}}
 		source.all = []result{all}
-		ctx, cancel := context.WithTimeout(t.Context(), coldPatience-2*coldInterval)
+		ctx, cancel := context.WithTimeout(t.Context(), hubStateWait-2*initialCheckInterval)
 		_ = fd.run(ctx)
 		cancel()
 		if len(source.calls) != 0 {
 			t.Errorf("reads although its hub may tell it: %v", source.calls)
 		}
-		ctx, cancel = context.WithTimeout(t.Context(), coldPatience+2*coldInterval)
+		ctx, cancel = context.WithTimeout(t.Context(), hubStateWait+2*initialCheckInterval)
 		defer cancel()
 		_ = fd.run(ctx)
 		if len(source.calls) == 0 || f.Table() == nil {
@@ -623,12 +623,12 @@
 // A link breaks while a server leaves, and the news of it are lost. The next
 // news of a peer that hears the store show that the servers differ; a while
 // later this instance takes all of them and drops the one that left.
-func TestLostNewsOfAServerAreMadeUpFor(t *testing.T) {
+func TestLostServerUpdateIsRecovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader, _, _ := newFleet()
 		other, _, _ := newFleet()
 		for _, f := range []*fleet{reader, other} {
-			f.update("peer", func(r *servers.Registry, now monotime.Instant) []string {
+			f.changeServers("peer", func(r *servers.Registry, now monotime.Instant) []string {
 				r.Put(entry("a", 1), now)
 				r.Put(entry("b", 2), now)
 				return []string{"a", "b"}
@@ -639,23 +639,23 @@
 			return &wire.RelayNews{Confirmed: 1, Digest: int(reader.digest.Load())}
 		}
 		p.compareServers("r", news())
-		if len(p.differs) != 0 {
+		if len(p.differences) != 0 {
 			t.Error("the same servers differ")
 		}
-		reader.update(fromStore, func(r *servers.Registry, now monotime.Instant) []string {
+		reader.changeServers(fromStore, func(r *servers.Registry, now monotime.Instant) []string {
 			r.Remove("a", 5, now)
 			return []string{"a"}
 		})
 		p.compareServers("r", news())
-		if len(p.differs) == 0 {
+		if len(p.differences) == 0 {
 			t.Error("not noticed")
 		}
-		p.takeServers("r", reader.allServers(), 0)
+		p.applyServers("r", reader.allServers(), 0)
 		if diff := cmp.Diff([]string{"b"}, ready(other)); diff != "" {
 			t.Error(diff)
 		}
 		p.compareServers("r", news())
-		if len(p.differs) != 0 {
+		if len(p.differences) != 0 {
 			t.Error("still differ")
 		}
 	})
@@ -668,7 +668,7 @@
 func TestReadersOfABusyStoreTakeTurns(t *testing.T) {
 	const length = 6 * time.Second
 	sum := 0
-	for place := range readers {
+	for place := range storeReaders {
 		synctest.Test(t, func(t *testing.T) {
 			_, fd, source := newFleet()
 			fd.rank = func() (int, int) { return place, 60 }
@@ -680,18 +680,18 @@
 			defer cancel()
 			_ = fd.run(ctx)
 			sum += len(source.calls)
-			if least := int(length / watchLeast); place == 0 && len(source.calls) < least {
+			if minCalls := int(length / minWatchInterval); place == 0 && len(source.calls) < minCalls {
 				t.Errorf("the first reader asks %d times", len(source.calls))
 			}
 		})
 	}
-	if most := 2 * readers * int(length/watchLeast) / 4; sum > most {
-		t.Errorf("%d calls in %v, want at most %d", sum, length, most)
+	if maxCalls := 2 * storeReaders * int(length/minWatchInterval) / 4; sum > maxCalls {
+		t.Errorf("%d calls in %v, want at most %d", sum, length, maxCalls)
 	}
 }
 
 // Guards against a word of the store that counts from the end of a long answer.
-func TestALongAnswerVouchesFromItsBeginning(t *testing.T) {
+func TestLongStoreAnswerConfirmsFromItsStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
 		f, fd, source := newFleet()
@@ -702,28 +702,28 @@
 		defer cancel()
 		_ = fd.run(ctx)
 		var own wire.RelayNews
-		f.status(&own)
-		if least := 1 + int(travel.Milliseconds()); own.ConfigVersion != 2 || own.Confirmed < least {
-			t.Errorf("version %d confirmed %d ms ago, at least %d wanted", own.ConfigVersion, own.Confirmed-1, least-1)
+		f.fillStatus(&own)
+		if minAge := 1 + int(travel.Milliseconds()); own.ConfigVersion != 2 || own.Confirmed < minAge {
+			t.Errorf("version %d confirmed %d ms ago, at least %d wanted", own.ConfigVersion, own.Confirmed-1, minAge-1)
 		}
 	})
 }
 
 // Guards against urgent news that wait behind one long message of what engines keep.
-func TestWhatEnginesKeepIsToldInShortMessages(t *testing.T) {
+func TestCacheUpdatesAreSplitIntoShortMessages(t *testing.T) {
 	f, _, _ := newFleet()
 	p := linkedPeers(f, "me")
-	p.warm.Store(true)
+	p.cachesComplete.Store(true)
 	var caches []wire.RelayCache
 	for n := range 600 {
 		cache := wire.RelayCache{Server: fmt.Sprint("engine-", n)}
-		for part := range n % mostParts {
+		for part := range n % maxPartsPerEngine {
 			cache.Parts = append(cache.Parts, wire.RelayPart{ID: fmt.Sprintf("%08x", part*n), Tokens: 9000})
 		}
 		caches = append(caches, cache)
 	}
-	var told []wire.RelayCache
-	messages := p.cacheNews(caches)
+	var sent []wire.RelayCache
+	messages := p.cacheUpdates(caches)
 	for i, news := range messages {
 		data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{news}})
 		if err != nil {
@@ -735,9 +735,9 @@
 		if last := i+1 == len(messages); news.CachesWhole != last {
 			t.Errorf("message %d of %d says whole: %v", i, len(messages), news.CachesWhole)
 		}
-		told = append(told, news.Caches...)
+		sent = append(sent, news.Caches...)
 	}
-	if diff := cmp.Diff(caches, told); diff != "" {
+	if diff := cmp.Diff(caches, sent); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/gateway/noise_test.go
+++ b/internal/gateway/jitter_test.go
@@ -14,12 +14,12 @@
 // All 60 instances start at the same moment before 40 idle engines, and each gets a
 // request before it knows any other instance. Callers wait for each other when many of
 // the requests go to one engine.
-func TestInstancesThatStartTogetherSpread(t *testing.T) {
+func TestInstancesStartingTogetherSpreadRequests(t *testing.T) {
 	sent := make(map[string]int)
 	for range 60 {
 		f, _, _ := newFleet()
-		f.board.SetNoise(choiceNoise(0, 1))
-		f.adopt(&routing.Config{Version: 1, Services: []routing.Service{{
+		f.board.SetNoise(placementJitter(0, 1))
+		f.installConfig(&routing.Config{Version: 1, Services: []routing.Service{{
 			Name: "svc", Engine: &routing.Engine{Slots: 64, MemoryTokens: 500_000, EventTokens: 4},
 		}}}, fromStore)
 		for n := range 40 {
@@ -39,13 +39,13 @@
 	}
 }
 
-func TestNoiseOfChoicesFollowsWhatIsKnown(t *testing.T) {
+func TestPlacementJitterByAgeAndFleetSize(t *testing.T) {
 	for _, c := range []struct {
 		age       time.Duration
 		instances int
 		want      float64
-	}{{0, 1, noiseAtStart}, {startTime, 1, 0}, {startTime, manyInstances, 0}, {startTime, 66, 0.1}, {0, 166, 0.3}} {
-		if got := choiceNoise(c.age, c.instances); got != c.want {
+	}{{0, 1, startupJitter}, {startupTime, 1, 0}, {startupTime, instancesWithoutJitter, 0}, {startupTime, 66, 0.1}, {0, 166, 0.3}} {
+		if got := placementJitter(c.age, c.instances); got != c.want {
 			t.Errorf("after %v with %d instances: %v, want %v", c.age, c.instances, got, c.want)
 		}
 	}
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -15,7 +15,7 @@
 // requests go on to reach it from instances that had passed such an answer on 2 and 5 s
 // before; a server that ends sooner cuts them off. Nothing read what a server says of
 // itself: no instance knew it as leaving before the store was back, 11 s later.
-func TestAServerThatSaysItLeavesGetsNothingWhileTheStoreIsAway(t *testing.T) {
+func TestLeavingServerGetsNoRequestsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
 		f, peer := leavingPair()
@@ -29,7 +29,7 @@
 		if got := ready(f); !slices.Equal(got, []string{"b"}) {
 			t.Error("after a late answer:", got)
 		}
-		f.news.flush()
+		f.updates.flush()
 		if got := ready(peer); !slices.Equal(got, []string{"b"}) {
 			t.Error("at its peer:", got)
 		}
@@ -45,7 +45,7 @@
 		f, peer := leavingPair()
 		put(peer, fromStore, entry("a", 9))
 		f.Heard("a", servers.Notice{Leaving: true}, monotime.Now(), monotime.Now())
-		f.news.flush()
+		f.updates.flush()
 		if got := ready(peer); !slices.Equal(got, []string{"b"}) {
 			t.Error(got)
 		}
@@ -58,19 +58,19 @@
 	f, _, _ = newFleet()
 	peer, _, _ = newFleet()
 	for _, each := range []*fleet{f, peer} {
-		each.adopt(config(1), fromStore)
+		each.installConfig(config(1), fromStore)
 		put(each, fromStore, entry("a", 1))
 		put(each, fromStore, entry("b", 2))
 	}
-	f.news.send = hearNewsOf(peer)
+	f.updates.send = deliverUpdatesTo(peer)
 	return f, peer
 }
 
-// hearNewsOf has an instance hear what another one tells of servers and evacuations.
-func hearNewsOf(hearer *fleet) func(*wire.RelayNews, monotime.Instant, bool) {
-	p := linkedPeers(hearer, "hearer")
+// deliverUpdatesTo has an instance hear what another one tells of servers and evacuations.
+func deliverUpdatesTo(receiver *fleet) func(*wire.RelayNews, monotime.Instant, bool) {
+	p := linkedPeers(receiver, "hearer")
 	return func(news *wire.RelayNews, _ monotime.Instant, _ bool) {
-		hearer.takeEvacuations("peer", decodeEvacuations(news.Evacuations))
-		p.takeServers("peer", news.Servers, servers.Revision(news.ServersListed))
+		receiver.applyEvacuations("peer", decodeEvacuations(news.Evacuations))
+		p.applyServers("peer", news.Servers, servers.Revision(news.ServersListed))
 	}
 }
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -31,13 +31,13 @@
 	rates   map[string]float64
 	limited func(now monotime.Instant) bool
 	// answers are those that are on their way.
-	answers []lateAnswer
+	answers []pendingAnswer
 	// arrivals are the requests that reached each server.
 	arrivals map[string][]monotime.Instant
 	refused  int
 }
 
-type lateAnswer struct {
+type pendingAnswer struct {
 	at       monotime.Instant
 	sent     monotime.Instant
 	instance *linkedInstance
@@ -47,9 +47,9 @@
 }
 
 const (
-	limitedStep = 5 * time.Millisecond
-	// limitedWork is the time between a request and its answer.
-	limitedWork = 40 * time.Millisecond
+	stepTime = 5 * time.Millisecond
+	// answerTime is the time between a request and its answer.
+	answerTime = 40 * time.Millisecond
 )
 
 // startLimitedFleet starts instances before servers that name these rates, and others.
@@ -62,7 +62,7 @@
 	time.Sleep(2 * time.Second)
 	all := append(slices.Sorted(maps.Keys(rates)), sound...)
 	for _, i := range f.instances {
-		i.fleet.adopt(&routing.Config{Version: 1, Services: []routing.Service{{Name: "svc"}}}, fromStore)
+		i.fleet.installConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "svc"}}}, fromStore)
 		for n, id := range all {
 			s := entry(id, servers.Revision(n+1))
 			s.Slots = 64
@@ -72,12 +72,12 @@
 	return f
 }
 
-// play has callers ask for a while.
-func (f *limitedFleet) play(lasts time.Duration) {
-	for end := monotime.Now().Add(lasts); monotime.Now() < end; time.Sleep(limitedStep) {
+// run has callers ask for a while.
+func (f *limitedFleet) run(lasts time.Duration) {
+	for end := monotime.Now().Add(lasts); monotime.Now() < end; time.Sleep(stepTime) {
 		f.answer(monotime.Now())
 		for _, i := range f.instances {
-			if f.rng.Float64() < f.load*limitedStep.Seconds()/float64(len(f.instances)) {
+			if f.rng.Float64() < f.load*stepTime.Seconds()/float64(len(f.instances)) {
 				f.ask(i, monotime.Now())
 			}
 		}
@@ -100,7 +100,7 @@
 }
 
 func (f *limitedFleet) arrive(i *linkedInstance, target relay.Target, run int, now monotime.Instant) {
-	a := lateAnswer{at: now.Add(limitedWork), sent: now, instance: i, server: target.ID, run: run}
+	a := pendingAnswer{at: now.Add(answerTime), sent: now, instance: i, server: target.ID, run: run}
 	f.arrivals[target.ID] = append(f.arrivals[target.ID], now)
 	if rate, ok := f.rates[target.ID]; ok && f.limited(now) {
 		a.notice = servers.Notice{Limited: true, Rate: rate}
@@ -117,8 +117,8 @@
 	}
 }
 
-// between counts the arrivals at a server in a span.
-func (f *limitedFleet) between(server string, from, to monotime.Instant) int {
+// arrivalsBetween counts the arrivals at a server in a span.
+func (f *limitedFleet) arrivalsBetween(server string, from, to monotime.Instant) int {
 	n := 0
 	for _, at := range f.arrivals[server] {
 		if at >= from && at < to {
@@ -128,15 +128,15 @@
 	return n
 }
 
-// most is the largest number of arrivals at a server in a span of a length within another.
-func (f *limitedFleet) most(server string, length time.Duration, from, to monotime.Instant) int {
-	most := 0
+// maxArrivals is the largest number of arrivals at a server in a span of a length within another.
+func (f *limitedFleet) maxArrivals(server string, length time.Duration, from, to monotime.Instant) int {
+	out := 0
 	for _, at := range f.arrivals[server] {
 		if at >= from && at.Add(length) <= to {
-			most = max(most, f.between(server, at, at.Add(length)))
+			out = max(out, f.arrivalsBetween(server, at, at.Add(length)))
 		}
 	}
-	return most
+	return out
 }
 
 // A server names in its answers how many requests a second it takes of all
@@ -144,11 +144,11 @@
 // before: 23 in 4 s where it had said 1.7 a second. The header of the answers was read
 // nowhere: arrivals did not change when it was first named, at any instance, and no
 // instance logged a thing.
-func TestALimitedServerGetsWhatItSaysItTakes(t *testing.T) {
+func TestLimitedServerGetsItsAdvertisedRate(t *testing.T) {
 	const (
-		heardWithin = 3 * time.Second
-		span        = 4 * time.Second
-		lasts       = 16 * time.Second
+		learnTime = 3 * time.Second
+		span      = 4 * time.Second
+		lasts     = 16 * time.Second
 	)
 	for _, rate := range []float64{0, 0.3, 1.7, 12} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -162,17 +162,17 @@
 				begun := monotime.Now().Add(2 * time.Second)
 				ended := begun.Add(lasts)
 				f.limited = func(now monotime.Instant) bool { return now >= begun && now < ended }
-				f.play(2*time.Second + lasts + 12*time.Second)
+				f.run(2*time.Second + lasts + 12*time.Second)
 
-				from := begun.Add(heardWithin)
+				from := begun.Add(learnTime)
 				allowed := 1.5*rate*span.Seconds() + 5
-				if most := f.most("limited", span, from, ended); float64(most) > allowed {
+				if most := f.maxArrivals("limited", span, from, ended); float64(most) > allowed {
 					t.Errorf("%d requests in %v, allowed %v", most, span, allowed)
 				}
-				if got, says := f.between("limited", from, ended), rate*(lasts-heardWithin).Seconds(); float64(got) < says/2-1 {
+				if got, says := f.arrivalsBetween("limited", from, ended), rate*(lasts-learnTime).Seconds(); float64(got) < says/2-1 {
 					t.Errorf("it got %d requests of the %.0f that it takes", got, says)
 				}
-				if got := f.between("limited", ended.Add(7*time.Second), ended.Add(12*time.Second)); got < 5*load/4 {
+				if got := f.arrivalsBetween("limited", ended.Add(7*time.Second), ended.Add(12*time.Second)); got < 5*load/4 {
 					t.Errorf("%d of %d requests in the seconds after its limit", got, 5*load)
 				}
 				if f.refused > 0 {
@@ -194,19 +194,19 @@
 		f := startLimitedFleet(t, ctx, tasks, 24, 120, rates, "e", "f")
 		defer stopLinked(t, cancel, tasks)
 		f.limited = func(monotime.Instant) bool { return true }
-		f.play(3 * time.Second)
+		f.run(3 * time.Second)
 		from := monotime.Now()
 		for n := range 6 {
-			f.play(3 * time.Second)
+			f.run(3 * time.Second)
 			f.forget(f.instances[4*n])
 		}
-		f.play(3 * time.Second)
+		f.run(3 * time.Second)
 		const span = 4 * time.Second
 		for server, rate := range rates {
-			if most, allowed := f.most(server, span, from, monotime.Now()), 1.5*rate*span.Seconds()+5; float64(most) > allowed {
+			if most, allowed := f.maxArrivals(server, span, from, monotime.Now()), 1.5*rate*span.Seconds()+5; float64(most) > allowed {
 				t.Errorf("%s: %d requests in %v, allowed %v", server, most, span, allowed)
 			}
-			if got, says := f.between(server, from, monotime.Now()), rate*21; float64(got) < says/2-1 {
+			if got, says := f.arrivalsBetween(server, from, monotime.Now()), rate*21; float64(got) < says/2-1 {
 				t.Errorf("%s got %d requests of the %.0f that it takes", server, got, says)
 			}
 		}
@@ -219,7 +219,7 @@
 // forget has an instance know nothing of limits, as after a start, until an answer tells it.
 func (f *limitedFleet) forget(i *linkedInstance) {
 	for server := range f.rates {
-		i.fleet.update("start", func(r *servers.Registry, now monotime.Instant) []string {
+		i.fleet.changeServers("start", func(r *servers.Registry, now monotime.Instant) []string {
 			r.SetBound(server, servers.Bound{At: now})
 			return []string{server}
 		})
@@ -232,35 +232,35 @@
 func TestALimitIsLearnedFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
-		told, _, _ := newFleet()
-		put(told, fromStore, entry("a", 1))
-		told.Heard("a", servers.Notice{Limited: true, Rate: 0.5}, monotime.Now(), monotime.Now())
+		informed, _, _ := newFleet()
+		put(informed, fromStore, entry("a", 1))
+		informed.Heard("a", servers.Notice{Limited: true, Rate: 0.5}, monotime.Now(), monotime.Now())
 		time.Sleep(time.Second)
 
 		f, _, _ := newFleet()
-		f.adopt(config(1), fromStore)
+		f.installConfig(config(1), fromStore)
 		p := linkedPeers(f, "me")
-		p.takeServers("peer", told.allServers(), 0)
+		p.applyServers("peer", informed.allServers(), 0)
 		time.Sleep(3 * time.Second)
-		if n := placed(t, f); n > 1 {
+		if n := countPlaced(t, f); n > 1 {
 			t.Errorf("%d requests in a second, of a server that takes one in two", n)
 		}
 
-		damaged := told.allServers()
+		damaged := informed.allServers()
 		for _, rate := range []float64{-1, math.NaN(), math.Inf(1)} {
 			damaged[0].Rate, damaged[0].LimitAge = rate, 1
-			p.takeServers("peer", damaged, 0)
+			p.applyServers("peer", damaged, 0)
 		}
 		damaged[0].Rate, damaged[0].LimitAge, damaged[0].Limited = 0, math.MaxInt, false
-		p.takeServers("peer", damaged, 0)
+		p.applyServers("peer", damaged, 0)
 		if got := f.limitedServers(); len(got) != 1 {
 			t.Error("after damaged words", got)
 		}
 
 		sent := monotime.Now()
 		time.Sleep(time.Second)
-		told.Heard("a", servers.Notice{}, sent, monotime.Now())
-		p.takeServers("peer", told.allServers(), 0)
+		informed.Heard("a", servers.Notice{}, sent, monotime.Now())
+		p.applyServers("peer", informed.allServers(), 0)
 		if got := f.limitedServers(); len(got) != 0 {
 			t.Error("after its end", got)
 		}
@@ -271,7 +271,7 @@
 // instance. Callers' requests went on to reach it, were turned away too and had to come
 // back: the time was only passed on to the caller whose request it was. Other instances
 // may send to it meanwhile.
-func TestAServerThatWantsNothingForAWhileGetsNothing(t *testing.T) {
+func TestPausedServerGetsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
 		f, peer := leavingPair()
@@ -279,26 +279,26 @@
 		now := monotime.Now()
 		f.Heard("a", servers.Notice{Pause: 3 * time.Second}, now, now)
 		f.Heard("a", servers.Notice{Pause: time.Second}, now, now)
-		f.news.flush()
-		if _, taken := placedOn(f, 2800*time.Millisecond); taken["a"] > 0 || taken["b"] == 0 {
+		f.updates.flush()
+		if _, taken := placeFor(f, 2800*time.Millisecond); taken["a"] > 0 || taken["b"] == 0 {
 			t.Error("while it wants nothing:", taken)
 		}
-		if _, taken := placedOn(peer, 100*time.Millisecond); taken["a"] == 0 {
+		if _, taken := placeFor(peer, 100*time.Millisecond); taken["a"] == 0 {
 			t.Error("at a peer:", taken)
 		}
 		f.Heard("b", servers.Notice{Pause: time.Second}, now, monotime.Now())
-		if refused, _ := placedOn(f, 50*time.Millisecond); refused != placement.AllBounded {
+		if refused, _ := placeFor(f, 50*time.Millisecond); refused != placement.AllBounded {
 			t.Error("with nobody left:", refused)
 		}
 		time.Sleep(200 * time.Millisecond)
-		if _, taken := placedOn(f, 100*time.Millisecond); taken["a"] == 0 {
+		if _, taken := placeFor(f, 100*time.Millisecond); taken["a"] == 0 {
 			t.Error("after that time:", taken)
 		}
 	})
 }
 
-// placedOn begins a request every 10 ms for a while, and counts them by server.
-func placedOn(f *fleet, lasts time.Duration) (last placement.Refusal, taken map[string]int) {
+// placeFor begins a request every 10 ms for a while, and counts them by server.
+func placeFor(f *fleet, lasts time.Duration) (last placement.Refusal, taken map[string]int) {
 	taken = make(map[string]int)
 	work := placement.Work{Goal: time.Second, Left: time.Minute}
 	for end := monotime.Now().Add(lasts); monotime.Now() < end; time.Sleep(10 * time.Millisecond) {
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -92,7 +92,7 @@
 				ID: self.ID, Incarnation: self.Incarnation, DataCentre: self.DataCentre,
 				CallerAddress: self.CallerAddress, PeerAddress: self.PeerAddress, Capacity: self.Capacity,
 			},
-			Keys:     []peer.Key{{ID: linkKeyID, Secret: noKey}},
+			Keys:     []peer.Key{{ID: linkKeyID, Secret: defaultLinkSecret}},
 			Listener: host.listen(self.PeerAddress),
 			Dial:     host.dial,
 			Handler:  p,
@@ -103,13 +103,13 @@
 		}
 		p.links = links
 		f.members, f.publish = p.count, p.configs.publish
-		f.news.gather, f.news.due, f.news.send, f.news.status = p.gather, p.due, p.broadcast, f.status
+		f.updates.batchDelay, f.updates.due, f.updates.send, f.updates.fillStatus = p.batchDelay, p.due, p.broadcast, f.fillStatus
 		tasks.Go(func() error { return links.Run(ctx) })
-		tasks.Go(func() error { return f.news.run(ctx) })
+		tasks.Go(func() error { return f.updates.run(ctx) })
 		tasks.Go(func() error {
 			for ctx.Err() == nil {
 				p.tick(monotime.Now())
-				sleep(ctx, tick)
+				sleep(ctx, tickInterval)
 			}
 			return nil
 		})
@@ -134,7 +134,7 @@
 // Twenty-four instances start, find each other over three seeds, and drop the links
 // that nobody needs then. A dropped link must stay closed: when the other side opened
 // it again at once, small machines did nothing but shake hands, and callers waited.
-func TestLinksOfALargeFleetComeToRest(t *testing.T) {
+func TestLinksOfALargeFleetSettle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks errgroup.Group
@@ -159,8 +159,8 @@
 				t.Errorf("%s knows %d others", i.fleet.self, got)
 			}
 		}
-		if most := size * 10; open > most {
-			t.Errorf("%d ends of links, at most %d wanted", open, most)
+		if maxOpen := size * 10; open > maxOpen {
+			t.Errorf("%d ends of links, at most %d wanted", open, maxOpen)
 		}
 		stopLinked(t, cancel, &tasks)
 	})
@@ -168,7 +168,7 @@
 
 // Each of twenty-four instances begins runs on a server, and ends them. All others
 // count them for as long as they last, and none afterwards.
-func TestRunsAreKnownOverHubs(t *testing.T) {
+func TestRunsReachAllInstancesOverHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks errgroup.Group
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -34,12 +34,12 @@
 	return out, nil
 }
 
-func (g *Gateway) callersServer() *http.Server {
+func (g *Gateway) callerServer() *http.Server {
 	return &http.Server{
 		Handler:           g.relay,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    headerBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          zap.NewStdLog(g.cfg.Log),
 	}
 }
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// serveSmall serves short answers until the context ends.
-func serveSmall(ctx context.Context, listener net.Listener, handler fasthttp.RequestHandler) error {
+// serveUntilDone serves short answers until the context ends.
+func serveUntilDone(ctx context.Context, listener net.Listener, handler fasthttp.RequestHandler) error {
 	server := &fasthttp.Server{
 		Handler: handler, NoDefaultServerHeader: true, NoDefaultDate: true,
 		ReadTimeout: headerTimeout, IdleTimeout: idleTimeout,
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -12,29 +12,29 @@
 	vars.Set("relay", g.stats.Vars())
 	vars.Set("links", g.peers.links.Counters())
 	vars.Set("link_queue_delay_ms", expvar.Func(func() any { return g.peers.links.QueueDelay().Milliseconds() }))
-	vars.Set("config_version", expvar.Func(func() any { return g.fleet.version() }))
-	vars.Set("config", expvar.Func(func() any { return g.peers.configs.state() }))
+	vars.Set("config_version", expvar.Func(func() any { return g.fleet.configVersion() }))
+	vars.Set("config", expvar.Func(func() any { return g.peers.configs.metrics() }))
 	vars.Set("servers", expvar.Func(func() any { return g.fleet.serverCount() }))
-	vars.Set("evacuated", expvar.Func(func() any { return g.fleet.evacuated() }))
+	vars.Set("evacuated", expvar.Func(func() any { return g.fleet.evacuatedDataCentres() }))
 	vars.Set("cold_servers", expvar.Func(func() any { return g.fleet.coldServers() }))
-	vars.Set("store", expvar.Func(func() any { return g.storeState() }))
+	vars.Set("store", expvar.Func(func() any { return g.storeMetrics() }))
 	vars.Set("limited_servers", expvar.Func(func() any { return g.fleet.limitedServers() }))
-	vars.Set("crashes", expvar.Func(func() any { return g.fleet.crashes.state() }))
-	vars.Set("news", expvar.Func(func() any { return g.peers.state() }))
+	vars.Set("crashes", expvar.Func(func() any { return g.fleet.crashes.metrics() }))
+	vars.Set("news", expvar.Func(func() any { return g.peers.metrics() }))
 	vars.Set("peers_linked", expvar.Func(func() any { return len(g.peers.linked()) }))
 	vars.Set("memory", expvar.Get("memstats"))
 	ctx.SetContentType("application/json; charset=utf-8")
 	ctx.SetBodyString(vars.String())
 }
 
-// storeState is what the metrics tell of the store.
-type storeState struct {
+// storeMetrics is what the metrics tell of the store.
+type storeMetrics struct {
 	Era             int64 `json:"era"`
 	Revision        int64 `json:"revision"`
 	DoubtfulServers int   `json:"doubtful_servers"`
 }
 
-func (g *Gateway) storeState() storeState {
-	revision, doubtful := g.fleet.latest()
-	return storeState{Era: revision.Era(), Revision: revision.Number(), DoubtfulServers: doubtful}
+func (g *Gateway) storeMetrics() storeMetrics {
+	revision, doubtful := g.fleet.latestRevision()
+	return storeMetrics{Era: revision.Era(), Revision: revision.Number(), DoubtfulServers: doubtful}
 }
--- a/internal/gateway/norace_test.go
+++ b/internal/gateway/norace_test.go
@@ -2,5 +2,5 @@
 
 package gateway
 
-// spreadSizes are the fleets over which versions are spread.
-var spreadSizes = []int{8, 60, 100}
+// defaultFleetSizes are the fleets over which versions are spread.
+var defaultFleetSizes = []int{8, 60, 100}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -15,12 +15,12 @@
 // in the store, and for the whole fleet: it is told to the peers.
 func (f *fleet) Heard(server string, notice servers.Notice, sent, now monotime.Instant) {
 	if notice.Pause > 0 {
-		f.pause(server, notice.Pause, now)
+		f.pauseServer(server, notice.Pause, now)
 	}
-	if !notice.Leaving && !notice.Limited && f.limited.Load() == 0 {
+	if !notice.Leaving && !notice.Limited && f.limitedCount.Load() == 0 {
 		return
 	}
-	f.update(fromServer, func(r *servers.Registry, _ monotime.Instant) []string {
+	f.changeServers(fromServer, func(r *servers.Registry, _ monotime.Instant) []string {
 		if r.Hear(server, notice, sent, now) == servers.Unchanged {
 			return nil
 		}
@@ -28,10 +28,10 @@
 	})
 }
 
-// pause has a server get nothing from this instance for a while. It is asked of this
+// pauseServer has a server get nothing from this instance for a while. It is asked of this
 // instance alone, so peers are not told.
-func (f *fleet) pause(server string, lasts time.Duration, now monotime.Instant) {
-	if !f.known(server) {
+func (f *fleet) pauseServer(server string, lasts time.Duration, now monotime.Instant) {
+	if !f.hasServer(server) {
 		return
 	}
 	f.throttle.Pause(server, now.Add(lasts))
@@ -45,7 +45,7 @@
 	return f.registry.Limited()
 }
 
-func encodeBound(state *wire.RelayServer, b servers.Bound, now monotime.Instant) {
+func encodeLimit(state *wire.RelayServer, b servers.Bound, now monotime.Instant) {
 	if b.At == 0 {
 		return
 	}
@@ -53,18 +53,18 @@
 	state.LimitAge = 1 + int(max(0, now.Sub(b.At)).Milliseconds())
 }
 
-// boundAgeMost bounds the age of what a peer says of a limit.
-const boundAgeMost = time.Hour
+// maxLimitAge bounds the age of what a peer says of a limit.
+const maxLimitAge = time.Hour
 
-// decodeBound reads what a peer says of a limit. Damaged values say nothing: no rate that
+// decodeLimit reads what a peer says of a limit. Damaged values say nothing: no rate that
 // can't be kept, and no word that would count as newer than those to come.
-func decodeBound(state *wire.RelayServer, now monotime.Instant) servers.Bound {
+func decodeLimit(state *wire.RelayServer, now monotime.Instant) servers.Bound {
 	rateValid := state.Rate >= 0 && !math.IsInf(state.Rate, 1)
 	if state.LimitAge <= 0 || !rateValid {
 		return servers.Bound{}
 	}
-	age := boundAgeMost
-	if state.LimitAge <= int(boundAgeMost.Milliseconds()) {
+	age := maxLimitAge
+	if state.LimitAge <= int(maxLimitAge.Milliseconds()) {
 		age = milliseconds(state.LimitAge - 1)
 	}
 	return servers.Bound{Limited: state.Limited, Rate: state.Rate, At: now.Add(-age)}
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -7,15 +7,15 @@
 	"basilrudder/internal/monotime"
 )
 
-// outageServers is how many servers of a service this instance has to find unreachable, one
+// outageThreshold is how many servers of a service this instance has to find unreachable, one
 // after the other and none reached between, to take that for an outage of the service; all
 // where there are fewer. A crash of a third of the servers looks like that to one request
 // in 240.
-const outageServers = 5
+const outageThreshold = 5
 
-// outages keeps which services this instance has stopped to reach. It is safe for
+// outageDetector keeps which services this instance has stopped to reach. It is safe for
 // concurrent use.
-type outages struct {
+type outageDetector struct {
 	// failing is the number of services with a streak, so that the others cost nothing.
 	failing atomic.Int64
 
@@ -29,10 +29,10 @@
 	servers map[string]bool
 }
 
-func newOutages() *outages { return &outages{streaks: make(map[string]*streak)} }
+func newOutageDetector() *outageDetector { return &outageDetector{streaks: make(map[string]*streak)} }
 
-// unreachable notes that no connection to a server could be made.
-func (o *outages) unreachable(service, server string, now monotime.Instant) {
+// recordUnreachable notes that no connection to a server could be made.
+func (o *outageDetector) recordUnreachable(service, server string, now monotime.Instant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s := o.streaks[service]
@@ -41,13 +41,13 @@
 		o.streaks[service] = s
 		o.failing.Store(int64(len(o.streaks)))
 	}
-	if len(s.servers) < outageServers {
+	if len(s.servers) < outageThreshold {
 		s.servers[server] = true
 	}
 }
 
-// reached notes that a server of a service was reached.
-func (o *outages) reached(service string) {
+// recordReached notes that a server of a service was recordReached.
+func (o *outageDetector) recordReached(service string) {
 	if o.failing.Load() == 0 {
 		return
 	}
@@ -57,16 +57,16 @@
 	o.failing.Store(int64(len(o.streaks)))
 }
 
-// since is when the outage of a service of so many servers began, as this instance alone
+// outageSince is when the outage of a service of so many servers began, as this instance alone
 // can tell; false when there is none.
-func (o *outages) since(service string, servers int) (monotime.Instant, bool) {
+func (o *outageDetector) outageSince(service string, servers int) (monotime.Instant, bool) {
 	if o.failing.Load() == 0 {
 		return 0, false
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s := o.streaks[service]
-	if s == nil || len(s.servers) < min(outageServers, servers) {
+	if s == nil || len(s.servers) < min(outageThreshold, servers) {
 		return 0, false
 	}
 	return s.since, true
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -16,9 +16,9 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// newsTravel is taken off a peer's word for the time it was on its way: several
+// updateTravelTime is taken off a peer's word for the time it was on its way: several
 // times the usual, of some ms between data centres.
-const newsTravel = 100 * time.Millisecond
+const updateTravelTime = 100 * time.Millisecond
 
 // peers keeps the links to other instances and takes their news. It implements
 // peer.Handler.
@@ -26,24 +26,24 @@
 	fleet   *fleet
 	log     *zap.Logger
 	links   *peer.Links
-	configs *configs
+	configs *configSync
 
-	// warm says that what all engines keep is known, from a peer that knew it or from
+	// cachesComplete says that what all engines keep is known, from a peer that knew it or from
 	// the engines. What some peer has just heard of a few does not count.
-	warm atomic.Bool
-	// informed says that some peer has told what engines keep. Each answer to a question
+	cachesComplete atomic.Bool
+	// cachesReceived says that some peer has told what engines keep. Each answer to a question
 	// for it is as long as all servers and caches together, so peers are asked only until
 	// the first.
-	informed atomic.Bool
-
-	mu      sync.Mutex
-	node    *overlay.Node
-	differs map[string]difference // by peer
-	askedAt monotime.Instant      // when a peer was last asked for its state
-	logged  role                  // what was last logged
-	late    bool                  // news come late, as was last logged
-	// refreshing says that a refresh is due.
-	refreshing bool
+	cachesReceived atomic.Bool
+
+	mu               sync.Mutex
+	node             *overlay.Node
+	differences      map[string]difference // by peer
+	stateRequestedAt monotime.Instant      // when a peer was last asked for its state
+	loggedRole       role                  // what was last logged
+	updatesLate      bool                  // news come late, as was last logged
+	// refreshPending says that a refresh is due.
+	refreshPending bool
 }
 
 // refreshDelay is how long changes of what is known are gathered. While a fleet starts
@@ -59,8 +59,8 @@
 func newPeers(self wire.RelayMember, seeds []string, f *fleet, log *zap.Logger) *peers {
 	p := &peers{
 		fleet: f, log: log, node: overlay.New(self, seeds, monotime.Now()),
-		configs: newConfigs(self.ID, f, log),
-		differs: make(map[string]difference),
+		configs:     newConfigSync(self.ID, f, log),
+		differences: make(map[string]difference),
 	}
 	p.configs.send = func(to string, env *wire.Envelope) bool { return p.links.Send(to, env) }
 	return p
@@ -82,17 +82,17 @@
 	}
 	p.log.Info("peer_linked", zap.String("peer", id.ID), zap.String("incarnation", id.Incarnation))
 	greeting := p.node.Greeting()
-	greeting.ConfigVersion = p.version()
-	greeting.StateWanted = p.wantsState() && p.mayAsk(now)
+	greeting.ConfigVersion = p.configVersion()
+	greeting.StateWanted = p.needsState() && p.mayRequestState(now)
 	p.links.Send(id.ID, &wire.Envelope{News: []wire.RelayNews{greeting}})
-	for told := range slices.Chunk(p.fleet.crashes.all(now), crashesAtOnce) {
-		p.links.Send(id.ID, &wire.Envelope{News: []wire.RelayNews{{Crashes: told}}})
+	for list := range slices.Chunk(p.fleet.crashes.encodeAll(now), crashesPerMessage) {
+		p.links.Send(id.ID, &wire.Envelope{News: []wire.RelayNews{{Crashes: list}}})
 	}
-	p.refreshSoon()
+	p.scheduleRefresh()
 }
 
-// wantsState reports whether the next peer is to be asked for what it knows.
-func (p *peers) wantsState() bool { return !p.warm.Load() && !p.informed.Load() }
+// needsState reports whether the next peer is to be asked for what it knows.
+func (p *peers) needsState() bool { return !p.cachesComplete.Load() && !p.cachesReceived.Load() }
 
 // LinkDown implements peer.Handler.
 func (p *peers) LinkDown(id string, err error) {
@@ -100,49 +100,49 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.node.LinkDown(id, now)
-	delete(p.differs, id)
+	delete(p.differences, id)
 	p.log.Info("peer_lost", zap.String("peer", id), eventlog.Cause(err))
 	// At once, before the links look what to dial: of a link that the peer dropped
 	// because nobody needs it, this side would open another one, for good.
-	p.setWanted(now)
-	p.refreshSoon()
+	p.updateWantedLinks(now)
+	p.scheduleRefresh()
 }
 
 // Envelope implements peer.Handler.
 func (p *peers) Envelope(from string, env *wire.Envelope) {
-	p.configs.take(from, env)
+	p.configs.receive(from, env)
 	changed := false
 	for i := range env.News {
-		changed = p.take(from, &env.News[i]) || changed
+		changed = p.receive(from, &env.News[i]) || changed
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node.Holds() {
-		p.fleet.news.pass()
+		p.fleet.updates.scheduleFlush()
 	}
 	if changed {
-		p.refreshSoon()
+		p.scheduleRefresh()
 	}
 }
 
-// refreshSoon has a refresh follow; mu is held.
-func (p *peers) refreshSoon() {
-	if p.refreshing {
+// scheduleRefresh has a refresh follow; mu is held.
+func (p *peers) scheduleRefresh() {
+	if p.refreshPending {
 		return
 	}
-	p.refreshing = true
+	p.refreshPending = true
 	time.AfterFunc(refreshDelay, func() {
 		p.mu.Lock()
 		p.refresh(monotime.Now())
 		p.mu.Unlock()
-		p.configs.relink(p.linked)
+		p.configs.updateLinked(p.linked)
 	})
 }
 
 // refresh does what follows from a change of what is known; mu is held, so that what
 // it sends goes out in the order of the changes.
 func (p *peers) refresh(now monotime.Instant) {
-	p.refreshing = false
+	p.refreshPending = false
 	effects := p.node.Refresh(now)
 	p.fleet.throttle.SetMembers(p.node.Sharers())
 	for _, id := range effects.Lost {
@@ -155,15 +155,15 @@
 	if effects.MembersFrom != "" {
 		p.links.Send(effects.MembersFrom, &wire.Envelope{News: []wire.RelayNews{{MembersWanted: true}}})
 	}
-	p.setWanted(now)
+	p.updateWantedLinks(now)
 	if p.node.LinksChanged() {
-		p.fleet.news.pass()
+		p.fleet.updates.scheduleFlush()
 	}
 	p.logRole(now)
 }
 
-// setWanted tells the links which of them are wanted; mu is held.
-func (p *peers) setWanted(now monotime.Instant) {
+// updateWantedLinks tells the links which of them are wanted; mu is held.
+func (p *peers) updateWantedLinks(now monotime.Instant) {
 	wanted := p.node.Wanted(now)
 	targets := make([]peer.Target, 0, len(wanted))
 	for _, t := range wanted {
@@ -174,19 +174,19 @@
 
 // logRole logs what this instance does for the others, as it changes.
 func (p *peers) logRole(now monotime.Instant) {
-	is := role{p.node.Role(), p.node.Primary()}
-	if is == p.logged {
+	current := role{p.node.Role(), p.node.Primary()}
+	if current == p.loggedRole {
 		return
 	}
-	p.logged = is
-	p.log.Info("news_role", zap.String("role", is.name), zap.String("hub", is.primary),
+	p.loggedRole = current
+	p.log.Info("news_role", zap.String("role", current.name), zap.String("hub", current.primary),
 		zap.Int("links", len(p.node.Linked())), zap.Int("instances", len(p.node.Alive())),
 		zap.Duration("news_age_ms", p.node.Staleness(now)))
 }
 
 // tick does what is due by time alone.
 func (p *peers) tick(now monotime.Instant) {
-	p.configs.relink(p.linked)
+	p.configs.updateLinked(p.linked)
 	p.configs.tick(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,28 +198,28 @@
 }
 
 const (
-	// newsLate is the age from which on news count as late: requests are then placed on
+	// lateUpdateAge is the age from which on news count as late: requests are then placed on
 	// engines that have been given some ten others meanwhile. newsFresh is the age at
 	// which they no longer do.
-	newsLate  = 200 * time.Millisecond
-	newsFresh = 100 * time.Millisecond
+	lateUpdateAge  = 200 * time.Millisecond
+	freshUpdateAge = 100 * time.Millisecond
 )
 
 // logLateness logs that news come late, and that they no longer do.
 func (p *peers) logLateness(now monotime.Instant) {
 	age := p.node.Staleness(now)
 	switch {
-	case !p.late && age >= newsLate:
-		p.late = true
+	case !p.updatesLate && age >= lateUpdateAge:
+		p.updatesLate = true
 		p.log.Warn("news_late", zap.String("hub", p.node.Primary()), zap.Duration("news_age_ms", age), zap.Int("missed", p.node.Missed()))
-	case p.late && age <= newsFresh:
-		p.late = false
+	case p.updatesLate && age <= freshUpdateAge:
+		p.updatesLate = false
 		p.log.Info("news_fresh", zap.String("hub", p.node.Primary()), zap.Duration("news_age_ms", age), zap.Int("missed", p.node.Missed()))
 	}
 }
 
-// newsState is what an operator asks about the news of other instances.
-type newsState struct {
+// updateMetrics is what an operator asks about the news of other instances.
+type updateMetrics struct {
 	Role      string `json:"role"`
 	Hub       string `json:"hub"`
 	Links     int    `json:"links"`
@@ -228,18 +228,18 @@
 	Missed    int    `json:"missed"`
 }
 
-// state returns what is known of the news now, for metrics.
-func (p *peers) state() newsState {
+// metrics returns what is known of the news now, for metrics.
+func (p *peers) metrics() updateMetrics {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return newsState{
+	return updateMetrics{
 		Role: p.node.Role(), Hub: p.node.Primary(), Links: len(p.node.Linked()),
 		Instances: len(p.node.Alive()), AgeMS: p.node.Staleness(monotime.Now()).Milliseconds(), Missed: p.node.Missed(),
 	}
 }
 
-// gather is how long news are gathered before they are sent.
-func (p *peers) gather() time.Duration {
+// batchDelay is how long news are gathered before they are sent.
+func (p *peers) batchDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Gather()
@@ -309,8 +309,8 @@
 	return p.node.Rank()
 }
 
-// hears reports whether this instance hears all news over a hub.
-func (p *peers) hears() bool {
+// hasHub reports whether this instance hasHub all news over a hub.
+func (p *peers) hasHub() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Primary() != ""
@@ -331,5 +331,5 @@
 	return p.node.Staying()
 }
 
-// version of the configuration in force, or 0.
-func (p *peers) version() int { return int(p.fleet.version()) }
+// configVersion of the configuration in force, or 0.
+func (p *peers) configVersion() int { return int(p.fleet.configVersion()) }
--- a/internal/gateway/regular.go
+++ b/internal/gateway/periodic.go
@@ -19,44 +19,44 @@
 	g.leaving.Store(true)
 	g.relay.Drain()
 	g.peers.leave()
-	g.fleet.news.leaving()
+	g.fleet.updates.announceLeaving()
 	g.cfg.Log.Info("draining", zap.Int64("in_flight", g.relay.InFlight()))
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	most := seconds(g.cfg.Settings.Drain.GraceS) - endReserve
+	maxDrain := seconds(g.cfg.Settings.Drain.GraceS) - drainReserve
 	for range ticker.C {
 		lasted := monotime.Now().Sub(began)
-		if lasted >= most || lasted >= drainLeast && g.relay.InFlight() == 0 {
+		if lasted >= maxDrain || lasted >= minDrain && g.relay.InFlight() == 0 {
 			return
 		}
 	}
 }
 
-// regularly does what is due by time alone.
-func (g *Gateway) regularly(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+// runPeriodic does what is due by time alone.
+func (g *Gateway) runPeriodic(ctx context.Context) error {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-g.reload:
-			g.takeSettings()
+			g.reloadSettings()
 			continue
 		case <-ticker.C:
 		}
-		g.fleet.update(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
-		g.fleet.evacuate(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.SettleEvacuations(monotime.Now()) })
+		g.fleet.changeServers(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
+		g.fleet.changeEvacuations(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.SettleEvacuations(monotime.Now()) })
 		g.checkIsolation()
-		g.tellEvidence(monotime.Now())
+		g.sendPaceStats(monotime.Now())
 		g.peers.tick(monotime.Now())
 		instances := g.peers.count()
 		g.fleet.board.SetPeers(instances-1, g.peers.staleness())
-		g.fleet.board.SetNoise(choiceNoise(monotime.Now().Sub(g.begun), instances))
-		if n%sweepTicks == 0 {
-			g.relay.Sweep(g.fleet.known)
+		g.fleet.board.SetNoise(placementJitter(monotime.Now().Sub(g.started), instances))
+		if n%ticksPerSweep == 0 {
+			g.relay.Sweep(g.fleet.hasServer)
 			g.fleet.crashes.expire(monotime.Now())
-			g.takeSettings()
+			g.reloadSettings()
 			g.logPaces()
 		}
 	}
@@ -65,7 +65,7 @@
 // checkIsolation notices that this instance hears neither the store nor a peer:
 // it is likely cut off from servers too, and callers are better off elsewhere.
 func (g *Gateway) checkIsolation() {
-	silent := monotime.Now().Sub(monotime.Instant(g.fleet.heard.Load()))
+	silent := monotime.Now().Sub(monotime.Instant(g.fleet.confirmedByStore.Load()))
 	isolated := silent > isolatedAfter && len(g.peers.linked()) == 0 && g.peers.count() > 1
 	if g.isolated.Swap(isolated) != isolated {
 		g.cfg.Log.Warn("isolation_changed", zap.Bool("isolated", isolated), zap.Duration("store_silent_ms", silent))
@@ -80,8 +80,8 @@
 	}
 }
 
-// takeSettings reads the settings again and takes what may change while running.
-func (g *Gateway) takeSettings() {
+// reloadSettings reads the settings again and takes what may change while running.
+func (g *Gateway) reloadSettings() {
 	if g.cfg.Reload == nil {
 		return
 	}
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -23,8 +23,8 @@
 	f.mu.Lock()
 	list, sources := f.byService[service], f.sources[service]
 	f.mu.Unlock()
-	candidates, bounded := f.candidates(list, published, &work, excluded, now)
-	if len(candidates) == 0 && bounded {
+	candidates, throttled := f.candidates(list, published, &work, excluded, now)
+	if len(candidates) == 0 && throttled {
 		return relay.Target{}, placement.AllBounded
 	}
 	for _, s := range sources {
@@ -61,11 +61,11 @@
 	f.mu.Lock()
 	list := f.byService[service]
 	f.mu.Unlock()
-	shown := never
-	if since, out := f.outages.since(service, len(list)); out {
-		shown = since.Add(newsTravel)
+	cutoff := never
+	if since, outage := f.outages.outageSince(service, len(list)); outage {
+		cutoff = since.Add(updateTravelTime)
 	}
-	return f.throttle.InUse(ids(list), shown, now)
+	return f.throttle.InUse(ids(list), cutoff, now)
 }
 
 // ids lists those of servers.
@@ -90,25 +90,25 @@
 
 // candidates returns the servers of a list that a request may go to now, and whether
 // some are left out because they have got what they bear.
-func (f *fleet) candidates(list []servers.Server, service *routing.Service, work *placement.Work, excluded map[string]bool, now monotime.Instant) (out []placement.Candidate, bounded bool) {
-	ask := f.boundAsk(service.Name, work, now)
-	ask.Scarce = f.allBounded(list, ask, now)
+func (f *fleet) candidates(list []servers.Server, service *routing.Service, work *placement.Work, excluded map[string]bool, now monotime.Instant) (out []placement.Candidate, throttled bool) {
+	request := f.limiterRequest(service.Name, work, now)
+	request.Scarce = f.allThrottled(list, request, now)
 	out = make([]placement.Candidate, 0, len(list))
 	for _, s := range list {
 		switch {
 		case excluded[s.ID], !f.regions.allow(work.Homes, s.DataCentre):
-		case !f.throttle.Open(s.ID, ask, now):
-			bounded = true
+		case !f.throttle.Open(s.ID, request, now):
+			throttled = true
 		default:
 			out = append(out, candidate(s, service))
 		}
 	}
-	return out, bounded
+	return out, throttled
 }
 
-// boundAsk is what the limiter is asked for a request.
-func (f *fleet) boundAsk(service string, work *placement.Work, now monotime.Instant) throttle.Ask {
-	return throttle.Ask{Limit: f.coldLimit(service), Priority: work.Priority, StoreWord: f.storeWord(now)}
+// limiterRequest is what the limiter is asked for a request.
+func (f *fleet) limiterRequest(service string, work *placement.Work, now monotime.Instant) throttle.Ask {
+	return throttle.Ask{Limit: f.coldLimit(service), Priority: work.Priority, StoreWord: f.serversConfirmedAt(now)}
 }
 
 // coldLimit is what cold servers of a service bear; no bound while none is known.
@@ -128,17 +128,17 @@
 func (f *fleet) coldServers() []string {
 	out := []string{}
 	now := monotime.Now()
-	word := f.storeWord(now)
-	for _, s := range f.takingRequests() {
-		if f.throttle.Cold(s.ID, word, now) {
+	confirmed := f.serversConfirmedAt(now)
+	for _, s := range f.acceptingServers() {
+		if f.throttle.Cold(s.ID, confirmed, now) {
 			out = append(out, s.ID)
 		}
 	}
 	return out
 }
 
-// allBounded reports whether each server of a list bears only so much.
-func (f *fleet) allBounded(list []servers.Server, ask throttle.Ask, now monotime.Instant) bool {
+// allThrottled reports whether each server of a list bears only so much.
+func (f *fleet) allThrottled(list []servers.Server, ask throttle.Ask, now monotime.Instant) bool {
 	for _, s := range list {
 		if !f.throttle.Bounded(s.ID, ask, now) {
 			return false
@@ -153,11 +153,11 @@
 
 // connectionShare is this instance's part of the connections that a server
 // accepts of all instances together.
-func (f *fleet) connectionShare(most int) int {
-	if most <= 0 {
+func (f *fleet) connectionShare(maxConns int) int {
+	if maxConns <= 0 {
 		return 0
 	}
-	return max(minConnections, most/max(1, f.members()))
+	return max(minConnections, maxConns/max(1, f.members()))
 }
 
 func candidate(s servers.Server, service *routing.Service) placement.Candidate {
--- a/internal/gateway/race_test.go
+++ b/internal/gateway/race_test.go
@@ -2,6 +2,6 @@
 
 package gateway
 
-// spreadSizes are the fleets over which versions are spread. Larger ones are too slow under
+// defaultFleetSizes are the fleets over which versions are spread. Larger ones are too slow under
 // the race detector; CI runs the test without it too.
-var spreadSizes = []int{8, 24}
+var defaultFleetSizes = []int{8, 24}
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -22,7 +22,7 @@
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	f, _, _ := newFleet()
 	f.regions = twoRegions
-	f.adopt(config(1), fromStore)
+	f.installConfig(config(1), fromStore)
 	put(f, fromStore, entryIn("a", "hall", 1))
 	put(f, fromStore, entryIn("b", "yard", 2))
 	put(f, fromStore, entryIn("c", "nowhere", 3))
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -13,8 +13,8 @@
 	"basilrudder/internal/servers"
 )
 
-// bornEntry is the entry of a start of engine "a", which keeps its name and address.
-func bornEntry(born int64, revision servers.Revision) servers.Server {
+// incarnationEntry is the entry of a start of engine "a", which keeps its name and address.
+func incarnationEntry(born int64, revision servers.Revision) servers.Server {
 	return servers.Server{
 		ID: servers.Incarnation("a", born), Name: "a", Born: born, Service: "llm",
 		Address: "10.0.0.1:80", DataCentre: "here", Slots: 4, Revision: revision,
@@ -22,7 +22,7 @@
 }
 
 func put(f *fleet, from string, s servers.Server) {
-	f.update(from, func(r *servers.Registry, now monotime.Instant) []string {
+	f.changeServers(from, func(r *servers.Registry, now monotime.Instant) []string {
 		if r.Put(s, now) == servers.Unchanged {
 			return nil
 		}
@@ -36,12 +36,12 @@
 // told that the former one is gone.
 func TestAServerThatStartsAgainUnderItsNameIsAnother(t *testing.T) {
 	f, _, _ := newFleet()
-	var told []wire.RelayServer
-	f.news.send = func(n *wire.RelayNews, _ monotime.Instant, _ bool) { told = append(told, n.Servers...) }
-	f.adopt(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 4, MemoryTokens: 100_000}}}}, fromStore)
+	var sent []wire.RelayServer
+	f.updates.send = func(n *wire.RelayNews, _ monotime.Instant, _ bool) { sent = append(sent, n.Servers...) }
+	f.installConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 4, MemoryTokens: 100_000}}}}, fromStore)
 	work := placement.Work{Parts: []placement.Part{{ID: "p", Tokens: 5000}, {ID: "own", Tokens: 100}}, Prompt: 5100, Goal: time.Second}
 
-	former := bornEntry(1000, 5)
+	former := incarnationEntry(1000, 5)
 	put(f, fromStore, former)
 	target, _ := f.Place("llm", work, nil, monotime.Now())
 	run, _ := f.Begin(target, work, monotime.Now())
@@ -52,16 +52,16 @@
 	}
 	former.Draining, former.Revision = true, 6
 	put(f, fromStore, former)
-	put(f, fromStore, bornEntry(2000, 7))
+	put(f, fromStore, incarnationEntry(2000, 7))
 	put(f, "peer", former)
 
 	next, refusal := f.Place("llm", work, nil, monotime.Now())
 	if refusal != placement.Chosen || next.ID != "a@2000" || next.Name != "a" || next.Choice.Unread != work.Prompt {
 		t.Errorf("%v %+v", refusal, next)
 	}
-	f.news.flush()
+	f.updates.flush()
 	gone := map[string]bool{}
-	for _, state := range told {
+	for _, state := range sent {
 		gone[state.ID] = state.Gone
 	}
 	if diff := cmp.Diff(map[string]bool{"a@1000": true, "a@2000": false}, gone); diff != "" {
@@ -73,13 +73,13 @@
 // other one, and the server is back with its next good entry.
 func TestAnUnreadableEntryTakesItsServerOutAlone(t *testing.T) {
 	f, fd, _ := newFleet()
-	f.adopt(config(1), fromStore)
-	fd.take(&Changes{Servers: []servers.Server{entry("a", 1), entry("b", 2)}, Revision: 2})
-	fd.take(&Changes{Invalid: []servers.Mark{{Name: "a", Revision: 3}}, Revision: 3})
+	f.installConfig(config(1), fromStore)
+	fd.applyChanges(&Changes{Servers: []servers.Server{entry("a", 1), entry("b", 2)}, Revision: 2})
+	fd.applyChanges(&Changes{Invalid: []servers.Mark{{Name: "a", Revision: 3}}, Revision: 3})
 	if diff := cmp.Diff([]string{"b"}, ready(f)); diff != "" {
 		t.Error("while it is unreadable", diff)
 	}
-	fd.take(&Changes{Servers: []servers.Server{entry("a", 4)}, Revision: 4})
+	fd.applyChanges(&Changes{Servers: []servers.Server{entry("a", 4)}, Revision: 4})
 	if diff := cmp.Diff([]string{"a", "b"}, ready(f)); diff != "" {
 		t.Error("written well again", diff)
 	}
--- a/internal/gateway/return_test.go
+++ b/internal/gateway/restore_test.go
@@ -21,11 +21,11 @@
 // fleetSize plays the tests of any size with one more.
 var fleetSize = flag.Int("fleet", 0, "number of instances of one more fleet")
 
-func sizes() []int {
+func fleetSizes() []int {
 	if *fleetSize > 0 {
-		return append(slices.Clone(spreadSizes), *fleetSize)
+		return append(slices.Clone(defaultFleetSizes), *fleetSize)
 	}
-	return spreadSizes
+	return defaultFleetSizes
 }
 
 // memoryStore is a store that many instances read, and that can come back from a copy.
@@ -38,7 +38,7 @@
 	calls   int
 }
 
-const storeDelay = 4 * time.Millisecond
+const storeCallTime = 4 * time.Millisecond
 
 func newMemoryStore() *memoryStore {
 	return &memoryStore{config: config(1), entries: make(map[string]servers.Server), changed: make(chan struct{})}
@@ -63,7 +63,7 @@
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
-	time.Sleep(storeDelay)
+	time.Sleep(storeCallTime)
 }
 
 func (s *memoryStore) All(context.Context) (*Changes, error) {
@@ -111,14 +111,14 @@
 }
 
 // Guards against an old view, or reads by all instances at once, when the store is back from a copy.
-func TestAStoreThatCameBackIsKnownSoonAtAnySize(t *testing.T) {
+func TestRestoredStoreIsFollowedSoonAtAnyFleetSize(t *testing.T) {
 	const (
-		aim         = time.Second // to a right view
-		watched     = 4 * time.Second
-		readerCalls = 60 // of the six readers in that time
-		lost, kept  = 5, 20
+		limit          = time.Second // to a right view
+		watched        = 4 * time.Second
+		maxReaderCalls = 60 // of the six readers in that time
+		lost, kept     = 5, 20
 	)
-	for _, size := range sizes() {
+	for _, size := range fleetSizes() {
 		t.Run(fmt.Sprint(size, " instances"), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
@@ -132,14 +132,14 @@
 				fleet := startLinked(t, ctx, &tasks, size)
 				for _, i := range fleet {
 					fd := &feed{
-						source: store, fleet: i.fleet, log: i.fleet.log, wait: 1100 * time.Millisecond, slack: 600 * time.Millisecond,
-						confirming: make(chan struct{}, 1), rank: i.peers.rank, hears: i.peers.hears,
+						source: store, fleet: i.fleet, log: i.fleet.log, minWatch: 1100 * time.Millisecond, answerTimeout: 600 * time.Millisecond,
+						confirming: make(chan struct{}, 1), rank: i.peers.rank, hasHub: i.peers.hasHub,
 					}
 					tasks.Go(func() error { return fd.run(ctx) })
 					tasks.Go(func() error {
 						for ctx.Err() == nil {
-							i.fleet.update(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
-							sleep(ctx, tick)
+							i.fleet.changeServers(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
+							sleep(ctx, tickInterval)
 						}
 						return nil
 					})
@@ -163,15 +163,15 @@
 					}
 					store.put("new")
 				})
-				last := lastRight(fleet, begun, watched, func(f *fleetView) bool { return f.era == 1 && f.uses["new"] && f.uses["lost-0"] })
-				if last > aim {
+				last := lastCorrect(fleet, begun, watched, func(f *fleetView) bool { return f.era == 1 && f.uses["new"] && f.uses["lost-0"] })
+				if last > limit {
 					t.Errorf("some instance has no right view after %v", last)
 				}
 				time.Sleep(watched - time.Since(begun))
 				store.change(func() { calls += store.calls })
 				t.Logf("right at all after %v, %d calls to the store in %v", last, calls, watched)
-				if most := readerCalls + 2*size; calls > most {
-					t.Errorf("%d calls in %v, at most %d wanted", calls, watched, most)
+				if maxCalls := maxReaderCalls + 2*size; calls > maxCalls {
+					t.Errorf("%d calls in %v, at most %d wanted", calls, watched, maxCalls)
 				}
 				for _, i := range fleet {
 					if v := viewOf(i.fleet); v.uses["lost-0"] || len(v.uses) != kept+1 {
@@ -191,7 +191,7 @@
 }
 
 func viewOf(f *fleet) *fleetView {
-	latest, _ := f.latest()
+	latest, _ := f.latestRevision()
 	out := &fleetView{era: latest.Era(), uses: make(map[string]bool)}
 	for _, id := range ready(f) {
 		out.uses[id] = true
@@ -199,14 +199,14 @@
 	return out
 }
 
-// lastRight returns how long after an instant the last instance had a right view, or most.
-func lastRight(fleet []*linkedInstance, begun time.Time, most time.Duration, right func(*fleetView) bool) time.Duration {
-	const look = 10 * time.Millisecond
-	for time.Since(begun) < most {
-		time.Sleep(look)
-		if !slices.ContainsFunc(fleet, func(i *linkedInstance) bool { return !right(viewOf(i.fleet)) }) {
+// lastCorrect returns how long after an instant the last instance had a right view, or most.
+func lastCorrect(fleet []*linkedInstance, begun time.Time, timeout time.Duration, correct func(*fleetView) bool) time.Duration {
+	const interval = 10 * time.Millisecond
+	for time.Since(begun) < timeout {
+		time.Sleep(interval)
+		if !slices.ContainsFunc(fleet, func(i *linkedInstance) bool { return !correct(viewOf(i.fleet)) }) {
 			return time.Since(begun)
 		}
 	}
-	return most
+	return timeout
 }
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -13,22 +13,22 @@
 // other requests may have taken what it bears, or the connection shows that it
 // is back after it was lost.
 func (f *fleet) Begin(target relay.Target, work placement.Work, now monotime.Instant) (run int, ok bool) {
-	ask := f.boundAsk(target.Service, &work, now)
-	f.throttle.Reached(target.ID, ask.Limit, now)
-	if !f.throttle.Take(target.ID, ask, now) {
+	request := f.limiterRequest(target.Service, &work, now)
+	f.throttle.Reached(target.ID, request.Limit, now)
+	if !f.throttle.Take(target.ID, request, now) {
 		return 0, false
 	}
-	f.outages.reached(target.Service)
-	number := int(f.number.Add(1))
+	f.outages.recordReached(target.Service)
+	number := int(f.lastRun.Add(1))
 	f.board.Begin(placement.RunID{Instance: f.self, Number: number}, target.ID, work, target.Choice.Unread, now)
-	f.news.begun(encodeRun(number, target.ID, target.Choice.Unread, work))
+	f.updates.addBegin(encodeRun(number, target.ID, target.Choice.Unread, work))
 	return number, true
 }
 
 // First implements relay.Fleet.
 func (f *fleet) First(run int, now monotime.Instant) {
 	f.board.OwnFirst(placement.RunID{Instance: f.self, Number: run}, now)
-	f.news.first(run)
+	f.updates.addFirst(run)
 }
 
 // Events implements relay.Fleet.
@@ -39,7 +39,7 @@
 // End implements relay.Fleet.
 func (f *fleet) End(run int, now monotime.Instant) {
 	f.board.End(placement.RunID{Instance: f.self, Number: run}, now)
-	f.news.ended(run)
+	f.updates.addEnd(run)
 }
 
 // Standing implements relay.Fleet.
@@ -55,8 +55,8 @@
 	}
 }
 
-// encodeState is encodeRun for a run that began a while ago.
-func encodeState(r placement.RunState) wire.RelayRun {
+// encodeRunState is encodeRun for a run that began a while ago.
+func encodeRunState(r placement.RunState) wire.RelayRun {
 	return encodeRun(r.Number, r.Server, r.Unread, r.Work)
 }
 
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/serverstate.go
@@ -17,8 +17,8 @@
 	fromServer = "server"
 )
 
-// stateOf returns what to tell of a server; mu is held.
-func (f *fleet) stateOf(id string) (wire.RelayServer, bool) {
+// serverState returns what to tell of a server; mu is held.
+func (f *fleet) serverState(id string) (wire.RelayServer, bool) {
 	if revision, gone := f.registry.Gone(id); gone {
 		return wire.RelayServer{ID: id, Gone: true, Revision: int(revision)}, true
 	}
@@ -32,7 +32,7 @@
 		Slots: s.Slots, Draining: s.Draining, Invalid: s.Invalid, Revision: int(s.Revision),
 		ColdMS: int(max(0, f.registry.ColdUntil(id).Sub(now)).Milliseconds()),
 	}
-	encodeBound(&state, f.registry.Bound(id), now)
+	encodeLimit(&state, f.registry.Bound(id), now)
 	return state, true
 }
 
@@ -43,7 +43,7 @@
 	defer f.mu.Unlock()
 	var out []wire.RelayServer
 	for _, s := range f.registry.List() {
-		if state, ok := f.stateOf(s.ID); ok {
+		if state, ok := f.serverState(s.ID); ok {
 			out = append(out, state)
 		}
 	}
@@ -53,16 +53,16 @@
 	return out
 }
 
-// known reports whether a server's entry is live.
-func (f *fleet) known(id string) bool {
+// hasServer reports whether a server's entry is live.
+func (f *fleet) hasServer(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, ok := f.registry.Get(id)
 	return ok
 }
 
-// takingRequests returns the servers of all services that take requests.
-func (f *fleet) takingRequests() []servers.Server {
+// acceptingServers returns the servers of all services that take requests.
+func (f *fleet) acceptingServers() []servers.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []servers.Server
@@ -80,43 +80,43 @@
 	return f.registry.Len()
 }
 
-// update runs a change of the registry and then tells of what changed.
-func (f *fleet) update(from string, change func(r *servers.Registry, now monotime.Instant) []string) {
+// changeServers runs a change of the registry and then tells of what changed.
+func (f *fleet) changeServers(from string, change func(r *servers.Registry, now monotime.Instant) []string) {
 	now := monotime.Now()
 	f.mu.Lock()
 	before := f.registry.Latest()
 	ids := append(change(f.registry, now), f.registry.Replaced()...)
 	after := f.registry.Latest()
-	f.noteEra(from, before, after)
+	f.recordEraChange(from, before, after)
 	if len(ids) == 0 {
 		f.mu.Unlock()
 		return
 	}
-	f.listServers(f.table.Load())
+	f.rebuildServerLists(f.table.Load())
 	f.digest.Store(int64(f.registry.Digest() >> 1))
-	f.limited.Store(int64(len(f.registry.Limited())))
-	told := make([]wire.RelayServer, 0, len(ids))
+	f.limitedCount.Store(int64(len(f.registry.Limited())))
+	states := make([]wire.RelayServer, 0, len(ids))
 	for _, id := range ids {
-		if state, ok := f.stateOf(id); ok {
-			told = append(told, state)
+		if state, ok := f.serverState(id); ok {
+			states = append(states, state)
 		}
 	}
 	f.mu.Unlock()
-	for _, state := range told {
+	for _, state := range states {
 		f.log.Info("server_changed", zap.String("server", state.ID), zap.String("from", from),
 			zap.String("service", state.Service), zap.String("address", state.Address),
 			zap.Bool("draining", state.Draining), zap.Bool("invalid", state.Invalid), zap.Bool("gone", state.Gone),
 			zap.Int("cold_ms", state.ColdMS), zap.Bool("limited", state.Limited), zap.Float64("limit_per_s", state.Rate),
 			zap.Stringer("revision", servers.Revision(state.Revision)))
-		f.noteServer(&state, now)
+		f.applyServerState(&state, now)
 	}
 	if from == fromStore || from == fromTimer || from == fromServer {
-		f.news.servers(told)
+		f.updates.addServers(states)
 	}
 }
 
-// noteEra notes that the store has come back from a copy, if it has.
-func (f *fleet) noteEra(from string, before, after servers.Revision) {
+// recordEraChange notes that the store has come back from a copy, if it has.
+func (f *fleet) recordEraChange(from string, before, after servers.Revision) {
 	if before == 0 || before.Era() == after.Era() {
 		return
 	}
@@ -125,23 +125,23 @@
 		zap.Stringer("revision", after), zap.Stringer("revision_before", before))
 }
 
-// listed returns the revision of the last full list of the store that is known here.
-func (f *fleet) listed() servers.Revision {
+// listedRevision returns the revision of the last full list of the store that is known here.
+func (f *fleet) listedRevision() servers.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.registry.Listed()
 }
 
-// latest returns the highest revision of the store heard of, and doubtful the number of
+// latestRevision returns the highest revision of the store heard of, and doubtful the number of
 // servers whose entries are missing and may come back.
-func (f *fleet) latest() (revision servers.Revision, doubtful int) {
+func (f *fleet) latestRevision() (revision servers.Revision, unconfirmed int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.registry.Latest(), f.registry.Doubtful()
 }
 
-// noteServer tells the model of servers and the limiter of one that changed.
-func (f *fleet) noteServer(state *wire.RelayServer, now monotime.Instant) {
+// applyServerState tells the model of servers and the limiter of one that changed.
+func (f *fleet) applyServerState(state *wire.RelayServer, now monotime.Instant) {
 	if state.Gone {
 		f.board.Forget(state.ID)
 		f.throttle.Forget(state.ID)
@@ -159,8 +159,8 @@
 	}
 }
 
-// listServers rebuilds byService and sources for a table, or for none; mu is held.
-func (f *fleet) listServers(table *routing.Table) {
+// rebuildServerLists rebuilds byService and sources for a table, or for none; mu is held.
+func (f *fleet) rebuildServerLists(table *routing.Table) {
 	published := func(service string) bool { return table == nil || table.Service(service) != nil }
 	f.byService = make(map[string][]servers.Server)
 	for _, s := range f.registry.Taking(published) {
--- a/internal/gateway/narrow_test.go
+++ b/internal/gateway/slowlinks_test.go
@@ -37,9 +37,9 @@
 	return out
 }
 
-// startNarrow starts instances of which the first few have fast links and all others
+// startSlowLinks starts instances of which the first few have fast links and all others
 // slow ones.
-func startNarrow(t *testing.T, ctx context.Context, tasks *errgroup.Group, fast, slow int) ([]*linkedInstance, []*narrownet.Host) {
+func startSlowLinks(t *testing.T, ctx context.Context, tasks *errgroup.Group, fast, slow int) ([]*linkedInstance, []*narrownet.Host) {
 	t.Helper()
 	passProcessStart()
 	network := narrownet.New()
@@ -56,7 +56,7 @@
 	return fleet, hosts
 }
 
-func closedSilent(fleet []*linkedInstance) (sum uint64) {
+func silentCloses(fleet []*linkedInstance) (sum uint64) {
 	for _, i := range fleet {
 		sum += i.peers.links.Counters().Snapshot().ClosedSilent
 	}
@@ -76,18 +76,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks errgroup.Group
-		fleet, _ := startNarrow(t, ctx, &tasks, fast, slow)
+		fleet, _ := startSlowLinks(t, ctx, &tasks, fast, slow)
 		time.Sleep(5 * time.Second)
 		for n := range versions {
 			version := int64(n + 1)
 			server := fmt.Sprint("s", n)
-			fleet[0].fleet.take(manyRoutes(version, routes), fromStore)
-			fleet[1].fleet.update(fromStore, func(r *servers.Registry, now monotime.Instant) []string {
+			fleet[0].fleet.installAndPublish(manyRoutes(version, routes), fromStore)
+			fleet[1].fleet.changeServers(fromStore, func(r *servers.Registry, now monotime.Instant) []string {
 				r.Put(entry(server, servers.Revision(2*n+1)), now)
 				return []string{server}
 			})
 			time.Sleep(every)
-			fleet[1].fleet.update(fromStore, func(r *servers.Registry, now monotime.Instant) []string {
+			fleet[1].fleet.changeServers(fromStore, func(r *servers.Registry, now monotime.Instant) []string {
 				s := entry(server, servers.Revision(2*n+2))
 				s.Draining = true
 				r.Put(s, now)
@@ -98,7 +98,7 @@
 				sleep(ctx, inForce-every)
 				late := 0
 				for _, i := range fleet {
-					if i.peers.version() < int(version) {
+					if i.peers.configVersion() < int(version) {
 						late++
 					}
 				}
@@ -108,7 +108,7 @@
 				sleep(ctx, leftAlone-time.Since(since))
 				late = 0
 				for _, i := range fleet {
-					for _, s := range i.fleet.takingRequests() {
+					for _, s := range i.fleet.acceptingServers() {
 						if s.ID == server {
 							late++
 						}
@@ -121,7 +121,7 @@
 			})
 		}
 		time.Sleep(inForce + leftAlone)
-		if n := closedSilent(fleet); n > 0 {
+		if n := silentCloses(fleet); n > 0 {
 			t.Errorf("%d links closed as silent", n)
 		}
 		stopLinked(t, cancel, &tasks)
@@ -129,30 +129,30 @@
 }
 
 // Guards against a whole configuration being sent for the change of one route.
-func TestAChangeOfOneRouteIsToldByItsSize(t *testing.T) {
+func TestChangeOfOneRouteSendsOnlyChangedParts(t *testing.T) {
 	const routes = 1400
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var tasks errgroup.Group
-		fleet, hosts := startNarrow(t, ctx, &tasks, 2, 1)
-		fleet[0].fleet.take(manyRoutes(1, routes), fromStore)
+		fleet, hosts := startSlowLinks(t, ctx, &tasks, 2, 1)
+		fleet[0].fleet.installAndPublish(manyRoutes(1, routes), fromStore)
 		time.Sleep(5 * time.Second)
 		received := func(version int64) int64 {
 			before := hosts[2].Received()
 			if version > 0 {
-				fleet[0].fleet.take(manyRoutes(version, routes), fromStore)
+				fleet[0].fleet.installAndPublish(manyRoutes(version, routes), fromStore)
 			}
 			time.Sleep(2 * time.Second)
 			return hosts[2].Received() - before
 		}
 		idle := received(0)
 		change := received(2) - idle
-		if got := fleet[2].peers.version(); got != 2 {
+		if got := fleet[2].peers.configVersion(); got != 2 {
 			t.Fatalf("version %d in force", got)
 		}
-		const whole, most = 350_000, 35_000
-		if change > most {
-			t.Errorf("%d bytes for one route of a configuration of some %d, at most %d wanted", change, whole, most)
+		const whole, maxBytes = 350_000, 35_000
+		if change > maxBytes {
+			t.Errorf("%d bytes for one route of a configuration of some %d, at most %d wanted", change, whole, maxBytes)
 		}
 		stopLinked(t, cancel, &tasks)
 	})
@@ -160,21 +160,21 @@
 
 // Guards against versions that reach a large fleet, or one with many routes, too late.
 func TestVersionsAreInForceSoonAtAnySize(t *testing.T) {
-	const most = 2 * time.Second
-	for _, size := range sizes() {
+	const limit = 2 * time.Second
+	for _, size := range fleetSizes() {
 		for _, routes := range []int{100, 1500, 5000} {
 			t.Run(fmt.Sprintf("%d instances, %d routes", size, routes), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithCancel(t.Context())
 					var tasks errgroup.Group
 					fast := max(2, size/10)
-					fleet, hosts := startNarrow(t, ctx, &tasks, fast, size-fast)
+					fleet, hosts := startSlowLinks(t, ctx, &tasks, fast, size-fast)
 					time.Sleep(5 * time.Second)
 					for version, n := range []int{routes, routes, routes, routes + routes/2} {
-						spread := spreadOf(fleet, hosts, manyRoutes(int64(version+1), n), most)
+						spread := measureRollout(fleet, hosts, manyRoutes(int64(version+1), n), limit)
 						t.Logf("version %d: last after %v, 99 in 100 after %v, %d KB at the busiest", version+1, spread.last, spread.p99, spread.busiest>>10)
 						if spread.missing > 0 {
-							t.Errorf("version %d: not in force at %d instances after %v", version+1, spread.missing, most)
+							t.Errorf("version %d: not in force at %d instances after %v", version+1, spread.missing, limit)
 						}
 					}
 					stopLinked(t, cancel, &tasks)
@@ -184,29 +184,29 @@
 	}
 }
 
-// spread tells how a version came to all instances.
-type spread struct {
+// rollout tells how a version came to all instances.
+type rollout struct {
 	last, p99 time.Duration
 	missing   int
 	busiest   int64 // bytes sent and received by the host with most of them
 }
 
-// spreadOf has the first instance read a version, and follows it for a while.
-func spreadOf(fleet []*linkedInstance, hosts []*narrownet.Host, config *routing.Config, most time.Duration) (out spread) {
-	const look = 5 * time.Millisecond
+// measureRollout has the first instance read a version, and follows it for a while.
+func measureRollout(fleet []*linkedInstance, hosts []*narrownet.Host, config *routing.Config, timeout time.Duration) (out rollout) {
+	const interval = 5 * time.Millisecond
 	before := make([]int64, len(hosts))
 	for i, h := range hosts {
 		before[i] = h.Sent() + h.Received()
 	}
 	begun := time.Now()
-	fleet[0].fleet.take(config, fromStore)
+	fleet[0].fleet.installAndPublish(config, fromStore)
 	var after []time.Duration
 	pending := fleet
-	for len(pending) > 0 && time.Since(begun) < most {
-		time.Sleep(look)
+	for len(pending) > 0 && time.Since(begun) < timeout {
+		time.Sleep(interval)
 		var left []*linkedInstance
 		for _, i := range pending {
-			if i.fleet.version() < config.Version {
+			if i.fleet.configVersion() < config.Version {
 				left = append(left, i)
 				continue
 			}
--- a/internal/gateway/peernews.go
+++ b/internal/gateway/updates.go
@@ -12,81 +12,81 @@
 	"basilrudder/internal/servers"
 )
 
-// take takes one of the news in a message. It reports whether the links may have to
+// receive takes one of the news in a message. It reports whether the links may have to
 // change for it.
-func (p *peers) take(from string, news *wire.RelayNews) (changed bool) {
+func (p *peers) receive(from string, update *wire.RelayNews) (changed bool) {
 	now := monotime.Now()
 	p.mu.Lock()
-	receipt, ok := p.node.Receive(from, news, now)
+	receipt, ok := p.node.Receive(from, update, now)
 	if !ok {
 		p.mu.Unlock()
 		return receipt.Changed
 	}
 	// With mu held, so that news of one origin that come over two links count in order.
-	p.takeRuns(receipt.Origin, news, now)
+	p.applyRuns(receipt.Origin, update, now)
 	if receipt.State != overlay.FeedUnchanged {
 		p.sendRuns(from, receipt.State, now)
 	}
-	if news.MembersWanted {
+	if update.MembersWanted {
 		p.links.Send(from, &wire.Envelope{News: []wire.RelayNews{{Members: p.node.Alive()}}})
 	}
 	p.mu.Unlock()
 	// Before servers: a process that starts must not send to an evacuated data centre.
-	p.fleet.takeEvacuations(receipt.Origin, decodeEvacuations(news.Evacuations))
-	if len(news.Servers) > 0 {
-		p.takeServers(receipt.Origin, news.Servers, servers.Revision(news.ServersListed))
+	p.fleet.applyEvacuations(receipt.Origin, decodeEvacuations(update.Evacuations))
+	if len(update.Servers) > 0 {
+		p.applyServers(receipt.Origin, update.Servers, servers.Revision(update.ServersListed))
 	}
-	p.takeCrashes(receipt.Origin, news, news.Origin == "")
-	p.takeCaches(news)
-	p.takeEvidence(receipt.Origin, news)
+	p.applyCrashes(receipt.Origin, update, update.Origin == "")
+	p.applyCaches(update)
+	p.applyPaceStats(receipt.Origin, update)
 	if receipt.Direct {
-		p.takeStatus(from, news)
+		p.applyStatus(from, update)
 	}
 	return receipt.Changed
 }
 
-// takeStatus takes what a peer tells this instance alone.
-func (p *peers) takeStatus(from string, news *wire.RelayNews) {
-	p.compareServers(from, news)
+// applyStatus takes what a peer tells this instance alone.
+func (p *peers) applyStatus(from string, update *wire.RelayNews) {
+	p.compareServers(from, update)
 	switch {
-	case news.StateWanted:
-		p.sendState(from, p.fleet.caches())
-	case news.ServersWanted:
+	case update.StateWanted:
+		p.sendState(from, p.fleet.cacheStates())
+	case update.ServersWanted:
 		p.sendState(from, nil)
 	}
-	p.takeConfig(from, news)
+	p.applyConfigStatus(from, update)
 }
 
-func (p *peers) takeRuns(origin string, news *wire.RelayNews, now monotime.Instant) {
+func (p *peers) applyRuns(origin string, update *wire.RelayNews, now monotime.Instant) {
 	board := p.fleet.board
-	if news.Whole {
-		p.takeWhole(origin, news, now)
+	if update.Whole {
+		p.replaceRuns(origin, update, now)
 		return
 	}
-	for _, r := range news.Begun {
+	for _, r := range update.Begun {
 		board.Begin(placement.RunID{Instance: origin, Number: r.Number}, r.Server, decodeRun(r), r.Unread, now)
 		p.fleet.throttle.Note(r.Server, now)
 	}
-	for _, number := range news.First {
+	for _, number := range update.First {
 		board.First(placement.RunID{Instance: origin, Number: number}, now)
 	}
-	for _, number := range news.Ended {
+	for _, number := range update.Ended {
 		board.End(placement.RunID{Instance: origin, Number: number}, now)
 	}
 }
 
-// takeWhole takes all runs of an instance in place of those known: news of it may have
+// replaceRuns takes all runs of an instance in place of those known: news of it may have
 // been missed while there was no way for them.
-func (p *peers) takeWhole(origin string, news *wire.RelayNews, now monotime.Instant) {
+func (p *peers) replaceRuns(origin string, update *wire.RelayNews, now monotime.Instant) {
 	board := p.fleet.board
-	states := make([]placement.RunState, 0, len(news.Begun))
-	for _, r := range news.Begun {
+	states := make([]placement.RunState, 0, len(update.Begun))
+	for _, r := range update.Begun {
 		states = append(states, placement.RunState{Number: r.Number, Server: r.Server, Work: decodeRun(r), Unread: r.Unread})
 	}
 	for _, s := range board.Keep(origin, states, now) {
 		board.Begin(placement.RunID{Instance: origin, Number: s.Number}, s.Server, s.Work, s.Unread, now)
 	}
-	for _, number := range news.First {
+	for _, number := range update.First {
 		board.First(placement.RunID{Instance: origin, Number: number}, now)
 	}
 }
@@ -96,125 +96,125 @@
 	runs := p.fleet.board.Runs(now)
 	state := p.node.State(to, feed)
 	for i := range state {
-		news := &state[i]
-		id, ok := p.node.Instance(news.Origin)
+		update := &state[i]
+		id, ok := p.node.Instance(update.Origin)
 		if !ok {
 			continue
 		}
 		for _, r := range runs[id] {
-			news.Begun = append(news.Begun, encodeState(r))
+			update.Begun = append(update.Begun, encodeRunState(r))
 			if r.First {
-				news.First = append(news.First, r.Number)
+				update.First = append(update.First, r.Number)
 			}
 		}
 	}
 	p.links.Send(to, &wire.Envelope{News: state})
-	if told := p.fleet.evidence(); len(told) > 0 {
-		p.links.Send(to, &wire.Envelope{News: []wire.RelayNews{{Evidence: told}}})
+	if stats := p.fleet.paceStats(); len(stats) > 0 {
+		p.links.Send(to, &wire.Envelope{News: []wire.RelayNews{{Evidence: stats}}})
 	}
 }
 
 const (
-	// freshWord is how old the store's word may be with a peer whose servers are
+	// maxConfirmedMS is how old the store's word may be with a peer whose servers are
 	// compared, in milliseconds.
-	freshWord = 1500
-	// differsFor is how long servers may differ: news of a change reach the
+	maxConfirmedMS = 1500
+	// differenceDelay is how long servers may differ: news of a change reach the
 	// instances one after the other.
-	differsFor = 400 * time.Millisecond
-	// differsMost bounds how often that is doubled: an answer is some 30 KB, and while a
+	differenceDelay = 400 * time.Millisecond
+	// maxDelayDoublings bounds how often that is doubled: an answer is some 30 KB, and while a
 	// link is so slow that news come late the servers differ whatever is asked.
-	differsMost = 4
+	maxDelayDoublings = 4
 )
 
 // difference is since when the servers of a peer are others than those known here, or
 // when it was last asked for them, and how often it was.
 type difference struct {
-	since monotime.Instant
-	asked int
+	since    monotime.Instant
+	requests int
 }
 
 // compareServers asks a peer for all servers when its own have differed for a
 // while. An instance that does not read the store depends on the news of peers,
 // and news are lost when a link breaks. It would go on sending to a server that
 // left, since nothing tells of it again.
-func (p *peers) compareServers(from string, news *wire.RelayNews) {
-	if news.Confirmed == 0 || news.Confirmed > freshWord {
+func (p *peers) compareServers(from string, update *wire.RelayNews) {
+	if update.Confirmed == 0 || update.Confirmed > maxConfirmedMS {
 		return
 	}
 	now := monotime.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if news.Digest == int(p.fleet.digest.Load()) {
-		delete(p.differs, from)
+	if update.Digest == int(p.fleet.digest.Load()) {
+		delete(p.differences, from)
 		return
 	}
-	d, differed := p.differs[from]
-	ask := differed && now.Sub(d.since) >= differsFor<<min(d.asked, differsMost)
-	if !differed || ask {
+	d, differed := p.differences[from]
+	request := differed && now.Sub(d.since) >= differenceDelay<<min(d.requests, maxDelayDoublings)
+	if !differed || request {
 		d.since = now
 	}
-	if ask {
-		d.asked++
+	if request {
+		d.requests++
 	}
-	p.differs[from] = d
-	if ask && p.mayAsk(now) {
-		p.log.Info("servers_differ", zap.String("peer", from), zap.Int("confirmed_ms", news.Confirmed-1))
+	p.differences[from] = d
+	if request && p.mayRequestState(now) {
+		p.log.Info("servers_differ", zap.String("peer", from), zap.Int("confirmed_ms", update.Confirmed-1))
 		p.links.Send(from, &wire.Envelope{News: []wire.RelayNews{{ServersWanted: true}}})
 	}
 }
 
-// askInterval is the least time between questions for a peer's whole state. The
+// stateRequestInterval is the least time between questions for a peer's whole state. The
 // answers of all peers at once would fill a small machine's link for a second.
-const askInterval = 400 * time.Millisecond
+const stateRequestInterval = 400 * time.Millisecond
 
-// mayAsk reports whether a peer may be asked for its state now; mu is held.
-func (p *peers) mayAsk(now monotime.Instant) bool {
-	if p.askedAt != 0 && now.Sub(p.askedAt) < askInterval {
+// mayRequestState reports whether a peer may be asked for its state now; mu is held.
+func (p *peers) mayRequestState(now monotime.Instant) bool {
+	if p.stateRequestedAt != 0 && now.Sub(p.stateRequestedAt) < stateRequestInterval {
 		return false
 	}
-	p.askedAt = now
+	p.stateRequestedAt = now
 	return true
 }
 
 // sendState tells a peer that asks the evacuations, the servers and, behind whatever else
 // is sent to it, what engines keep of prompts.
 func (p *peers) sendState(to string, caches []wire.RelayCache) {
-	state := p.stateNews()
+	state := p.stateUpdate()
 	if len(state.Evacuations)+len(state.Servers) > 0 {
 		p.links.Send(to, &wire.Envelope{News: []wire.RelayNews{state}})
 	}
-	for _, news := range p.cacheNews(caches) {
-		p.links.SendBulk(to, &wire.Envelope{News: []wire.RelayNews{news}})
+	for _, update := range p.cacheUpdates(caches) {
+		p.links.SendBulk(to, &wire.Envelope{News: []wire.RelayNews{update}})
 	}
 }
 
-func (p *peers) stateNews() wire.RelayNews {
+func (p *peers) stateUpdate() wire.RelayNews {
 	return wire.RelayNews{
 		Evacuations:   encodeEvacuations(p.fleet.allEvacuations()),
-		ServersListed: int(p.fleet.listed()),
+		ServersListed: int(p.fleet.listedRevision()),
 		Servers:       p.fleet.allServers(),
 	}
 }
 
-// cacheNews returns what engines keep in messages of bounded size. The last one says
+// cacheUpdates returns what engines keep in messages of bounded size. The last one says
 // whether they tell of all engines.
-func (p *peers) cacheNews(caches []wire.RelayCache) (out []wire.RelayNews) {
+func (p *peers) cacheUpdates(caches []wire.RelayCache) (out []wire.RelayNews) {
 	for _, some := range splitCaches(caches) {
 		out = append(out, wire.RelayNews{Caches: some})
 	}
 	if len(out) > 0 {
-		out[len(out)-1].CachesWhole = p.warm.Load()
+		out[len(out)-1].CachesWhole = p.cachesComplete.Load()
 	}
 	return out
 }
 
-// takeServers believes a peer what the store told it: each instance may be cut
+// applyServers believes a peer what the store told it: each instance may be cut
 // off from the store alone. listed is the revision of the full list that is told; 0 for
 // changes.
-func (p *peers) takeServers(from string, told []wire.RelayServer, listed servers.Revision) {
-	p.fleet.update(from, func(r *servers.Registry, now monotime.Instant) (ids []string) {
-		present := make(map[string]bool, len(told))
-		for _, s := range told {
+func (p *peers) applyServers(from string, states []wire.RelayServer, listed servers.Revision) {
+	p.fleet.changeServers(from, func(r *servers.Registry, now monotime.Instant) (ids []string) {
+		present := make(map[string]bool, len(states))
+		for _, s := range states {
 			present[s.ID] = !s.Gone
 			if !r.Plausible(servers.Revision(s.Revision)) {
 				continue
@@ -229,7 +229,7 @@
 					ColdLeft: milliseconds(s.ColdMS),
 				}, now)
 			}
-			bound := r.SetBound(s.ID, decodeBound(&s, now))
+			bound := r.SetBound(s.ID, decodeLimit(&s, now))
 			if change != servers.Unchanged || bound != servers.Unchanged {
 				ids = append(ids, s.ID)
 			}
@@ -241,11 +241,11 @@
 	})
 }
 
-// takeConfig takes what a peer tells of the configuration in force there.
-func (p *peers) takeConfig(from string, news *wire.RelayNews) {
-	if news.Confirmed > 0 {
-		age := time.Duration(news.Confirmed-1) * time.Millisecond
-		p.fleet.vouch(int64(news.ConfigVersion), monotime.Now().Add(-age-newsTravel))
+// applyConfigStatus takes what a peer tells of the configuration in force there.
+func (p *peers) applyConfigStatus(from string, update *wire.RelayNews) {
+	if update.Confirmed > 0 {
+		age := time.Duration(update.Confirmed-1) * time.Millisecond
+		p.fleet.confirmVersion(int64(update.ConfigVersion), monotime.Now().Add(-age-updateTravelTime))
 	}
-	p.configs.heard(from, news.ConfigVersion)
+	p.configs.checkPeerVersion(from, update.ConfigVersion)
 }
--- a/internal/gateway/news_fuzz_test.go
+++ b/internal/gateway/updates_fuzz_test.go
@@ -41,20 +41,20 @@
 			return
 		}
 		fl, _, _ := newFleet()
-		fl.adopt(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 4, MemoryTokens: 100_000}}}}, fromStore)
-		put(fl, fromStore, bornEntry(1, 1))
+		fl.installConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 4, MemoryTokens: 100_000}}}}, fromStore)
+		put(fl, fromStore, incarnationEntry(1, 1))
 		p := linkedPeers(fl, "me", wire.RelayMember{ID: "peer"})
-		p.configs.take("peer", env)
+		p.configs.receive("peer", env)
 		for i := range env.News {
-			p.takeRuns("peer", &env.News[i], monotime.Now())
+			p.applyRuns("peer", &env.News[i], monotime.Now())
 			_, _ = p.node.Receive("peer", &env.News[i], monotime.Now())
 			p.node.Refresh(monotime.Now())
 			p.node.Flush(wire.RelayNews{}, 0, true, monotime.Now())
-			fl.takeEvacuations("peer", decodeEvacuations(env.News[i].Evacuations))
-			p.takeServers("peer", env.News[i].Servers, 0)
-			p.takeCaches(&env.News[i])
-			p.takeEvidence("peer", &env.News[i])
-			p.takeCrashes("peer", &env.News[i], true)
+			fl.applyEvacuations("peer", decodeEvacuations(env.News[i].Evacuations))
+			p.applyServers("peer", env.News[i].Servers, 0)
+			p.applyCaches(&env.News[i])
+			p.applyPaceStats("peer", &env.News[i])
+			p.applyCrashes("peer", &env.News[i], true)
 		}
 		work := placement.Work{Prompt: 1000, Output: 100, Goal: time.Second, MaxGap: time.Second, Left: time.Minute}
 		target, refusal := fl.Place("llm", work, nil, monotime.Now())
