--- a/internal/gateway/batcher.go
+++ b/internal/gateway/batcher.go
@@ -10,23 +10,24 @@
 	"basilrudder/internal/servers"
 )
 
-// updateBatcher gathers news for a while and has them sent. Adding to it never blocks.
+// updateBatcher collects updates for a short time and then sends them to the peers.
+// Adding to it never blocks.
 type updateBatcher struct {
-	// batchDelay is how long news are gathered.
+	// batchDelay returns how long updates are collected.
 	batchDelay func() time.Duration
-	// due reports whether something is to be sent although nothing happened.
+	// due reports whether a status is to be sent although there is no update.
 	due func() bool
-	// send gets the news of what happened here, since when they were gathered, and
-	// whether all peers are to be told now what is in force here.
+	// send sends an update: what happened here, since when it was collected, and whether
+	// the state in force here must be sent to all peers at once.
 	send func(own *wire.RelayNews, since monotime.Instant, urgent bool)
-	// fillStatus fills in what is in force here.
+	// fillStatus adds the state in force here to an update.
 	fillStatus func(own *wire.RelayNews)
 
 	mu        sync.Mutex
 	pending   wire.RelayNews
-	since     monotime.Instant // of the oldest of pending, or 0
+	since     monotime.Instant // of the oldest pending update, or 0
 	urgent    bool
-	scheduled bool // a flush is due
+	scheduled bool // a flush follows
 	wake      chan struct{}
 }
 
@@ -40,7 +41,7 @@
 	}
 }
 
-// schedule has a flush follow; mu is held.
+// schedule requests a flush after batchDelay. mu is held.
 func (n *updateBatcher) schedule() {
 	if n.scheduled {
 		return
@@ -78,7 +79,8 @@
 	n.add(func(p *wire.RelayNews) { p.Servers = append(p.Servers, changed...) })
 }
 
-// addServerList tells all servers of a full list of the store, in one message with its revision.
+// addServerList adds all servers of a full list of the store, in one message with its
+// revision.
 func (n *updateBatcher) addServerList(all []wire.RelayServer, revision servers.Revision) {
 	n.add(func(p *wire.RelayNews) {
 		p.Servers = append(p.Servers, all...)
@@ -102,14 +104,14 @@
 	n.add(func(p *wire.RelayNews) { p.Evidence = stats })
 }
 
-// scheduleFlush has a flush follow for what is held for others.
+// scheduleFlush requests a flush, for updates held for other instances.
 func (n *updateBatcher) scheduleFlush() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.schedule()
 }
 
-// sendStatus has all peers told what is in force here.
+// sendStatus requests that all peers be sent the state in force here.
 func (n *updateBatcher) sendStatus() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -122,7 +124,7 @@
 	n.sendStatus()
 }
 
-// run sends what was gathered until the context ends.
+// run sends collected updates until the context ends.
 func (n *updateBatcher) run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -145,12 +147,12 @@
 	}
 }
 
-// flush is called by one goroutine only: news are numbered in the order in which
-// they are sent, and an end that overtook its beginning would leave a run for good.
+// flush is called by one goroutine only: updates are numbered in the order in which they
+// are sent, and an end sent before its begin would leave a run recorded forever.
 func (n *updateBatcher) flush() {
 	n.mu.Lock()
 	out, since, urgent := n.pending, n.since, n.urgent
-	// A process that leaves says so in all its news.
+	// A process that leaves reports so in all its updates.
 	n.pending = wire.RelayNews{Leaving: out.Leaving}
 	n.since, n.urgent, n.scheduled = 0, false, false
 	n.mu.Unlock()
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -11,8 +11,8 @@
 	"basilrudder/internal/servers"
 )
 
-// BenchmarkTakeRun is what a run of another instance costs this one: its begin, first
-// event and end are decoded and taken, among 106 engines with eight runs each.
+// BenchmarkTakeRun measures what a run of another instance costs this one: its begin,
+// first event and end are decoded and applied, among 106 engines with eight runs each.
 func BenchmarkTakeRun(b *testing.B) {
 	const engines, each = 106, 8
 	f, _, _ := newFleet()
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -7,10 +7,10 @@
 	"basilrudder/internal/monotime"
 )
 
-// retryBudget bounds how many requests are sent to a further server. The bound holds
-// for the whole fleet in any window, and nothing may be written anywhere to
-// share it, so each instance keeps to its part: the ratio of the requests that
-// it took itself, and an equal part of the burst.
+// retryBudget bounds how many requests are sent to a further server. The bound holds for
+// the whole fleet in any window. No shared counter may be kept, so each instance keeps to
+// its part: the ratio of the requests that it received itself, and an equal part of the
+// burst.
 type retryBudget struct {
 	ratio  float64
 	burst  float64
@@ -21,14 +21,17 @@
 }
 
 const (
-	// budgetSlices is the number of slices of a window that are counted apart.
+	// budgetSlices is the number of slices in which a window is counted. With fewer, the
+	// counts expire in larger steps.
 	budgetSlices = 10
-	// budgetSafetyFactor is the part of the budget that is used. The rest covers what
-	// instances know of each other's number too late.
+	// budgetSafetyFactor is the part of the budget that is used. The rest covers the
+	// delay with which instances learn how many they are: until then, their parts of the
+	// burst add up to more than the burst.
 	budgetSafetyFactor = 0.8
 )
 
-// budgetUsage counts the slices of one service's window.
+// budgetUsage counts the requests and further sends of one service by slice of the
+// window.
 type budgetUsage struct {
 	slice    int64
 	requests [budgetSlices]int
@@ -39,7 +42,7 @@
 	return &retryBudget{ratio: ratio, burst: burst, window: window, services: make(map[string]*budgetUsage)}
 }
 
-// count notes a request for a service.
+// count counts a request for a service.
 func (b *retryBudget) count(service string, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,7 +50,7 @@
 	s.requests[s.slice%budgetSlices]++
 }
 
-// spend takes one further send and reports whether the budget has it.
+// spend counts one further send for a service and reports true if the budget allows it.
 func (b *retryBudget) spend(service string, now monotime.Instant, members int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,7 +68,7 @@
 	return true
 }
 
-// usageAt returns the counts of a service with the slices that are over cleared.
+// usageAt returns the counts of a service at an instant, with expired slices cleared.
 func (b *retryBudget) usageAt(service string, now monotime.Instant) *budgetUsage {
 	s := b.services[service]
 	slice := int64(now) / int64(b.window/budgetSlices)
--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -16,36 +16,40 @@
 	"basilrudder/internal/servers"
 )
 
-// What engines keep of prompts is known from the requests sent to them, so a
-// process that starts knows nothing of it. It would send prompts to engines that
-// have to read them again, for as long as it takes to fill them anew. Peers tell
-// it. After a restart of all instances no peer knows either; then each asks a
-// part of the engines, which costs each of them a little, and tells the others.
+// The parts of prompts that engines keep are tracked from the requests sent to them, so a
+// process that has just started tracks none. It would send prompts to engines that have
+// to read them again, for as long as it takes to fill their caches anew. Peers send it
+// their state. After a restart of all instances no peer has any; then each instance asks
+// a part of the engines, at a small cost for each engine, and sends the results to the
+// others.
 
 const (
-	// peerCacheWait is how long a process that starts waits for peers that know.
+	// peerCacheWait is how long a process that has just started waits for a peer's cache
+	// state before it asks engines.
 	peerCacheWait = 500 * time.Millisecond
-	// cacheListTimeout bounds the question to one engine.
+	// cacheListTimeout bounds a request for the cache list of one engine. It is also how
+	// long the results of other instances are awaited afterwards.
 	cacheListTimeout = 500 * time.Millisecond
-	// maxConcurrentLists bounds the questions open at the same time.
+	// maxConcurrentLists bounds the number of cache lists requested at the same time.
 	maxConcurrentLists = 4
-	// maxPartsPerEngine bounds what is told of one engine: more than engines keep of the
-	// prompts in use, some 35 of 16,000 tokens. mostPartsOfAll bounds it for all engines
-	// together: some 120 KB for each instance that starts. The busiest of 100 instances
-	// before 999 engines has 1,084 KB a second with it and 1,209 without.
+	// maxPartsPerEngine bounds the parts sent for one engine. It is more than engines
+	// keep of the prompts in use, some 35 of 16,000 tokens. maxPartsInTotal bounds the
+	// parts for all engines together: some 120 KB for each instance that starts. With it,
+	// the busiest of 100 instances before 999 engines transfers 1,084 KB a second, and
+	// 1,209 without.
 	maxPartsPerEngine = 80
 	maxPartsInTotal   = 5000
 )
 
-// CacheReader asks engines what they keep.
+// CacheReader asks engines which parts of prompts they keep.
 type CacheReader interface {
 	// Cached returns the parts that an engine keeps.
 	Cached(ctx context.Context, server servers.Server) ([]placement.Part, error)
 }
 
-// discoverCaches asks peers, and after coldStart engines, what engines keep. After a restart
-// of all instances each of them must ask its own engines, also when others were faster:
-// what they tell is of theirs.
+// discoverCaches waits for the cache state of peers and, after peerCacheWait, asks
+// engines. After a restart of all instances each must ask its own engines even if others
+// were faster, because an update of theirs covers only their engines.
 func (g *Gateway) discoverCaches(ctx context.Context) error {
 	sleep(ctx, peerCacheWait)
 	if ctx.Err() != nil || g.peers.cachesComplete.Load() || g.cfg.Caches == nil {
@@ -68,7 +72,7 @@
 	return err
 }
 
-// ownedEngines returns the engines that this instance asks.
+// ownedEngines returns the engines that this instance is responsible for asking.
 func (g *Gateway) ownedEngines() []servers.Server {
 	table := g.fleet.Table()
 	if table == nil {
@@ -105,13 +109,13 @@
 	g.fleet.updates.addCache(wire.RelayCache{Server: s.ID, Parts: encodeParts(recent)})
 }
 
-// partsPerEngine is how many parts are told of each of so many engines, the most recently used
-// ones.
+// partsPerEngine returns how many parts are sent for each of so many engines: the most
+// recently used ones.
 func partsPerEngine(engines int) int {
 	return min(maxPartsPerEngine, max(1, maxPartsInTotal/max(1, engines)))
 }
 
-// applyCaches believes a peer what engines keep.
+// applyCaches applies the cache state that a peer sent.
 func (p *peers) applyCaches(update *wire.RelayNews) {
 	now := monotime.Now()
 	if len(update.Caches) > 0 {
@@ -125,7 +129,8 @@
 	}
 }
 
-// cacheStates returns what engines are believed to keep.
+// cacheStates returns the tracked cache state of all engines, most recently used parts
+// only.
 func (f *fleet) cacheStates() []wire.RelayCache {
 	var out []wire.RelayCache
 	for id, parts := range f.board.Kept(partsPerEngine(f.serverCount())) {
@@ -134,10 +139,10 @@
 	return out
 }
 
-// partsPerMessage is how many parts are told in a message: some 16 KB.
+// partsPerMessage is the number of parts after which a message ends: some 16 KB.
 const partsPerMessage = 640
 
-// splitCaches cuts what engines keep into messages.
+// splitCaches splits cache states into messages of about partsPerMessage parts.
 func splitCaches(caches []wire.RelayCache) (out [][]wire.RelayCache) {
 	start, parts := 0, 0
 	for i, cache := range caches {
--- a/internal/gateway/configs.go
+++ b/internal/gateway/configs.go
@@ -16,35 +16,36 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// configRequestInterval is the least time between questions for a version that a peer has told of.
+// configRequestInterval is the minimum time between requests for a version that a peer
+// advertised.
 const configRequestInterval = 150 * time.Millisecond
 
-// configSync spreads versions of the configuration between instances: those that read the
-// store publish them, and the others fetch the parts that they lack from linked peers. It
-// implements confsync.Effects.
+// configSync distributes versions of the configuration between instances: those that read
+// the store publish them, and the others fetch the parts that they lack from linked
+// peers. It implements confsync.Effects.
 type configSync struct {
 	confsync.PeersOnly
 	fleet *fleet
 	log   *zap.Logger
 	send  func(to string, env *wire.Envelope) bool
 
-	mu          sync.Mutex // taken before peers.mu
+	mu          sync.Mutex // acquired before peers.mu
 	core        *confsync.Core
 	assembler   routing.Assembler
 	linked      []string
 	requestedAt monotime.Instant
-	// progress is that of the version which is being fetched.
+	// progress is the progress of the version that is being fetched.
 	progress configProgress
-	// lags are the times from the first reading of each version by an instance to its
-	// being in force here.
+	// lags holds, for each version, the time from when an instance first read it until it
+	// is in force here.
 	lags quantile.Histogram
 }
 
-// configProgress tells how a version came.
+// configProgress is the progress of fetching one version, for the log.
 type configProgress struct {
 	version            int
 	offered, firstPart monotime.Instant
-	from               string // who sent the last part
+	from               string // peer that sent the last part
 	parts, bytes       int
 }
 
@@ -57,7 +58,8 @@
 
 var _ confsync.Effects = (*configSync)(nil)
 
-// publish has peers fetch a configuration that the store told and that is in force here.
+// publish offers the peers a configuration that was read from the store and is in force
+// here.
 func (c *configSync) publish(config *routing.Config) {
 	parts, err := config.Parts()
 	if err != nil {
@@ -78,8 +80,8 @@
 	c.lags.Record(0)
 }
 
-// updateLinked looks to which peers links are up. The lock is held meanwhile, so that an older
-// look does not come after a newer one.
+// updateLinked applies the current list of linked peers. It calls linked with the lock
+// held, so that an older list is never applied after a newer one.
 func (c *configSync) updateLinked(linked func() []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,14 +93,14 @@
 	c.core.Members(monotime.Now(), nil, peers, c)
 }
 
-// tick does what is due by time alone.
+// tick runs the tasks that depend on time alone.
 func (c *configSync) tick(now monotime.Instant) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.core.Tick(now, c)
 }
 
-// receive takes what a peer says of configurations.
+// receive handles the configuration messages in an envelope of a peer.
 func (c *configSync) receive(from string, env *wire.Envelope) {
 	if env.ConfigOffer == nil && env.ConfigWant == nil && env.ConfigPart == nil {
 		return
@@ -119,8 +121,8 @@
 	}
 }
 
-// checkPeerVersion notes the version that a peer says it has. An offer of it may have been lost with
-// a link.
+// checkPeerVersion requests the version that a peer advertises if it is not known here:
+// an offer of it may have been lost with a link.
 func (c *configSync) checkPeerVersion(from string, version int) {
 	now := monotime.Now()
 	c.mu.Lock()
@@ -196,10 +198,10 @@
 	}
 }
 
-// configMetrics is what the metrics tell of configurations.
+// configMetrics is the state of configuration distribution in the metrics.
 type configMetrics struct {
-	// LagMS is the time from the first reading of a version by an instance to its being in
-	// force here, without the time that news were on their way.
+	// LagMS is the time from when an instance first read a version until it is in force
+	// here, in milliseconds, without the travel time of updates.
 	LagMS quantile.Summary `json:"lag_ms"`
 	Stats confsync.Stats   `json:"stats"`
 }
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -28,7 +28,7 @@
 	"basilrudder/internal/servers"
 )
 
-// minimalProtocol is a protocol with the least headers.
+// minimalProtocol is a protocol with as few headers as possible.
 type minimalProtocol struct{}
 
 func (minimalProtocol) Request(h http.Header) (relay.Request, error) {
@@ -44,15 +44,16 @@
 func (minimalProtocol) EventID([]byte) string { return "" }
 
 const (
-	// serverQueueTime is how long a request waits at a server before it runs, and runTime how
-	// long it runs.
+	// serverQueueTime is how long a request waits at a server before it runs, and
+	// serverRunTime how long it runs.
 	serverQueueTime = 150 * time.Millisecond
 	serverRunTime   = 250 * time.Millisecond
-	// serverDownTime is how long a server that crashed is away.
+	// serverDownTime is how long a crashed server stays down.
 	serverDownTime = 2 * time.Second
 )
 
-// crashingServer is a server that crashes when it runs a request with a certain body.
+// crashingServer is a server that crashes when it runs a request whose body begins with
+// crashBody.
 type crashingServer struct {
 	site    *crashCluster
 	address string
@@ -63,7 +64,7 @@
 	conns       map[net.Conn]bool
 }
 
-// crashCluster is a fleet before servers that may crash.
+// crashCluster is a fleet of instances in front of servers that may crash.
 type crashCluster struct {
 	t        *testing.T
 	fleet    []*linkedInstance
@@ -73,7 +74,7 @@
 
 	mu       sync.Mutex
 	crashes  []time.Time
-	arrivals map[string][]time.Time // of bodies that crash servers
+	arrivals map[string][]time.Time // by body, for bodies that crash servers
 }
 
 const crashBody = "crash"
@@ -105,7 +106,7 @@
 
 func (s *crashingServer) id() string { return fmt.Sprint(s.address, "/", s.incarnation) }
 
-// start brings the server up as a new incarnation, which the first instance reads.
+// start starts a new incarnation of the server; the first instance reads its entry.
 func (s *crashingServer) start() {
 	s.mu.Lock()
 	before := s.id()
@@ -187,8 +188,8 @@
 	}
 }
 
-// request sends a request to an instance and returns the status of its answer, or 0 when the
-// instance cut it off.
+// request sends a request to an instance and returns the status of its answer, or 0 if
+// the instance aborted the connection.
 func (site *crashCluster) request(instance int, path, key, body string) (status int) {
 	defer func() {
 		if p := recover(); p != nil && p != http.ErrAbortHandler {
@@ -203,8 +204,9 @@
 	return rec.Code
 }
 
-// sendOthers sends requests of other sendOthers, thirty a second, until the context ends and
-// returns which were served in their last part.
+// sendOthers sends thirty harmless requests a second until the context ends or the time
+// is over. Of the requests in the last part of that time it returns how many were served
+// and how many were sent.
 func (site *crashCluster) sendOthers(ctx context.Context, lasts, measured time.Duration) (served, asked int) {
 	begun := time.Now()
 	var mu sync.Mutex
@@ -235,7 +237,8 @@
 	stopLinked(site.t, cancel, tasks)
 }
 
-// lateArrivals counts those of a body that came later than a while after the third crash.
+// lateArrivals returns how many requests with a body arrived later than a given time
+// after the third crash, and how many arrived in all.
 func (site *crashCluster) lateArrivals(body string, after time.Duration) (late, all int) {
 	site.mu.Lock()
 	defer site.mu.Unlock()
@@ -251,7 +254,8 @@
 	return late, len(site.arrivals[body])
 }
 
-// Guards against a caller's repeated request that takes one server after the other from all callers.
+// Guards against a poison request that its caller repeats: it takes one server after the
+// other from all callers.
 func TestARequestThatCrashesServersIsNotSentOn(t *testing.T) {
 	const (
 		lasts, counted = 20 * time.Second, 8 * time.Second
@@ -299,7 +303,8 @@
 	}
 }
 
-// Guards against an instance that starts later and sends on what all others know to crash servers.
+// Guards against an instance that starts later and forwards a request that all others
+// refuse as poison.
 func TestCrashesReachInstancesThatStartLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -310,38 +315,38 @@
 		early := startLinkedOver(t, ctx, &tasks, 2, host)
 		time.Sleep(time.Second)
 		for n := range 3 {
-			// Two instances each see a part of the crashes.
+			// Each of the two instances observes a part of the crashes.
 			early[n%2].fleet.Crashed(crashes.Crash{Request: poison, Customer: "a", Server: fmt.Sprint("s", n), At: monotime.Now()}, monotime.Now())
 		}
 		time.Sleep(100 * time.Millisecond)
 		for _, i := range early {
 			if !i.fleet.Culprit(poison, monotime.Now()) {
-				t.Errorf("%s does not know of it", i.fleet.self)
+				t.Errorf("%s does not treat the request as poison", i.fleet.self)
 			}
 		}
 		late := startLinkedFrom(t, ctx, &tasks, 2, 1, host)[0]
 		time.Sleep(time.Second)
 		if !late.fleet.Culprit(poison, monotime.Now()) {
-			t.Error("an instance that starts later does not know of it")
+			t.Error("an instance that starts later does not treat the request as poison")
 		}
 		stopLinked(t, cancel, &tasks)
 	})
 }
 
-// Guards against a run of long ago that is passed on as one of now.
+// Guards against a run of long ago that is passed on as a recent one.
 func TestARunThatIsPassedOnKeepsItsAge(t *testing.T) {
 	f, _, _ := newFleet()
 	now := monotime.Instant(time.Hour)
 	request := crashes.Fingerprint{1}
 	f.Crashed(crashes.Crash{Request: request, Server: "s", At: now}, now)
 	const age = 20_000
-	news := f.crashes.receive("peer", []wire.RelayCrash{{Request: request[:], AgeMS: age}}, now)
-	if len(news) != 1 || news[0].AgeMS != age {
-		t.Errorf("passed on as %+v", news)
+	fresh := f.crashes.receive("peer", []wire.RelayCrash{{Request: request[:], AgeMS: age}}, now)
+	if len(fresh) != 1 || fresh[0].AgeMS != age {
+		t.Errorf("passed on as %+v", fresh)
 	}
 }
 
-// Guards against what a damaged message says of crashes.
+// Guards against damaged crash reports of a peer that are applied.
 func TestDamagedCrashesAreRefused(t *testing.T) {
 	f, _, _ := newFleet()
 	now := monotime.Instant(time.Hour)
@@ -349,8 +354,8 @@
 		{Request: []byte("short"), Server: "s"}, {Server: "s"},
 		{Request: make([]byte, 16), Server: "s", AgeMS: -1}, {Request: make([]byte, 16), Server: "s", AgeMS: 1 << 62},
 	} {
-		if news := f.crashes.receive("peer", []wire.RelayCrash{crash}, now); len(news) > 0 || f.Suspects() {
-			t.Errorf("%+v was believed", crash)
+		if fresh := f.crashes.receive("peer", []wire.RelayCrash{crash}, now); len(fresh) > 0 || f.Suspects() {
+			t.Errorf("%+v was applied", crash)
 		}
 	}
 }
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -12,16 +12,17 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// crashesPerMessage is how many crashes are told in a message: some 16 KB.
+// crashesPerMessage bounds the crashes in a message: some 16 KB.
 const crashesPerMessage = 256
 
-// crashTracker is what this instance knows of requests that crash servers, shared with all
-// others.
+// crashTracker tracks requests that crash servers. Its state is shared with all
+// instances.
 type crashTracker struct {
 	log     *zap.Logger
 	updates *updateBatcher
 
-	// suspects is the number of requests in the book, so that calm costs nothing.
+	// suspects is the number of requests in the book. While it is zero, requests need
+	// neither a fingerprint nor the lock.
 	suspects atomic.Int64
 	// refused counts requests that were not sent on.
 	refused atomic.Int64
@@ -30,8 +31,8 @@
 	book *crashes.Book
 }
 
-func newCrashTracker(news *updateBatcher, log *zap.Logger) *crashTracker {
-	return &crashTracker{log: log, updates: news, book: crashes.NewBook()}
+func newCrashTracker(updates *updateBatcher, log *zap.Logger) *crashTracker {
+	return &crashTracker{log: log, updates: updates, book: crashes.NewBook()}
 }
 
 // Suspects implements relay.Fleet.
@@ -62,17 +63,17 @@
 	return found
 }
 
-// add takes crashes and returns what of them is news.
+// add records crashes and returns those that were not recorded before.
 func (c *crashTracker) add(from string, list []crashes.Crash, now monotime.Instant) (added []wire.RelayCrash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, crash := range list {
-		fresh, culprit := c.book.Add(crash, now)
+		fresh, poison := c.book.Add(crash, now)
 		if !fresh {
 			continue
 		}
 		added = append(added, encodeCrash(crash, now))
-		if culprit {
+		if poison {
 			c.log.Warn("request_crashes_servers", zap.String("from", from), zap.Binary("fingerprint", crash.Request[:]),
 				zap.String("customer", crash.Customer), zap.String("server", crash.Server), zap.Duration("age_ms", now.Sub(crash.At)))
 		}
@@ -81,7 +82,8 @@
 	return added
 }
 
-// addServed takes a run without a crash and returns what of it is news.
+// addServed records a run that ended without a crash. It returns the run if peers are to
+// be informed: the request is in the book, and no recent run of it was recorded.
 func (c *crashTracker) addServed(request crashes.Fingerprint, at, now monotime.Instant) []wire.RelayCrash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,14 +93,14 @@
 	return []wire.RelayCrash{{Request: request[:], AgeMS: ageMS(at, now)}}
 }
 
-// broadcast tells all peers.
+// broadcast sends crashes to all peers.
 func (c *crashTracker) broadcast(list []wire.RelayCrash) {
 	if len(list) > 0 {
 		c.updates.addCrashes(list)
 	}
 }
 
-// expire forgets what has not come for long.
+// expire removes requests that have not occurred for a long time.
 func (c *crashTracker) expire(now monotime.Instant) {
 	if c.suspects.Load() == 0 {
 		return
@@ -109,7 +111,8 @@
 	c.suspects.Store(int64(c.book.Len()))
 }
 
-// encodeAll returns encodeAll that is known, for a peer that may have missed some.
+// encodeAll returns all recorded crashes and runs without a crash, for a peer that may
+// have missed some.
 func (c *crashTracker) encodeAll(now monotime.Instant) (out []wire.RelayCrash) {
 	if c.suspects.Load() == 0 {
 		return nil
@@ -125,7 +128,8 @@
 	return out
 }
 
-// receive takes what a peer tells and returns what of it is news here.
+// receive applies crashes that a peer sent and returns those that were not recorded
+// before.
 func (c *crashTracker) receive(from string, received []wire.RelayCrash, now monotime.Instant) (fresh []wire.RelayCrash) {
 	var list []crashes.Crash
 	for _, t := range received {
@@ -158,8 +162,9 @@
 	return out, true
 }
 
-// applyCrashes takes what a peer tells of crashes. What it tells this instance alone is
-// passed on: there was no way between the two, and so perhaps none between others.
+// applyCrashes applies the crashes that a peer sent. If they were sent to this instance
+// only, the new ones are passed on: the two instances had no connection before, and so
+// perhaps neither had others.
 func (p *peers) applyCrashes(from string, update *wire.RelayNews, direct bool) {
 	if len(update.Crashes) == 0 {
 		return
@@ -171,15 +176,15 @@
 	}
 }
 
-// crashMetrics is what the metrics tell of requests that crash servers.
+// crashMetrics is the state of poison request detection in the metrics.
 type crashMetrics struct {
-	Suspects int   `json:"suspects"`
-	Culprits int   `json:"culprits"`
-	Refused  int64 `json:"refused"`
+	Suspects       int   `json:"suspects"`
+	PoisonRequests int   `json:"culprits"`
+	Refused        int64 `json:"refused"`
 }
 
 func (c *crashTracker) metrics() crashMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return crashMetrics{Suspects: c.book.Len(), Culprits: c.book.Culprits(), Refused: c.refused.Load()}
+	return crashMetrics{Suspects: c.book.Len(), PoisonRequests: c.book.Culprits(), Refused: c.refused.Load()}
 }
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -22,7 +22,8 @@
 	return out
 }
 
-// readerAndFollower returns an instance that follows the store, and one that hears its news.
+// readerAndFollower returns an instance that reads the store, and one that receives its
+// updates.
 func readerAndFollower() (reader *fleet, fd *feed, follower *fleet) {
 	reader, fd, _ = newFleet()
 	follower, _, _ = newFleet()
@@ -30,10 +31,10 @@
 	return reader, fd, follower
 }
 
-// The store comes back from a copy, and its revisions go back. One instance reads it, the
-// other only hears of it. Callers of both reach a server that came after the return, none
-// that left and stands in the copy, and none that nobody knows any more; configurations do
-// not go back.
+// The store is restored from an older copy, and its revisions go back. One instance reads
+// it, the other only receives updates. Both must send requests to a server added after
+// the restore, to none that left but is still in the copy, and to none that is missing
+// from it. Configuration versions must not go back.
 func TestRestoredStoreIsFollowedByAllInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -52,7 +53,7 @@
 		fd.applyChanges(&Changes{Servers: []servers.Server{entry("new", revision(t, 1, 3))}, Revision: revision(t, 1, 3)})
 		reader.updates.flush()
 		time.Sleep(servers.LapseGrace)
-		for name, f := range map[string]*fleet{"reader": reader, "hearer": follower} {
+		for name, f := range map[string]*fleet{"reader": reader, "follower": follower} {
 			f.changeServers(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
 			if diff := cmp.Diff([]string{"a", "new"}, ready(f)); diff != "" {
 				t.Errorf("%s: %s", name, diff)
@@ -61,14 +62,15 @@
 				t.Errorf("%s: configuration %d", name, got)
 			}
 			if latest, unconfirmed := f.latestRevision(); latest != revision(t, 1, 3) || unconfirmed != 0 {
-				t.Errorf("%s: %v, %d doubtful", name, latest, unconfirmed)
+				t.Errorf("%s: %v, %d unconfirmed", name, latest, unconfirmed)
 			}
 		}
 	})
 }
 
-// The store comes back without an evacuation that was in force and was not written again.
-// It ends at all instances, after the time in which operators write again.
+// The store is restored without an evacuation that was in force, and nobody writes it
+// again. It must end at all instances, but only after the time in which operators can
+// write it again.
 func TestAnEvacuationThatIsNotWrittenAgainEndsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -83,7 +85,7 @@
 		}
 		settle()
 		if len(reader.evacuatedDataCentres()) != 1 || len(follower.evacuatedDataCentres()) != 1 {
-			t.Error("at the return:", reader.evacuatedDataCentres(), follower.evacuatedDataCentres())
+			t.Error("at the restore:", reader.evacuatedDataCentres(), follower.evacuatedDataCentres())
 		}
 		time.Sleep(3 * time.Second)
 		settle()
@@ -95,8 +97,8 @@
 	})
 }
 
-// News of a peer are damaged on their way and tell of a far later era. They change nothing:
-// all that the store says afterwards would count as old, and its servers as missing.
+// Damaged updates of a peer name an era far ahead. They must change nothing: all later
+// changes of the store would count as outdated, and its servers as missing.
 func TestDamagedErasOfAPeerChangeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -118,10 +120,10 @@
 	})
 }
 
-// A server crashes and starts again under its name while the store comes back from a copy
-// with its former entry. Requests of all instances rush to the server, which has just
-// started and crashes: the store's word that nothing changed was taken for news, though it
-// is as old as the copy.
+// A server crashes and restarts under its name while the store is restored from a copy
+// with its former entry. The store's confirmation that nothing changed is then as old as
+// the copy. If it counted as recent, all instances would send requests at full rate to a
+// server that has just started, and it would crash.
 func TestRestoredStoreConfirmsNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -136,7 +138,7 @@
 		time.Sleep(600 * time.Millisecond)
 		f.confirmedByStore.Store(int64(monotime.Now()))
 		if n := countPlaced(t, f); n < 4 || n > 6 {
-			t.Errorf("%d in a second, of a server that bears 6", n)
+			t.Errorf("%d in a second, of a server that sustains 6", n)
 		}
 		time.Sleep(servers.EraGrace)
 		f.confirmedByStore.Store(int64(monotime.Now()))
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -10,7 +10,8 @@
 	"basilrudder/internal/servers"
 )
 
-// applyEvacuations takes evacuations that began or ended, as the store or a peer says.
+// applyEvacuations applies evacuations that began or ended, as read from the store or
+// sent by a peer.
 func (f *fleet) applyEvacuations(from string, list []servers.Evacuation) {
 	if len(list) == 0 {
 		return
@@ -26,8 +27,9 @@
 	})
 }
 
-// changeEvacuations runs a change of what the registry knows of evacuations and tells the peers
-// of what changed. The servers of a data centre that is taken back count as cold.
+// changeEvacuations applies a change of evacuations to the registry and sends what
+// changed to the peers, unless a peer sent it. The servers of a data centre whose
+// evacuation ended count as cold.
 func (f *fleet) changeEvacuations(from string, change func(r *servers.Registry) []servers.Evacuation) {
 	now := monotime.Now()
 	coldStart := func(service string) time.Duration { return f.coldLimit(service).Lasts }
@@ -60,7 +62,8 @@
 	}
 }
 
-// evacuatedDataCentres returns the data centres whose servers get nothing, by name.
+// evacuatedDataCentres returns the names of the data centres whose servers get no
+// requests, sorted.
 func (f *fleet) evacuatedDataCentres() []string {
 	out := []string{}
 	for _, e := range f.allEvacuations() {
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -28,9 +28,9 @@
 	return servers.Evacuation{DataCentre: dataCentre, Active: active, Revision: revision}
 }
 
-// A data centre is emptied, the store's history is lost while it is taken back, and an
-// instance reads everything again. Its callers must get the servers there back although
-// no event told so.
+// A data centre is evacuated, and the store's history is lost while the evacuation is
+// ended. The instance reads everything again and must use the servers there again,
+// although it received no event of the end.
 func TestAnEvacuationEndsWithTheListThatLacksIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
@@ -46,18 +46,18 @@
 		go func() { _ = fd.run(ctx) }()
 		time.Sleep(500 * time.Millisecond)
 		if diff := cmp.Diff([]string{"b"}, ready(f)); diff != "" {
-			t.Error("emptied", diff)
+			t.Error("evacuated", diff)
 		}
 		time.Sleep(time.Second)
 		if diff := cmp.Diff([]string{"a", "b"}, ready(f)); diff != "" {
-			t.Error("taken back", diff)
+			t.Error("after the evacuation", diff)
 		}
 		<-ctx.Done()
 	})
 }
 
-// The store turns an instance away while a data centre is emptied. A peer that hears
-// the store tells it; a late word of another peer does not bring the data centre back.
+// The store refuses an instance while a data centre is evacuated. A peer that reads the
+// store sends the evacuation; an outdated update of another peer must not end it.
 func TestPeerUpdateEvacuatesDataCentre(t *testing.T) {
 	f, _, _ := newFleet()
 	f.installConfig(config(1), fromStore)
@@ -71,12 +71,13 @@
 		t.Error(diff)
 	}
 	if diff := cmp.Diff([]string{"north"}, f.evacuatedDataCentres()); diff != "" {
-		t.Error("told to operators", diff)
+		t.Error("in the metrics", diff)
 	}
 }
 
-// What the store told this instance alone reaches its peers: with the news of the
-// change, and in the state that a peer asks for which has missed it.
+// An evacuation that only this instance read from the store must reach its peers: in the
+// update of the change, and in the state that a peer requests after it has missed the
+// update.
 func TestEvacuationsAreSentToPeers(t *testing.T) {
 	f, fd, _ := newFleet()
 	p := linkedPeers(f, "me", wire.RelayMember{ID: "peer"})
@@ -86,7 +87,7 @@
 	f.updates.flush()
 	want := []wire.RelayEvacuation{{DataCentre: "north", Active: true, Revision: 4}}
 	if diff := cmp.Diff(want, sent); diff != "" {
-		t.Error("news", diff)
+		t.Error("update", diff)
 	}
 	if diff := cmp.Diff(want, p.stateUpdate().Evacuations); diff != "" {
 		t.Error("state", diff)
@@ -104,9 +105,9 @@
 	}
 }
 
-// All data centres are emptied. Callers are answered and told that no server can be
-// reached; the instance neither counts as unable to serve nor reads the store again
-// and again for servers that it knows.
+// All data centres are evacuated. Callers are told that no server can be reached. The
+// instance must neither count as unable to serve nor read the store repeatedly for
+// servers that it already tracks.
 func TestWithAllDataCentresEvacuatedCallersAreRefused(t *testing.T) {
 	f, fd, _ := newFleet()
 	f.installConfig(config(1), fromStore)
@@ -116,11 +117,11 @@
 		t.Errorf("placed: %v", refusal)
 	}
 	if f.serverCount() != 1 || fd.lacksState() {
-		t.Error("the instance takes itself for one that knows no servers")
+		t.Error("the instance counts as one without servers")
 	}
 }
 
-// engines publishes a service of cold-sensitive engines.
+// engines publishes a service whose engines sustain only few requests while cold.
 func engines() *routing.Config {
 	return &routing.Config{Version: 1, Services: []routing.Service{{
 		Name: "svc", Engine: &routing.Engine{Slots: 64, MemoryTokens: 500_000},
@@ -128,7 +129,7 @@
 	}}}
 }
 
-// countPlaced counts the requests that a fleet of one may begin within a second.
+// countPlaced counts the requests that a fleet of one instance may begin within a second.
 func countPlaced(t *testing.T, f *fleet) int {
 	t.Helper()
 	n := 0
@@ -146,9 +147,9 @@
 	return n
 }
 
-// A data centre is taken back after its servers have been started again, which their
-// entries tell a second later. Callers' requests must not rush to them meanwhile: cold
-// servers crash above what they bear.
+// The evacuation of a data centre ends after its servers have been restarted, which their
+// entries report a second later. Until then requests must not reach them at full rate:
+// cold servers crash above their capacity.
 func TestADataCentreThatIsTakenBackIsFilledSlowly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -163,7 +164,7 @@
 		time.Sleep(time.Second)
 		fd.applyChanges(&Changes{Evacuations: []servers.Evacuation{evacuation("north", false, 3)}, Revision: 3})
 		if n := countPlaced(t, f); n < 4 || n > 6 {
-			t.Errorf("%d in the first second, of a server that bears 6", n)
+			t.Errorf("%d in the first second, of a server that sustains 6", n)
 		}
 		cold := entryIn("a", "north", 4)
 		cold.ColdLeft = 3 * time.Second
@@ -178,9 +179,9 @@
 	})
 }
 
-// A server can't be reached, as after a crash, and answers again before its entry can
-// tell whether it has started again. It gets what a cold server bears until the store
-// has said that it is the same one.
+// A server is unreachable, as after a crash, and answers again before its entry can show
+// whether it has restarted. It must get only what a cold server sustains until the store
+// has confirmed that it is the same incarnation.
 func TestAServerThatAnswersAgainIsFilledSlowly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -191,16 +192,16 @@
 		f.Observe("a", placement.Unreachable, monotime.Now())
 		time.Sleep(300 * time.Millisecond)
 		if n := countPlaced(t, f); n < 4 || n > 6 {
-			t.Errorf("%d in the first second, of a server that bears 6", n)
+			t.Errorf("%d in the first second, of a server that sustains 6", n)
 		}
 		f.confirmedByStore.Store(int64(monotime.Now()))
 		if n := countPlaced(t, f); n != 100 {
-			t.Errorf("%d of 100 once the store vouches for it", n)
+			t.Errorf("%d of 100 once the store has confirmed it", n)
 		}
 	})
 }
 
-// The list of the store fails: what was known of evacuations holds.
+// Reading the store fails. Evacuations in force must stay in force.
 func TestAnEvacuationOutlivesAnOutageOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
@@ -217,9 +218,9 @@
 	})
 }
 
-// All servers of a service crash at once. Callers come back once, so those of an outage
-// for all are told a later time than those of an instance that alone reaches none. News of
-// what others send tell which it is.
+// All servers of a service crash at once. Callers retry once, so in an outage for all
+// instances they are given a longer Retry-After than when this instance alone reaches no
+// server. The runs that peers report show which of the two it is.
 func TestServiceOutageIsDistinguishedFromLocalOutage(t *testing.T) {
 	f, _, _ := newFleet()
 	f.installConfig(config(1), fromStore)
@@ -238,10 +239,10 @@
 }
 
 // All servers of a service crash while each instance sends it many requests a second. The
-// callers whose requests this ends are told to come back in 200 ms, into the outage, and
-// get nothing then: 163 of them in the first half second of one that lasted 1.5 s. News of
-// what others had begun just before the crash, some of them still on their way, were taken
-// for a sign that others reach a server.
+// runs that peers began just before the crash, some of them reported only after it, must
+// not count as a sign that a server is reachable. Otherwise callers are told to retry in
+// 200 ms, into the outage, and fail: 163 of them in the first half second of an outage of
+// 1.5 s.
 func TestServiceOutageIsDetectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -264,12 +265,12 @@
 		}
 		unreachable()
 		if f.Serving("svc", monotime.Now()) {
-			t.Error("at the crash: taken for served, by what peers began before")
+			t.Error("at the crash: counts as served because of runs that peers began before")
 		}
 		time.Sleep(30 * time.Millisecond)
 		begun("a")
 		if f.Serving("svc", monotime.Now()) {
-			t.Error("30 ms later: taken for served, by news that were on their way")
+			t.Error("30 ms later: counts as served because of updates that were in transit")
 		}
 		time.Sleep(updateTravelTime)
 		begun("a")
@@ -281,7 +282,7 @@
 		begun("c")
 		unreachable()
 		if f.Serving("svc", monotime.Now()) {
-			t.Error("the next outage is not known at once")
+			t.Error("the next outage is not detected at once")
 		}
 	})
 }
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -14,48 +14,52 @@
 )
 
 const (
-	// minFeedBackoff and feedPauseMax bound the wait after the store failed. The
-	// last is short against the 2 s in which a change must be in force.
+	// minFeedBackoff and maxFeedBackoff bound the wait after a failure of the store. The
+	// maximum is short compared to the 2 s in which a change must be in force.
 	minFeedBackoff = 40 * time.Millisecond
 	maxFeedBackoff = 400 * time.Millisecond
-	// confirmTimeout bounds the question whether the configuration is the newest.
+	// confirmTimeout bounds the request that checks whether the configuration is the
+	// newest.
 	confirmTimeout = 300 * time.Millisecond
-	// confirmationTTL is how long the word of the store that a version is the newest
-	// holds. A change has 2 s to be in force everywhere, so what was refused by a
-	// version that old was refused rightly. Callers with a wrong key may ask
-	// often, and each question is a read at the store.
+	// confirmationTTL is how long the store's confirmation that a version is the newest
+	// remains valid. A change has 2 s to be in force everywhere, so a request that a
+	// version of that age refused was refused correctly. Without it, callers with an
+	// invalid key would cause a read of the store with each request.
 	confirmationTTL = time.Second
-	// watchPerInstance is the time that one watch waits for each instance of the
-	// fleet. All watches may go silent at once; instances notice at the end of
-	// theirs and tell the others, so one of n notices about watchPerInstance later.
+	// watchPerInstance is the length of a watch for each instance of the fleet. All
+	// watches may stop receiving at once. Instances notice that at the end of their
+	// watches and inform the others, so with n instances the first notices after about
+	// watchPerInstance.
 	watchPerInstance = 350 * time.Millisecond
-	// storeReaders is the number of instances that read the store in a large fleet. A
-	// trouble of the store that strikes a third of the machines leaves one of
-	// them with a probability of 0.999.
+	// storeReaders is the number of instances that read the store in a large fleet. If a
+	// failure disconnects a third of the machines from the store, at least one reader is
+	// left with a probability of 0.999.
 	storeReaders = 6
-	// takeOverAfter and takeOverSpread bound how long an instance that does not
-	// read goes without anybody's word that its version is the newest. Readers
-	// hear the store about every half second together, and hubs pass that on ten
-	// times a second.
+	// takeOverAfter and takeOverJitter bound how long an instance that does not read the
+	// store goes without a confirmation that its version is the newest. The readers
+	// together receive an answer of the store about every half second, and hubs pass the
+	// confirmation on ten times a second.
 	takeOverAfter  = 1800 * time.Millisecond
 	takeOverJitter = 600 * time.Millisecond
-	// readCheckInterval is the time between looks whether to read, and coldInterval that of
-	// a process that knows nothing yet.
+	// readCheckInterval is the time between checks whether this instance should read the
+	// store, and initialCheckInterval that of a process without any state yet.
 	readCheckInterval    = 100 * time.Millisecond
 	initialCheckInterval = 10 * time.Millisecond
-	// hubDiscoveryWait is how long a process that starts waits to find out whether it has a
-	// hub, and coldPatience how long it waits for the hub to tell what is in force. A
-	// link to a seed and one to a hub take some 20 ms. Of 95 processes that start
-	// together each would read five pages; callers would not be served sooner.
+	// hubDiscoveryWait is how long a process that has just started waits to find out
+	// whether it has a hub, and hubStateWait how long it waits for the hub to send its
+	// state. A link to a seed and one to a hub take some 20 ms. Without the wait, each of
+	// 95 processes that start together would read five pages of the store, and callers
+	// would not be served sooner.
 	hubDiscoveryWait = 40 * time.Millisecond
 	hubStateWait     = 600 * time.Millisecond
-	// minWatchInterval is the least time between the starts of two watches of the first reader
-	// in rank; each further one waits as much longer. Servers that start together change
-	// the store many times a second; each change answers the watches of all readers, and
-	// each answer is paid for. Six readers then make 12 calls a second in place of 30,
-	// and one of them still sees a change some 60 ms after it in the mean.
+	// minWatchInterval is the minimum time between the starts of two watches of the first
+	// reader in rank; each further reader waits that much longer. Servers that start
+	// together change the store many times a second, each change answers the watches of
+	// all readers, and each answer is paid for. With these intervals six readers make 12
+	// calls a second instead of 30, and one of them still sees a change after some 60 ms
+	// on average.
 	minWatchInterval = 200 * time.Millisecond
-	// maxWatch bounds one watch whatever the size of the fleet.
+	// maxWatch bounds a watch regardless of the size of the fleet.
 	maxWatch = 5 * time.Second
 )
 
@@ -64,18 +68,18 @@
 	source        Source
 	fleet         *fleet
 	log           *zap.Logger
-	minWatch      time.Duration // least time of a watch
-	answerTimeout time.Duration // beyond wait, for the answer to come
+	minWatch      time.Duration // minimum length of a watch
+	answerTimeout time.Duration // added to the length of a watch, for the answer to arrive
 
 	revision servers.Revision
 	failures int
 
-	// confirming is held, by a token in it, while the configuration is read.
+	// confirming holds a token while the configuration is read.
 	confirming chan struct{}
-	// rank is this instance's place among those that hear each other, and how
-	// many they are.
+	// rank returns this instance's rank among the instances that can reach each other,
+	// and how many they are.
 	rank func() (place, of int)
-	// hasHub reports whether this instance has a hub that tells it what it lacks.
+	// hasHub reports whether this instance has a hub that sends it what it lacks.
 	hasHub func() bool
 	// started is when the process began to follow the store.
 	started monotime.Instant
@@ -108,11 +112,11 @@
 	return nil
 }
 
-// shouldRead reports whether this instance shouldRead the store itself. Every call is
-// paid for, and each change answers all watches, so in a large fleet only the
-// first few in rank read; the others learn from their news, which carry each
-// change and vouch for the version in force. An instance to which nobody vouches
-// shouldRead too, whatever its rank: the readers may be dead, cut off or turned away.
+// shouldRead reports whether this instance reads the store itself. Every call is paid
+// for, and each change answers all watches, so in a large fleet only the first few in
+// rank read. The others receive updates from them, which carry each change and confirm
+// the version in force. An instance that receives no confirmation reads too, whatever its
+// rank: the readers may have crashed, be disconnected or be refused by the store.
 func (f *feed) shouldRead() bool {
 	if f.lacksState() {
 		waited := monotime.Now().Sub(f.started)
@@ -125,11 +129,11 @@
 	return monotime.Now().Sub(f.fleet.confirmedAt()) > limit
 }
 
-// lacksState reports whether this instance lacks what it needs to serve anybody.
+// lacksState reports whether this instance lacks what it needs to serve any caller.
 func (f *feed) lacksState() bool { return f.fleet.Table() == nil || f.fleet.serverCount() == 0 }
 
-// idle waits before the next look whether this instance should read. What it
-// missed of the store until then is read as a whole.
+// idle waits before the next check whether this instance should read the store. When it
+// reads again, it reads everything, because it has missed changes.
 func (f *feed) idle(ctx context.Context) {
 	if f.revision != 0 {
 		f.log.Info("store_left_to_others")
@@ -142,7 +146,7 @@
 	sleep(ctx, readCheckInterval)
 }
 
-// readNext reads everything once, and changes from then on.
+// readNext reads everything at first, and from then on the changes.
 func (f *feed) readNext(ctx context.Context) error {
 	begun := monotime.Now()
 	if f.revision == 0 {
@@ -173,32 +177,33 @@
 	return nil
 }
 
-// recordConfirmation notes since when the store has told all that this instance has in force. A long
-// answer is as old as its beginning, and counts only once what it tells is in force: the
-// version before would be vouched for.
+// recordConfirmation records that the store has confirmed everything in force here as of
+// an instant. A long answer is as old as its beginning, and counts only once its content
+// is in force: otherwise it would confirm the version before.
 func (f *feed) recordConfirmation(at monotime.Instant) { advance(&f.fleet.confirmedByStore, at) }
 
-// watchInterval is the least time between the starts of two watches of this reader.
+// watchInterval is the minimum time between the starts of two watches of this reader.
 func (f *feed) watchInterval() time.Duration {
 	place, _ := f.rank()
 	return time.Duration(1+min(place, storeReaders-1)) * minWatchInterval
 }
 
-// watchDuration is how long the next watch waits. Every call is paid for, so the
-// more instances there are, the fewer each makes; the times differ a little, so
-// that their ends do not stay together.
+// watchDuration returns how long the next watch waits. Every call is paid for, so the
+// more instances there are, the fewer each makes. A random part keeps the watches of
+// instances from ending at the same time.
 func (f *feed) watchDuration() time.Duration {
 	_, of := f.rank()
 	wait := min(max(f.minWatch, time.Duration(min(of, storeReaders))*watchPerInstance), maxWatch)
 	return wait - time.Duration(rand.Int64N(int64(wait/4)+1))
 }
 
-// outageFailures is the number of failures in a row after which the store counts
-// as having been away. A single one may be a connection that went silent, while
-// the store went on removing entries as it should.
+// outageFailures is the number of consecutive failures after which the store counts as
+// having been unavailable. A single failure may be a connection that stopped responding
+// while the store correctly went on removing entries.
 const outageFailures = 2
 
-// recordRecovery tells the registry that the store is back, before what it says is taken.
+// recordRecovery marks the store as recovered from an outage, before its answer is
+// applied.
 func (f *feed) recordRecovery() {
 	if f.failures < outageFailures {
 		return
@@ -263,10 +268,10 @@
 
 func (f *feed) backOff(ctx context.Context) {
 	wait := min(minFeedBackoff<<min(f.failures-1, 4), maxFeedBackoff)
-	// While the store is down for all, nobody vouches and every instance of the fleet
-	// tries to read it: 95 of them made 2,900 calls in 12 s. The first in rank go on
-	// as usual and tell the others when it is back, so these may try rarely, the more
-	// so the more they are.
+	// While the store is unavailable to all, no instance receives confirmations and each
+	// tries to read it: 95 instances made 2,900 calls in 12 s. The first in rank continue
+	// as usual and inform the others when it has recovered, so the others may try rarely,
+	// in proportion to their number.
 	if place, of := f.rank(); place >= storeReaders && !f.lacksState() {
 		wait *= time.Duration(max(1, of/storeReaders))
 	}
@@ -283,8 +288,8 @@
 	}
 }
 
-// confirm reads the configuration and reports whether the one in force is now
-// the newest. Questions at the same time share one read.
+// confirm reads the configuration and reports whether the version in force is now the
+// newest. Concurrent calls share one read.
 func (f *feed) confirm(ctx context.Context) bool {
 	if f.recentlyConfirmed() {
 		return true
@@ -311,7 +316,8 @@
 	return true
 }
 
-// recentlyConfirmed reports whether the version in force was the newest a moment ago.
+// recentlyConfirmed reports whether the version in force was confirmed as the newest
+// within confirmationTTL.
 func (f *feed) recentlyConfirmed() bool {
 	return monotime.Now().Sub(f.fleet.confirmedAt()) < confirmationTTL
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -18,59 +18,61 @@
 	"basilrudder/internal/throttle"
 )
 
-// fleet is what this instance knows of configuration, servers and runs. It
-// implements relay.Fleet. Deciding takes no message: all of it is kept up to
-// date by the store and by news of the peers.
+// fleet holds this instance's view of the configuration, servers and runs. It implements
+// relay.Fleet. Decisions need no message: the view is kept current by the store and by
+// updates of the peers.
 type fleet struct {
 	self   string
 	log    *zap.Logger
 	board  *placement.Board
 	budget *retryBudget
-	// throttle bounds what this instance sends to servers that bear few requests.
+	// throttle limits what this instance sends to servers that sustain few requests.
 	throttle *throttle.Limiter
 	outages  *outageDetector
 	crashes  *crashTracker
 	regions  regions
-	members  func() int // instances known, this one among them
+	members  func() int // instances tracked, including this one
 	confirm  func(ctx context.Context) bool
-	publish  func(config *routing.Config) // has peers fetch it
+	publish  func(config *routing.Config) // offers it to the peers
 	updates  *updateBatcher
 
 	table atomic.Pointer[routing.Table]
-	// confirmedByStore is when the store last answered this instance, as a monotime.Instant.
+	// confirmedByStore is when the store last answered this instance, as a
+	// monotime.Instant.
 	confirmedByStore atomic.Int64
-	// confirmedByPeer is when the store last answered an instance that has the same
-	// version in force, as a monotime.Instant.
+	// confirmedByPeer is when the store last answered an instance with the same version
+	// in force, as a monotime.Instant.
 	confirmedByPeer atomic.Int64
 
-	// eraSince is when this instance heard that the store is back from an older copy, as a
-	// monotime.Instant; 0 for never.
+	// eraSince is when this instance learned that the store was restored from an older
+	// copy, as a monotime.Instant; 0 for never.
 	eraSince atomic.Int64
 
-	// digest is that of the registry, cut to an int.
+	// digest is the digest of the registry, shifted right to fit a non-negative int.
 	digest atomic.Int64
-	// limitedCount is the number of servers that name a limit, so that answers of others cost
-	// nothing while there is none.
+	// limitedCount is the number of servers that advertise a limit. While it is zero,
+	// answers that carry no notice take no lock.
 	limitedCount atomic.Int64
 
 	mu       sync.Mutex // guards registry, byService, sources
 	registry *servers.Registry
-	// byService is rebuilt at each change of the registry; readers take the
-	// slices as they are.
+	// byService is rebuilt at each change of the registry. Its slices are never modified,
+	// so readers use them without the lock.
 	byService map[string][]servers.Server
-	// sources are the servers of evacuated data centres, rebuilt and read likewise.
+	// sources holds the servers of evacuated data centres, by service. It is rebuilt and
+	// read like byService.
 	sources map[string][]servers.Server
 
-	lastRun atomic.Int64 // of the last own run
+	lastRun atomic.Int64 // number of the last run begun here
 }
 
 var _ relay.Fleet = (*fleet)(nil)
 
-// never is before every instant of a process, also before those that lie some
-// seconds before its start. Ages since then do not overflow.
+// never is before every instant of a process, including instants some seconds before its
+// start. Ages since never do not overflow.
 const never = monotime.Instant(math.MinInt64 / 2)
 
-// resetConfirmations resets what is known of the store's last answers.
+// resetConfirmations marks the state as never confirmed by the store.
 func (f *fleet) resetConfirmations() {
 	f.confirmedByStore.Store(int64(never))
 	f.confirmedByPeer.Store(int64(never))
@@ -82,8 +84,9 @@
 // Confirm implements relay.Fleet.
 func (f *fleet) Confirm(ctx context.Context) bool { return f.confirm(ctx) }
 
-// installConfig puts a configuration in force unless one at least as new is. It reports
-// whether it did. A version never goes back while the process lives.
+// installConfig puts a configuration in force unless the version in force is the same or
+// newer. It reports whether it did, and logs a configuration that cannot be put in force.
+// The version never goes back while the process runs.
 func (f *fleet) installConfig(config *routing.Config, from string) bool {
 	done, err := f.tryInstallConfig(config, from)
 	if err != nil {
@@ -92,8 +95,8 @@
 	return done
 }
 
-// tryInstallConfig is adopt, and returns why a configuration can't be put in force. The table is
-// built without the lock, which changes of servers take too.
+// tryInstallConfig is installConfig, but returns why a configuration cannot be put in
+// force. The table is built without the lock, because changes of servers need it too.
 func (f *fleet) tryInstallConfig(config *routing.Config, from string) (done bool, err error) {
 	if config == nil || f.configVersion() >= config.Version {
 		return false, nil
@@ -118,7 +121,7 @@
 	return true, nil
 }
 
-// configVersion of the configuration in force; 0 for none.
+// configVersion returns the version of the configuration in force; 0 for none.
 func (f *fleet) configVersion() int64 {
 	if table := f.table.Load(); table != nil {
 		return table.Version()
@@ -126,25 +129,27 @@
 	return 0
 }
 
-// installAndPublish is adopt for what the store tells; peers may fetch it from this instance then.
+// installAndPublish is installConfig for a configuration read from the store. Peers may
+// then fetch it from this instance.
 func (f *fleet) installAndPublish(config *routing.Config, from string) {
 	if f.installConfig(config, from) {
 		f.publish(config)
 	}
 }
 
-// fillStatus fills in what is in force here, for peers.
+// fillStatus adds the state in force here to an update for peers.
 func (f *fleet) fillStatus(update *wire.RelayNews) {
 	update.Digest = int(f.digest.Load())
 	update.ConfigVersion = int(f.configVersion())
-	// What others vouched for is passed on: an instance that subscribes to one that
-	// does not read the store would read it too.
+	// Confirmations received from peers are passed on: otherwise an instance that
+	// subscribes to one that does not read the store would read it too.
 	if at := f.confirmedAt(); at != never {
 		update.Confirmed = 1 + int(monotime.Now().Sub(at).Milliseconds())
 	}
 }
 
-// confirmVersion takes a peer's word that the version was the newest at an instant.
+// confirmVersion applies a peer's confirmation that a version was the newest at an
+// instant.
 func (f *fleet) confirmVersion(version int64, at monotime.Instant) {
 	if version == 0 || f.configVersion() != version {
 		return
@@ -162,14 +167,15 @@
 	}
 }
 
-// confirmedAt is when the version in force was last known to be the newest, or
+// confirmedAt returns when the version in force was last confirmed as the newest, or
 // never.
 func (f *fleet) confirmedAt() monotime.Instant {
 	return monotime.Instant(max(f.confirmedByStore.Load(), f.confirmedByPeer.Load()))
 }
 
-// serversConfirmedAt is when the entries of servers were last known to be the newest. A store that
-// is back from an older copy vouches for none until servers had time to write again.
+// serversConfirmedAt returns when the entries of servers were last confirmed as current.
+// A store restored from an older copy confirms none until servers have had time to write
+// them again.
 func (f *fleet) serversConfirmedAt(now monotime.Instant) monotime.Instant {
 	confirmed := f.confirmedAt()
 	since := monotime.Instant(f.eraSince.Load())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,35 +26,38 @@
 )
 
 const (
-	// tickInterval is the interval of what is done regularly.
+	// tickInterval is the interval of periodic tasks, and of status updates to peers:
+	// takeOverAfter relies on hubs passing on confirmations ten times a second.
 	tickInterval = 100 * time.Millisecond
-	// ticksPerSweep is the number of ticks between sweeps of idle connections.
+	// ticksPerSweep is the number of ticks between runs of the slower tasks, such as
+	// closing idle connections and reading the settings.
 	ticksPerSweep = 10
-	// headerTimeout and idleTimeout bound a caller's connection. Configured
-	// limits are tighter on the header and may change; a connection that is kept
-	// longer than they say harms nobody, one that closes early loses a request.
+	// headerTimeout and idleTimeout bound a caller's connection. The configured limits
+	// are lower for the header and may change. Keeping a connection longer than they
+	// allow is harmless, but closing it earlier loses a request.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeaderBytes bounds a request's header in bytes.
+	// maxHeaderBytes bounds the header of a request in bytes.
 	maxHeaderBytes = 64 << 10
-	// drainReserve is kept between the end of the drain and the kill.
+	// drainReserve is the time left between the end of the drain and the kill of the
+	// process, in which its tasks stop.
 	drainReserve = 700 * time.Millisecond
-	// minDrain is how long a leaving instance stays although it has nothing to
-	// do: callers use a directory answer up to three times as long as they may.
+	// minDrain is the minimum time that a leaving instance stays, even without requests
+	// in flight: callers use a directory answer for up to three times its TTL.
 	minDrain = 4 * time.Second
-	// isolatedAfter is how long an instance that hears neither the store nor a
-	// peer still counts as able to serve.
+	// isolatedAfter is how long an instance without an answer of the store and without a
+	// linked peer still counts as able to serve.
 	isolatedAfter = 1500 * time.Millisecond
-	// defaultLinkSecret stands for the secret of links where none is set.
+	// defaultLinkSecret is the secret of links if none is set.
 	defaultLinkSecret = "no-secret-is-set"
-	// linkKeyID names the key of the links.
+	// linkKeyID is the id of the key of the links.
 	linkKeyID = "relay"
 )
 
-// linkTiming finds a lost machine within 0.7 s: callers are sent to it, and its
-// runs are believed in, until then. A handshake takes some ms; a machine without
-// power answers nothing, and after a loss of all of them each second until the
-// next try is one in which no instance knows the others.
+// linkTiming detects a lost machine within 0.7 s. Until then callers are sent to it, and
+// its runs count as load. A handshake takes a few ms, and a machine without power never
+// answers one. The backoff is short because after a loss of all links an instance has no
+// view of the others until the next attempt.
 var linkTiming = peer.Timing{
 	SignOfLife: 200 * time.Millisecond,
 	Silence:    700 * time.Millisecond,
@@ -63,11 +66,11 @@
 	BackoffMax: 500 * time.Millisecond,
 }
 
-// bulkShare is the share of an instance's link that configurations may take.
+// bulkShare is the share of an instance's link that configurations may use.
 const bulkShare = 0.5
 
-// linkTimingFor returns the times and bounds of links between instances for a machine whose link
-// has so many Mbit/s; 0 for unknown.
+// linkTimingFor returns the timing and limits of links between instances for a machine
+// whose link has linkMbps Mbit/s; 0 means unknown.
 func linkTimingFor(linkMbps float64) peer.Timing {
 	const bytesPerMegabit = 1e6 / 8
 	out := linkTiming
@@ -75,26 +78,26 @@
 	return out
 }
 
-// Config of a Gateway.
+// Config configures a Gateway.
 type Config struct {
-	// Settings of the instance.
+	// Settings holds the settings of the instance.
 	Settings *relaysettings.RelaySettings
-	// Reload reads the settings again; nil for never.
+	// Reload reads the settings again; nil disables reloading.
 	Reload func() (*relaysettings.RelaySettings, error)
 	// Source reads the store.
 	Source Source
-	// Caches asks engines what they keep; nil for never.
+	// Caches asks engines which parts of prompts they keep; nil disables asking.
 	Caches CacheReader
-	// Protocol of callers and servers.
+	// Protocol is the protocol of callers and servers.
 	Protocol relay.Protocol
-	// Directory handles callers' questions where to connect, and Ready those
-	// whether the instance is ready.
+	// Directory handles requests for the addresses that callers should connect to, and
+	// Ready the readiness checks.
 	Directory, Ready func(*Gateway) fasthttp.RequestHandler
-	// Log takes a line per decision.
+	// Log receives a line for each decision.
 	Log *zap.Logger
 }
 
-// Gateway is one instance that relays.
+// Gateway is one instance that relays requests.
 type Gateway struct {
 	cfg   Config
 	fleet *fleet
@@ -105,18 +108,18 @@
 
 	leaving  atomic.Bool
 	isolated atomic.Bool
-	// started is when the process began.
+	// started is when the process started.
 	started monotime.Instant
-	// reload asks for the settings to be read at once.
+	// reload requests an immediate reload of the settings.
 	reload chan struct{}
-	// Of the regular task alone: the seeds in use, what was last logged of how fast
-	// engines are, by service, and when the others were told what was seen of them.
+	// Used by the periodic task only: the seeds in use, the paces of engines last logged,
+	// by service, and when pace statistics were last sent to peers.
 	seeds           []string
 	loggedPaces     map[string]pace.Pace
 	paceStatsSentAt monotime.Instant
 }
 
-// New returns a Gateway that does nothing until Run.
+// New returns a Gateway. It is idle until Run is called.
 func New(cfg Config) (*Gateway, error) {
 	s := cfg.Settings
 	incarnation, err := newIncarnation()
@@ -160,17 +163,17 @@
 	return g, nil
 }
 
-// capacityPerCore is the capacity told of an instance with a whole core.
+// capacityPerCore is the capacity that an instance with one whole core advertises.
 const capacityPerCore = 1000
 
-// connectUpdates connects what happens here to the peers that are told of it.
+// connectUpdates connects the batcher of updates to the links with peers.
 func (g *Gateway) connectUpdates() {
 	batcher := g.fleet.updates
 	batcher.batchDelay, batcher.due, batcher.send = g.peers.batchDelay, g.peers.due, g.peers.broadcast
 	batcher.fillStatus = g.fleet.fillStatus
 }
 
-// Run serves until the context ends and the drain after it.
+// Run serves until the context ends and the drain after it is over.
 func (g *Gateway) Run(ctx context.Context) error {
 	listeners, err := g.listen()
 	if err != nil {
@@ -185,9 +188,9 @@
 	tasks, work := errgroup.WithContext(work)
 	server := g.callerServer()
 	tasks.Go(func() error { return serveUntilClosed(server, listeners.callers) })
-	tasks.Go(func() error { return serveUntilDone(work, listeners.ready, g.cfg.Ready(g)) })
-	tasks.Go(func() error { return serveUntilDone(work, listeners.directory, g.cfg.Directory(g)) })
-	tasks.Go(func() error { return serveUntilDone(work, listeners.metrics, g.metrics) })
+	tasks.Go(func() error { return serveUntilCancelled(work, listeners.ready, g.cfg.Ready(g)) })
+	tasks.Go(func() error { return serveUntilCancelled(work, listeners.directory, g.cfg.Directory(g)) })
+	tasks.Go(func() error { return serveUntilCancelled(work, listeners.metrics, g.metrics) })
 	tasks.Go(func() error { return g.peers.links.Run(work) })
 	tasks.Go(func() error { return g.feed.run(work) })
 	tasks.Go(func() error { return g.fleet.updates.run(work) })
@@ -234,14 +237,15 @@
 	return nil
 }
 
-// Ready reports whether the instance takes requests.
+// Ready reports whether the instance accepts requests.
 func (g *Gateway) Ready() bool {
 	return !g.leaving.Load() && !g.isolated.Load() && g.fleet.Table() != nil && g.fleet.serverCount() > 0
 }
 
 // Callers returns the addresses that callers in a region should connect to and how long
-// they may use them; false when this instance can't tell. Instances of another region are
-// named only where the caller's has none: what callers send stays in their region then.
+// they may use them; false if this instance cannot tell. Instances of other regions are
+// returned only if the caller's region has none, so that callers' data stays in their
+// region where possible.
 func (g *Gateway) Callers(region string) (addresses []string, ttl time.Duration, ok bool) {
 	reachable := g.peers.staying()
 	if g.Ready() {
@@ -265,7 +269,7 @@
 func newIncarnation() (string, error) {
 	var raw [8]byte
 	if _, err := rand.Read(raw[:]); err != nil {
-		return "", errors.Wrap(err, "incarnation")
+		return "", errors.Wrap(err, "generate incarnation")
 	}
 	return hex.EncodeToString(raw[:]), nil
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -23,8 +23,8 @@
 	"basilrudder/internal/throttle"
 )
 
-// linkedPeers returns the peers of an instance with links to others. Nothing is sent
-// over them.
+// linkedPeers returns the peers of an instance with links to others. Nothing is sent over
+// them.
 func linkedPeers(f *fleet, self string, others ...wire.RelayMember) *peers {
 	p := newPeers(wire.RelayMember{ID: self, Incarnation: self}, nil, f, zap.NewNop())
 	links, err := peer.New(peer.Config{Keys: []peer.Key{{ID: linkKeyID, Secret: defaultLinkSecret}}})
@@ -40,7 +40,7 @@
 	return p
 }
 
-// fakeSource gives the next of its answers to each call.
+// fakeSource returns the next of its results for each call.
 type fakeSource struct {
 	all    []result
 	watch  []result
@@ -92,7 +92,7 @@
 	return servers.Server{ID: id, Name: id, Service: "svc", Address: "10.0.0.1:" + id, Slots: 4, Revision: revision}
 }
 
-// newFleet returns a fleet without links, and the news that it tells.
+// newFleet returns a fleet without links, its feed, and the source of the feed.
 func newFleet() (*fleet, *feed, *fakeSource) {
 	source := &fakeSource{}
 	f := &fleet{
@@ -118,9 +118,10 @@
 	return out
 }
 
-// The store's connections go silent, then all calls fail for four seconds, in
-// which the entries of both servers run out. On its return the watch says that
-// they are removed. One comes back, the other one had crashed.
+// The store's connections stop responding, then all calls fail for four seconds, in which
+// the entries of both servers expire. After the recovery the watch reports both as
+// removed. Both must stay in use for the grace period; one reappears, the other had
+// crashed and must be dropped after it.
 func TestAnOutageOfTheStoreDropsNoServerThatLives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
@@ -143,8 +144,8 @@
 	})
 }
 
-// A single call fails because its connection went silent. The store was there
-// all the while, so a removal that it tells next counts at once.
+// A single call fails because its connection stopped responding. The store was available
+// all the time, so a removal that it reports next must count at once.
 func TestOneSilentConnectionIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
@@ -223,14 +224,14 @@
 		}
 		time.Sleep(confirmationTTL)
 		if fd.confirm(t.Context()) {
-			t.Error("confirmed although the store is silent")
+			t.Error("confirmed although the store does not answer")
 		}
 	})
 }
 
-// The whole fleet's budget in a window is ratio times its requests and the
-// burst. Eight instances, each of which knows only its own requests, spend as
-// much as they can; the sum must keep to it.
+// In any window the whole fleet may retry ratio times its requests plus the burst. Eight
+// instances, each of which counts only its own requests, spend as much as they can; the
+// sum must stay within that budget.
 func TestTheBudgetHoldsOverTheFleet(t *testing.T) {
 	const members, requests = 8, 100
 	total := 0
@@ -265,8 +266,8 @@
 	}
 }
 
-// A server leaves while this instance is cut off from the store. A peer that
-// still hears it tells so.
+// A server leaves while this instance is disconnected from the store. An update of a peer
+// that still reads it must remove the server.
 func TestPeerUpdateRemovesServer(t *testing.T) {
 	f, _, _ := newFleet()
 	p := linkedPeers(f, "me")
@@ -277,7 +278,7 @@
 	}
 	p.applyServers("late", []wire.RelayServer{{ID: "a", Service: "svc", Address: "x:1", Revision: 3}}, 0)
 	if got := ready(f); len(got) != 0 {
-		t.Errorf("%v came back by old news", got)
+		t.Errorf("%v reappeared after an outdated update", got)
 	}
 }
 
@@ -300,7 +301,7 @@
 	now := monotime.Now()
 	p.node.LinkDown("b", now)
 	if !p.receive("c", &wire.RelayNews{Leaving: true}) {
-		t.Error("that a peer leaves changes nothing")
+		t.Error("the leave of a peer changes no links")
 	}
 	p.node.Refresh(now)
 	var named []string
@@ -313,7 +314,7 @@
 }
 
 // A link is so slow that the servers of the peer differ for eight seconds, whatever is
-// asked. Each answer would slow the link further, so the questions become rare.
+// requested. Each answer would slow the link further, so the requests must become rare.
 func TestAPeerWhoseServersStayDifferentIsAskedRarely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _, _ := newFleet()
@@ -332,9 +333,9 @@
 	})
 }
 
-// All watches of the fleet go silent. The instance whose watch ends first
-// notices and tells the others; each must have heard of a change within two
-// seconds, however many instances there are.
+// All watches of the fleet stop receiving. The instance whose watch ends first notices
+// and informs the others; each must learn of a change within two seconds, whatever the
+// number of instances.
 func TestWatchesOfAFleetEndOftenEnough(t *testing.T) {
 	_, fd, _ := newFleet()
 	fd.minWatch = 1100 * time.Millisecond
@@ -349,8 +350,8 @@
 	}
 }
 
-// Many servers start together, and each change in the store answers the watch at
-// once. The instance gathers them: every answer is paid for, and it need not know
+// Many servers start together, and each change in the store answers the watch at once.
+// The instance must wait between watches: every answer is paid for, and it need not learn
 // of each server within a few milliseconds.
 func TestManyChangesDoNotMakeAWatchEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -371,23 +372,24 @@
 	})
 }
 
-// A peer says that the store confirmed its version. That vouches for the same
-// version here, not for another one.
+// A peer reports that the store confirmed its version. That must confirm the same version
+// here, and no other.
 func TestPeerConfirmsOnlyTheSameVersion(t *testing.T) {
 	f, fd, source := newFleet()
 	p := linkedPeers(f, "me")
 	f.installConfig(config(5), "test")
 	p.applyConfigStatus("peer", &wire.RelayNews{ConfigVersion: 4, Confirmed: 1})
 	if fd.recentlyConfirmed() {
-		t.Error("an older version vouches for this one")
+		t.Error("a confirmation of an older version counts for this one")
 	}
 	p.applyConfigStatus("peer", &wire.RelayNews{ConfigVersion: 5, Confirmed: 200})
 	if !fd.recentlyConfirmed() || !fd.confirm(t.Context()) || len(source.calls) != 0 {
-		t.Errorf("not vouched for; %d calls", len(source.calls))
+		t.Errorf("not confirmed; %d calls", len(source.calls))
 	}
 }
 
-// fakeCacheReader tells what each address keeps and which were asked.
+// fakeCacheReader returns the parts of each address and records which addresses were
+// asked.
 type fakeCacheReader struct {
 	mu    sync.Mutex
 	parts map[string][]placement.Part
@@ -401,9 +403,9 @@
 	return c.parts[s.Address], nil
 }
 
-// All instances were restarted, so none knows what the engines keep. Two of them
-// share the engines out and tell each other; a third one that starts later is
-// told by a peer and asks no engine.
+// All instances were restarted, so none has the cache state of the engines. Two of them
+// share the engines between them and send each other the results; a third that starts
+// later receives them from a peer and must ask no engine.
 func TestAfterARestartOfAllEachEngineIsAskedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := placement.Part{ID: "x", Tokens: 9000}
@@ -434,7 +436,7 @@
 			sent = append(sent, g.fleet.updates.pending.Caches...)
 		}
 		if len(reader.asked) != 4 || len(sent) != 4 {
-			t.Errorf("asked %v, told %v", reader.asked, sent)
+			t.Errorf("asked %v, sent %v", reader.asked, sent)
 		}
 		late := gateways["a"]
 		late.peers.applyCaches(&wire.RelayNews{Caches: sent, CachesWhole: true})
@@ -442,14 +444,14 @@
 			t.Errorf("%v; asked again: %v", err, reader.asked)
 		}
 		if got := late.fleet.cacheStates(); len(got) != 4 {
-			t.Errorf("knows of %d engines", len(got))
+			t.Errorf("has the cache state of %d engines", len(got))
 		}
 	})
 }
 
-// All instances were restarted, and one asks its engines and tells the others before they
-// ask theirs. They must ask all the same: prompts that the other engines keep would be
-// read again for as long as it takes to fill them anew.
+// All instances were restarted, and one asks its engines and sends the results before the
+// others have asked theirs. They must still ask: otherwise prompts that the other engines
+// keep would be read again for as long as it takes to fill their caches anew.
 func TestPartialCacheUpdateDoesNotStopCacheDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		part := placement.Part{ID: "x", Tokens: 9000}
@@ -464,10 +466,10 @@
 		g := &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, feed: fd, peers: linkedPeers(f, "me")}
 		g.peers.applyCaches(&wire.RelayNews{Caches: []wire.RelayCache{{Server: "e1", Parts: encodeParts([]placement.Part{part})}}})
 		if g.peers.cacheUpdates(f.cacheStates())[0].CachesWhole {
-			t.Error("tells others that it knows all")
+			t.Error("reports complete caches after a partial update")
 		}
 		if g.peers.needsState() {
-			t.Error("asks the next peer for all that the first has told")
+			t.Error("asks the next peer for the state that the first has sent")
 		}
 		if err := g.discoverCaches(t.Context()); err != nil {
 			t.Fatal(err)
@@ -477,14 +479,14 @@
 			t.Error(diff)
 		}
 		if !g.peers.cacheUpdates(f.cacheStates())[0].CachesWhole {
-			t.Error("does not tell others what it knows by now")
+			t.Error("does not report complete caches after asking all engines")
 		}
 	})
 }
 
-// A whole fleet starts again, and each instance is told what the engines keep. That must
-// not fill the links of small instances: a link of 10 Mbit/s takes a tenth of a second for
-// 120 KB, and a part is some 25 bytes.
+// A whole fleet restarts, and each instance receives the cache state of the engines. That
+// must not fill the links of small instances: a link of 10 Mbit/s takes a tenth of a
+// second for 120 KB, and a part is some 25 bytes.
 func TestCacheUpdatesAreBounded(t *testing.T) {
 	const bytesOfPart, maxBytes = 25, 130_000
 	for _, engines := range []int{0, 1, 9, 60, 100, 333, 1000, 2400} {
@@ -509,14 +511,14 @@
 		sent += len(cache.Parts)
 	}
 	if sent == 0 || sent > maxPartsInTotal {
-		t.Errorf("%d parts told of 1,000 engines", sent)
+		t.Errorf("%d parts sent for 1,000 engines", sent)
 	}
 }
 
-// In a large fleet few instances read the store. One that does not is vouched
-// for by their news; when all of them are dead, cut off or turned away, nobody
-// vouches any more, and it reads before a change could be two seconds late by
-// much.
+// In a large fleet few instances read the store. One that does not receives confirmations
+// in their updates. If all readers have crashed, are disconnected or are refused by the
+// store, the confirmations end, and it must read the store itself before a change could
+// be much more than two seconds late.
 func TestLowRankInstanceReadsStoreWithoutConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
@@ -524,7 +526,7 @@
 		fd.started = monotime.Now()
 		time.Sleep(hubDiscoveryWait)
 		if !fd.shouldRead() {
-			t.Error("a cold instance must read")
+			t.Error("an instance without state must read")
 		}
 		f.installConfig(config(1), "peer")
 		f.changeServers("peer", func(r *servers.Registry, now monotime.Instant) []string {
@@ -536,7 +538,7 @@
 		_ = fd.run(ctx)
 		cancel()
 		if len(source.calls) != 0 {
-			t.Errorf("reads although vouched for: %v", source.calls)
+			t.Errorf("reads although confirmed: %v", source.calls)
 		}
 		ctx, cancel = context.WithTimeout(t.Context(), takeOverJitter+2*readCheckInterval)
 		defer cancel()
@@ -547,9 +549,9 @@
 	})
 }
 
-// The store is down for twelve seconds. All 95 instances hold on to what they know, and
-// callers notice nothing. Those that do not usually read try now and then; together they
-// may not ask more than the few that do.
+// The store is down for twelve seconds. All 95 instances keep their state, and callers
+// are not affected. Instances that usually do not read must try only now and then:
+// together they may not send more requests than the few that do read.
 func TestAStoreThatIsDownIsNotAskedByAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
@@ -577,8 +579,9 @@
 	})
 }
 
-// A process that starts has a hub, which will tell it what is in force. It reads the
-// store only when the hub has not done so for a while, since callers wait for it.
+// A process that has just started has a hub, which will send it the state in force. It
+// must read the store only if the hub has not done so for a while, since callers wait for
+// it.
 func TestAColdInstanceWaitsForItsHubAndNoLonger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
@@ -590,7 +593,7 @@
 		_ = fd.run(ctx)
 		cancel()
 		if len(source.calls) != 0 {
-			t.Errorf("reads although its hub may tell it: %v", source.calls)
+			t.Errorf("reads although its hub may send the state: %v", source.calls)
 		}
 		ctx, cancel = context.WithTimeout(t.Context(), hubStateWait+2*initialCheckInterval)
 		defer cancel()
@@ -620,9 +623,9 @@
 	}
 }
 
-// A link breaks while a server leaves, and the news of it are lost. The next
-// news of a peer that hears the store show that the servers differ; a while
-// later this instance takes all of them and drops the one that left.
+// A link breaks while a server leaves, and the update is lost. The next status of a peer
+// that reads the store shows that the servers differ; once it has received all of them,
+// this instance must drop the server that left.
 func TestLostServerUpdateIsRecovered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader, _, _ := newFleet()
@@ -635,10 +638,10 @@
 			})
 		}
 		p := linkedPeers(other, "me", wire.RelayMember{ID: "r"})
-		news := func() *wire.RelayNews {
+		status := func() *wire.RelayNews {
 			return &wire.RelayNews{Confirmed: 1, Digest: int(reader.digest.Load())}
 		}
-		p.compareServers("r", news())
+		p.compareServers("r", status())
 		if len(p.differences) != 0 {
 			t.Error("the same servers differ")
 		}
@@ -646,7 +649,7 @@
 			r.Remove("a", 5, now)
 			return []string{"a"}
 		})
-		p.compareServers("r", news())
+		p.compareServers("r", status())
 		if len(p.differences) == 0 {
 			t.Error("not noticed")
 		}
@@ -654,17 +657,17 @@
 		if diff := cmp.Diff([]string{"b"}, ready(other)); diff != "" {
 			t.Error(diff)
 		}
-		p.compareServers("r", news())
+		p.compareServers("r", status())
 		if len(p.differences) != 0 {
 			t.Error("still differ")
 		}
 	})
 }
 
-// Servers start together and change the store all the time. Each change answers the
-// watches of all readers, and each answer is paid for: all six together must ask about
-// as often as two did that watch again at once, and the first in rank often enough that
-// a change is known soon.
+// Servers start together and change the store continuously. Each change answers the
+// watches of all readers, and each answer is paid for. All six together may call the
+// store about as often as two that watch again at once, and the first in rank often
+// enough to learn of changes soon.
 func TestReadersOfABusyStoreTakeTurns(t *testing.T) {
 	const length = 6 * time.Second
 	sum := 0
@@ -690,7 +693,7 @@
 	}
 }
 
-// Guards against a word of the store that counts from the end of a long answer.
+// Guards against a confirmation by the store that counts from the end of a long answer.
 func TestLongStoreAnswerConfirmsFromItsStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -709,7 +712,7 @@
 	})
 }
 
-// Guards against urgent news that wait behind one long message of what engines keep.
+// Guards against urgent updates that wait behind one long message of cache states.
 func TestCacheUpdatesAreSplitIntoShortMessages(t *testing.T) {
 	f, _, _ := newFleet()
 	p := linkedPeers(f, "me")
@@ -724,18 +727,18 @@
 	}
 	var sent []wire.RelayCache
 	messages := p.cacheUpdates(caches)
-	for i, news := range messages {
-		data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{news}})
+	for i, update := range messages {
+		data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{update}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(data) > 32<<10 {
 			t.Errorf("message %d has %d bytes", i, len(data))
 		}
-		if last := i+1 == len(messages); news.CachesWhole != last {
-			t.Errorf("message %d of %d says whole: %v", i, len(messages), news.CachesWhole)
+		if last := i+1 == len(messages); update.CachesWhole != last {
+			t.Errorf("message %d of %d says whole: %v", i, len(messages), update.CachesWhole)
 		}
-		sent = append(sent, news.Caches...)
+		sent = append(sent, update.Caches...)
 	}
 	if diff := cmp.Diff(caches, sent); diff != "" {
 		t.Error(diff)
--- a/internal/gateway/jitter_test.go
+++ b/internal/gateway/jitter_test.go
@@ -11,9 +11,9 @@
 	"basilrudder/internal/servers"
 )
 
-// All 60 instances start at the same moment before 40 idle engines, and each gets a
-// request before it knows any other instance. Callers wait for each other when many of
-// the requests go to one engine.
+// All 60 instances start at the same moment in front of 40 idle engines, and each
+// receives a request before it has a view of any other instance. The requests must spread
+// over the engines: callers wait for each other when many go to the same one.
 func TestInstancesStartingTogetherSpreadRequests(t *testing.T) {
 	sent := make(map[string]int)
 	for range 60 {
--- a/internal/gateway/leaving_test.go
+++ b/internal/gateway/leaving_test.go
@@ -11,10 +11,11 @@
 	"basilrudder/internal/servers"
 )
 
-// While the store is away, a server begins to leave and says so in its answers. Callers'
-// requests go on to reach it from instances that had passed such an answer on 2 and 5 s
-// before; a server that ends sooner cuts them off. Nothing read what a server says of
-// itself: no instance knew it as leaving before the store was back, 11 s later.
+// While the store is unavailable, a server begins to leave and reports it in its answers.
+// Instances must apply that notice and pass it on to their peers. Otherwise requests
+// reach the server until the store has recovered, 11 s later in one outage, even from
+// instances that received such an answer 2 and 5 s before, and those in flight when the
+// server ends are cut off.
 func TestLeavingServerGetsNoRequestsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -22,9 +23,9 @@
 		sent := monotime.Now()
 		f.Heard("a", servers.Notice{Leaving: true}, sent, sent.Add(100*time.Millisecond))
 		if got := ready(f); !slices.Equal(got, []string{"b"}) {
-			t.Error("at the instance that it told:", got)
+			t.Error("at the instance that received its notice:", got)
 		}
-		// An answer that was written before it began to leave is read late.
+		// An answer that was written before the server began to leave is read late.
 		f.Heard("a", servers.Notice{}, sent, monotime.Now())
 		if got := ready(f); !slices.Equal(got, []string{"b"}) {
 			t.Error("after a late answer:", got)
@@ -36,9 +37,9 @@
 	})
 }
 
-// A peer has read a newer entry of a server than the instance that the server told that
-// it leaves. The word of the older entry counts all the same: no later entry of an
-// incarnation takes it back.
+// A peer has read a newer entry of a server than the instance that received the server's
+// notice of leaving. The notice must still count at the peer: no later entry of an
+// incarnation withdraws it.
 func TestAnOlderEntryThatLeavesCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -52,7 +53,7 @@
 	})
 }
 
-// leavingPair returns two instances that know servers a and b; the second hears the news
+// leavingPair returns two instances with servers a and b; the second receives the updates
 // of the first.
 func leavingPair() (f, peer *fleet) {
 	f, _, _ = newFleet()
@@ -66,11 +67,12 @@
 	return f, peer
 }
 
-// deliverUpdatesTo has an instance hear what another one tells of servers and evacuations.
+// deliverUpdatesTo returns a send function that applies the servers and evacuations of
+// each update at another instance.
 func deliverUpdatesTo(receiver *fleet) func(*wire.RelayNews, monotime.Instant, bool) {
-	p := linkedPeers(receiver, "hearer")
-	return func(news *wire.RelayNews, _ monotime.Instant, _ bool) {
-		receiver.applyEvacuations("peer", decodeEvacuations(news.Evacuations))
-		p.applyServers("peer", news.Servers, servers.Revision(news.ServersListed))
+	p := linkedPeers(receiver, "follower")
+	return func(update *wire.RelayNews, _ monotime.Instant, _ bool) {
+		receiver.applyEvacuations("peer", decodeEvacuations(update.Evacuations))
+		p.applyServers("peer", update.Servers, servers.Revision(update.ServersListed))
 	}
 }
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -20,19 +20,19 @@
 	"basilrudder/internal/servers"
 )
 
-// limitedFleet is a fleet of linked instances before servers of which some name a limit in
-// their answers for a while.
+// limitedFleet is a fleet of linked instances in front of servers of which some advertise
+// a limit in their answers for a while.
 type limitedFleet struct {
 	rng       *rand.Rand
 	instances []*linkedInstance
-	// load is the number of requests a second that all instances get together.
+	// load is the number of requests a second that all instances receive together.
 	load float64
-	// rates are the limits that servers name, by id.
+	// rates holds the limits that servers advertise, by id.
 	rates   map[string]float64
 	limited func(now monotime.Instant) bool
-	// answers are those that are on their way.
+	// answers holds the answers in transit.
 	answers []pendingAnswer
-	// arrivals are the requests that reached each server.
+	// arrivals holds the times of the requests that reached each server.
 	arrivals map[string][]monotime.Instant
 	refused  int
 }
@@ -52,7 +52,8 @@
 	answerTime = 40 * time.Millisecond
 )
 
-// startLimitedFleet starts instances before servers that name these rates, and others.
+// startLimitedFleet starts instances in front of servers that advertise the given rates,
+// and others without a limit.
 func startLimitedFleet(t *testing.T, ctx context.Context, tasks *errgroup.Group, size int, load float64, rates map[string]float64, sound ...string) *limitedFleet {
 	t.Helper()
 	f := &limitedFleet{
@@ -72,7 +73,7 @@
 	return f
 }
 
-// run has callers ask for a while.
+// run simulates callers for a while.
 func (f *limitedFleet) run(lasts time.Duration) {
 	for end := monotime.Now().Add(lasts); monotime.Now() < end; time.Sleep(stepTime) {
 		f.answer(monotime.Now())
@@ -117,7 +118,7 @@
 	}
 }
 
-// arrivalsBetween counts the arrivals at a server in a span.
+// arrivalsBetween counts the arrivals at a server in an interval.
 func (f *limitedFleet) arrivalsBetween(server string, from, to monotime.Instant) int {
 	n := 0
 	for _, at := range f.arrivals[server] {
@@ -128,7 +129,8 @@
 	return n
 }
 
-// maxArrivals is the largest number of arrivals at a server in a span of a length within another.
+// maxArrivals returns the maximum number of arrivals at a server in any span of a length
+// within an interval.
 func (f *limitedFleet) maxArrivals(server string, length time.Duration, from, to monotime.Instant) int {
 	out := 0
 	for _, at := range f.arrivals[server] {
@@ -139,11 +141,10 @@
 	return out
 }
 
-// A server names in its answers how many requests a second it takes of all
-// instances together, and callers' requests go on to reach it from all of them as
-// before: 23 in 4 s where it had said 1.7 a second. The header of the answers was read
-// nowhere: arrivals did not change when it was first named, at any instance, and no
-// instance logged a thing.
+// A server advertises in its answers how many requests a second it accepts from all
+// instances together. The fleet must keep to that rate, without dropping far below it,
+// and return to the full rate after the limit ends. When instances ignored the limit, 23
+// requests reached the server in 4 s where it had advertised 1.7 a second.
 func TestLimitedServerGetsItsAdvertisedRate(t *testing.T) {
 	const (
 		learnTime = 3 * time.Second
@@ -169,23 +170,23 @@
 				if most := f.maxArrivals("limited", span, from, ended); float64(most) > allowed {
 					t.Errorf("%d requests in %v, allowed %v", most, span, allowed)
 				}
-				if got, says := f.arrivalsBetween("limited", from, ended), rate*(lasts-learnTime).Seconds(); float64(got) < says/2-1 {
-					t.Errorf("it got %d requests of the %.0f that it takes", got, says)
+				if got, advertised := f.arrivalsBetween("limited", from, ended), rate*(lasts-learnTime).Seconds(); float64(got) < advertised/2-1 {
+					t.Errorf("it got %d requests of the %.0f that it takes", got, advertised)
 				}
 				if got := f.arrivalsBetween("limited", ended.Add(7*time.Second), ended.Add(12*time.Second)); got < 5*load/4 {
 					t.Errorf("%d of %d requests in the seconds after its limit", got, 5*load)
 				}
 				if f.refused > 0 {
-					t.Errorf("%d requests refused beside a server that has room", f.refused)
+					t.Errorf("%d requests refused beside a server that has free capacity", f.refused)
 				}
 			})
 		})
 	}
 }
 
-// Four of six servers name limits before a fleet in which hubs pass news on, and one
-// instance after the other is replaced by a process that knows nothing. Each server gets
-// what it says it takes, and callers are served by the others.
+// Four of six servers advertise limits to a fleet in which hubs pass updates on, and one
+// instance after the other is replaced by a process without state. Each server must get
+// the rate that it advertises, and the other servers must serve the remaining callers.
 func TestManyLimitedServersBeforeALargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -206,8 +207,8 @@
 			if most, allowed := f.maxArrivals(server, span, from, monotime.Now()), 1.5*rate*span.Seconds()+5; float64(most) > allowed {
 				t.Errorf("%s: %d requests in %v, allowed %v", server, most, span, allowed)
 			}
-			if got, says := f.arrivalsBetween(server, from, monotime.Now()), rate*21; float64(got) < says/2-1 {
-				t.Errorf("%s got %d requests of the %.0f that it takes", server, got, says)
+			if got, advertised := f.arrivalsBetween(server, from, monotime.Now()), rate*21; float64(got) < advertised/2-1 {
+				t.Errorf("%s got %d requests of the %.0f that it takes", server, got, advertised)
 			}
 		}
 		if f.refused > 0 {
@@ -216,7 +217,8 @@
 	})
 }
 
-// forget has an instance know nothing of limits, as after a start, until an answer tells it.
+// forget removes an instance's record of limits, as after a start, until an answer
+// restores it.
 func (f *limitedFleet) forget(i *linkedInstance) {
 	for server := range f.rates {
 		i.fleet.changeServers("start", func(r *servers.Registry, now monotime.Instant) []string {
@@ -226,9 +228,9 @@
 	}
 }
 
-// An instance starts while a server names a limit, and others hear of the server's limit
-// before its entry. Told by a peer of all servers, it keeps to the limit with its first
-// request, and ends it with the peer's word. Damaged words of a peer change nothing.
+// An instance starts while a server advertises a limit. Once a peer has sent it all
+// servers, it must keep to the limit from its first request on, and drop the limit when
+// the peer reports its end. Damaged limits of a peer must change nothing.
 func TestALimitIsLearnedFromPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -254,7 +256,7 @@
 		damaged[0].Rate, damaged[0].LimitAge, damaged[0].Limited = 0, math.MaxInt, false
 		p.applyServers("peer", damaged, 0)
 		if got := f.limitedServers(); len(got) != 1 {
-			t.Error("after damaged words", got)
+			t.Error("after damaged limits", got)
 		}
 
 		sent := monotime.Now()
@@ -267,10 +269,9 @@
 	})
 }
 
-// A server turns a request away and says for how long it wants nothing from this
-// instance. Callers' requests went on to reach it, were turned away too and had to come
-// back: the time was only passed on to the caller whose request it was. Other instances
-// may send to it meanwhile.
+// A server refuses a request and names a time for which it accepts nothing from this
+// instance. The instance must send it nothing in that time: requests would be refused
+// too, and their callers would have to retry. Other instances may send to it meanwhile.
 func TestPausedServerGetsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -281,23 +282,24 @@
 		f.Heard("a", servers.Notice{Pause: time.Second}, now, now)
 		f.updates.flush()
 		if _, taken := placeFor(f, 2800*time.Millisecond); taken["a"] > 0 || taken["b"] == 0 {
-			t.Error("while it wants nothing:", taken)
+			t.Error("while it is paused:", taken)
 		}
 		if _, taken := placeFor(peer, 100*time.Millisecond); taken["a"] == 0 {
 			t.Error("at a peer:", taken)
 		}
 		f.Heard("b", servers.Notice{Pause: time.Second}, now, monotime.Now())
 		if refused, _ := placeFor(f, 50*time.Millisecond); refused != placement.AllBounded {
-			t.Error("with nobody left:", refused)
+			t.Error("with all servers paused:", refused)
 		}
 		time.Sleep(200 * time.Millisecond)
 		if _, taken := placeFor(f, 100*time.Millisecond); taken["a"] == 0 {
-			t.Error("after that time:", taken)
+			t.Error("after the pause:", taken)
 		}
 	})
 }
 
-// placeFor begins a request every 10 ms for a while, and counts them by server.
+// placeFor begins a request every 10 ms for a while. It returns the last refusal and the
+// number of requests by server.
 func placeFor(f *fleet, lasts time.Duration) (last placement.Refusal, taken map[string]int) {
 	taken = make(map[string]int)
 	work := placement.Work{Goal: time.Second, Left: time.Minute}
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// startLinked starts instances that know the first three as seeds; the first is the
-// strongest of all.
+// startLinked starts instances with the first three as seeds, all on machines of the same
+// capacity with fast links.
 func startLinked(t *testing.T, ctx context.Context, tasks *errgroup.Group, size int) []*linkedInstance {
 	t.Helper()
 	passProcessStart()
@@ -58,7 +58,7 @@
 	capacity int
 }
 
-// fastHosts returns machines whose links take no time.
+// fastHosts returns machines whose links have no delay.
 func fastHosts() func(n int) linkedHost {
 	network := narrownet.New()
 	return func(n int) linkedHost {
@@ -67,13 +67,13 @@
 	}
 }
 
-// startLinkedOver starts instances on hosts.
+// startLinkedOver starts instances on the given machines.
 func startLinkedOver(t *testing.T, ctx context.Context, tasks *errgroup.Group, size int, hostOf func(n int) linkedHost) []*linkedInstance {
 	t.Helper()
 	return startLinkedFrom(t, ctx, tasks, 0, size, hostOf)
 }
 
-// startLinkedFrom starts some more instances, from a number on.
+// startLinkedFrom starts further instances, numbered from first on.
 func startLinkedFrom(t *testing.T, ctx context.Context, tasks *errgroup.Group, first, size int, hostOf func(n int) linkedHost) []*linkedInstance {
 	t.Helper()
 	var out []*linkedInstance
@@ -127,13 +127,13 @@
 	time.Sleep(time.Minute) // the HTTP library's servers clean up at their next tick
 }
 
-// The HTTP library starts a clock for the Date header with its first answer, and never
-// ends it. It has to start outside of virtual time.
+// The HTTP library starts a clock for the Date header with its first answer and never
+// stops it. It must start outside of virtual time.
 var _ = new(fasthttp.ResponseHeader).Header()
 
-// Twenty-four instances start, find each other over three seeds, and drop the links
-// that nobody needs then. A dropped link must stay closed: when the other side opened
-// it again at once, small machines did nothing but shake hands, and callers waited.
+// Twenty-four instances start, find each other over three seeds, and drop the links that
+// are no longer needed. A dropped link must stay closed: if the other side reopens it at
+// once, small machines are busy with handshakes, and callers wait.
 func TestLinksOfALargeFleetSettle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -156,7 +156,7 @@
 		for _, i := range fleet {
 			open += len(i.peers.linked())
 			if got := len(i.peers.staying()); got != size-1 {
-				t.Errorf("%s knows %d others", i.fleet.self, got)
+				t.Errorf("%s tracks %d others", i.fleet.self, got)
 			}
 		}
 		if maxOpen := size * 10; open > maxOpen {
@@ -166,8 +166,8 @@
 	})
 }
 
-// Each of twenty-four instances begins runs on a server, and ends them. All others
-// count them for as long as they last, and none afterwards.
+// Each of twenty-four instances begins a run on a server and ends it. All others must
+// count the runs while they last, and none afterwards.
 func TestRunsReachAllInstancesOverHubs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -189,14 +189,14 @@
 		}
 		time.Sleep(60 * time.Millisecond)
 		if least, _ := running(); least != size {
-			t.Errorf("some instance knows %d of %d runs after 60 ms", least, size)
+			t.Errorf("some instance counts %d of %d runs after 60 ms", least, size)
 		}
 		for n, i := range fleet {
 			i.fleet.End(runs[n], monotime.Now())
 		}
 		time.Sleep(60 * time.Millisecond)
 		if _, most := running(); most != 0 {
-			t.Errorf("some instance believes in %d runs that ended", most)
+			t.Errorf("some instance still counts %d runs that ended", most)
 		}
 		stopLinked(t, cancel, &tasks)
 	})
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 )
 
-// listeners are the sockets of an instance.
+// listeners holds the listening sockets of an instance.
 type listeners struct {
 	callers, ready, directory, peers, metrics net.Listener
 }
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// serveUntilDone serves short answers until the context ends.
-func serveUntilDone(ctx context.Context, listener net.Listener, handler fasthttp.RequestHandler) error {
+// serveUntilCancelled serves requests with short answers until the context ends.
+func serveUntilCancelled(ctx context.Context, listener net.Listener, handler fasthttp.RequestHandler) error {
 	server := &fasthttp.Server{
 		Handler: handler, NoDefaultServerHeader: true, NoDefaultDate: true,
 		ReadTimeout: headerTimeout, IdleTimeout: idleTimeout,
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// metrics answers with all counters and histograms as JSON text.
+// metrics answers with all counters and histograms as JSON.
 func (g *Gateway) metrics(ctx *fasthttp.RequestCtx) {
 	vars := new(expvar.Map).Init()
 	vars.Set("relay", g.stats.Vars())
@@ -27,14 +27,14 @@
 	ctx.SetBodyString(vars.String())
 }
 
-// storeMetrics is what the metrics tell of the store.
+// storeMetrics is the state of the store in the metrics.
 type storeMetrics struct {
-	Era             int64 `json:"era"`
-	Revision        int64 `json:"revision"`
-	DoubtfulServers int   `json:"doubtful_servers"`
+	Era                int64 `json:"era"`
+	Revision           int64 `json:"revision"`
+	UnconfirmedServers int   `json:"doubtful_servers"`
 }
 
 func (g *Gateway) storeMetrics() storeMetrics {
-	revision, doubtful := g.fleet.latestRevision()
-	return storeMetrics{Era: revision.Era(), Revision: revision.Number(), DoubtfulServers: doubtful}
+	revision, unconfirmed := g.fleet.latestRevision()
+	return storeMetrics{Era: revision.Era(), Revision: revision.Number(), UnconfirmedServers: unconfirmed}
 }
--- a/internal/gateway/norace_test.go
+++ b/internal/gateway/norace_test.go
@@ -2,5 +2,5 @@
 
 package gateway
 
-// defaultFleetSizes are the fleets over which versions are spread.
+// defaultFleetSizes are the sizes of fleet with which tests of any fleet size run.
 var defaultFleetSizes = []int{8, 60, 100}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -11,8 +11,8 @@
 	"basilrudder/internal/servers"
 )
 
-// Heard implements relay.Fleet. What a server says of itself counts as much as its entry
-// in the store, and for the whole fleet: it is told to the peers.
+// Heard implements relay.Fleet. A server's notice about itself counts as much as its
+// entry in the store, and applies to the whole fleet, so it is sent to the peers.
 func (f *fleet) Heard(server string, notice servers.Notice, sent, now monotime.Instant) {
 	if notice.Pause > 0 {
 		f.pauseServer(server, notice.Pause, now)
@@ -28,8 +28,8 @@
 	})
 }
 
-// pauseServer has a server get nothing from this instance for a while. It is asked of this
-// instance alone, so peers are not told.
+// pauseServer sends a server nothing from this instance for a while. The server asks that
+// of this instance only, so peers are not informed.
 func (f *fleet) pauseServer(server string, lasts time.Duration, now monotime.Instant) {
 	if !f.hasServer(server) {
 		return
@@ -38,7 +38,7 @@
 	f.log.Info("server_paused", zap.String("server", server), zap.Duration("for_ms", lasts))
 }
 
-// limitedServers returns the ids of the servers that name a limit.
+// limitedServers returns the ids of the servers that advertise a limit.
 func (f *fleet) limitedServers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,11 +53,11 @@
 	state.LimitAge = 1 + int(max(0, now.Sub(b.At)).Milliseconds())
 }
 
-// maxLimitAge bounds the age of what a peer says of a limit.
+// maxLimitAge bounds the age of a limit that a peer sent: a damaged age could overflow.
 const maxLimitAge = time.Hour
 
-// decodeLimit reads what a peer says of a limit. Damaged values say nothing: no rate that
-// can't be kept, and no word that would count as newer than those to come.
+// decodeLimit decodes a limit that a peer sent. A damaged value yields no limit: neither
+// a rate that cannot be applied, nor a limit that would count as newer than later ones.
 func decodeLimit(state *wire.RelayServer, now monotime.Instant) servers.Bound {
 	rateValid := state.Rate >= 0 && !math.IsInf(state.Rate, 1)
 	if state.LimitAge <= 0 || !rateValid {
--- a/internal/gateway/outage.go
+++ b/internal/gateway/outage.go
@@ -7,23 +7,23 @@
 	"basilrudder/internal/monotime"
 )
 
-// outageThreshold is how many servers of a service this instance has to find unreachable, one
-// after the other and none reached between, to take that for an outage of the service; all
-// where there are fewer. A crash of a third of the servers looks like that to one request
-// in 240.
+// outageThreshold is the number of servers of a service, or all if there are fewer, that
+// this instance must find unreachable, with none reached in between, for an outage of the
+// service. A crash of a third of the servers looks like an outage to one request in 240.
 const outageThreshold = 5
 
-// outageDetector keeps which services this instance has stopped to reach. It is safe for
+// outageDetector tracks which services this instance can no longer reach. It is safe for
 // concurrent use.
 type outageDetector struct {
-	// failing is the number of services with a streak, so that the others cost nothing.
+	// failing is the number of services with a streak. While it is zero, no lock is
+	// taken.
 	failing atomic.Int64
 
 	mu      sync.Mutex
 	streaks map[string]*streak
 }
 
-// streak is the servers of a service that were found unreachable since one was reached.
+// streak holds the servers of a service found unreachable since one was last reached.
 type streak struct {
 	since   monotime.Instant
 	servers map[string]bool
@@ -31,7 +31,7 @@
 
 func newOutageDetector() *outageDetector { return &outageDetector{streaks: make(map[string]*streak)} }
 
-// recordUnreachable notes that no connection to a server could be made.
+// recordUnreachable records that no connection to a server could be made.
 func (o *outageDetector) recordUnreachable(service, server string, now monotime.Instant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// recordReached notes that a server of a service was recordReached.
+// recordReached records that a server of a service was reached.
 func (o *outageDetector) recordReached(service string) {
 	if o.failing.Load() == 0 {
 		return
@@ -57,8 +57,8 @@
 	o.failing.Store(int64(len(o.streaks)))
 }
 
-// outageSince is when the outage of a service of so many servers began, as this instance alone
-// can tell; false when there is none.
+// outageSince returns when the outage of a service with so many servers began, as
+// observed by this instance alone; false if there is none.
 func (o *outageDetector) outageSince(service string, servers int) (monotime.Instant, bool) {
 	if o.failing.Load() == 0 {
 		return 0, false
--- a/internal/gateway/paces.go
+++ b/internal/gateway/paces.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// paceStatsInterval is the least time between telling the others what was seen of
-	// engines, and evidencePeer what is added to it for each of them. It is some 150
-	// bytes a service, so that an instance receives some 2.5 KB/s of it at most,
-	// whatever the size of the fleet.
+	// paceStatsInterval is the minimum time between two sendings of pace statistics to
+	// the other instances. In a larger fleet it is paceStatsPerPeer for each instance.
+	// The statistics take some 150 bytes a service, so an instance receives some 2.5 KB/s
+	// of them at most, whatever the size of the fleet.
 	paceStatsInterval = time.Second
 	paceStatsPerPeer  = 60 * time.Millisecond
-	// While less than fewSamples samples are known of a service, each evidenceSoon:
-	// after a start of all instances each second without knowledge is one of wrong
-	// choices.
+	// While some service has fewer than fewSamples samples, statistics are sent each
+	// earlyPaceStatsInterval: after a start of all instances, servers are chosen without
+	// them until they arrive.
 	fewSamples             = 100
 	earlyPaceStatsInterval = 200 * time.Millisecond
 )
 
-// sendPaceStats tells the others what this instance has seen of engines, when due.
+// sendPaceStats sends this instance's statistics of engine pace to the others, when due.
 func (g *Gateway) sendPaceStats(now monotime.Instant) {
 	interval := max(paceStatsInterval, time.Duration(g.peers.count())*paceStatsPerPeer)
 	if g.fleet.board.Learned() < fewSamples {
@@ -50,7 +50,7 @@
 	return out
 }
 
-// applyPaceStats believes a peer what it has seen of engines.
+// applyPaceStats applies the statistics of engine pace that a peer sent.
 func (p *peers) applyPaceStats(from string, update *wire.RelayNews) {
 	for _, e := range update.Evidence {
 		stats := pace.Evidence{StepSamples: e.StepSamples, FirstSamples: e.FirstSamples, Sums: e.Sums}
@@ -60,27 +60,27 @@
 	}
 }
 
-// minPaceChange is the share by which what was learned of engines must differ from
-// what was last logged to be logged again.
+// minPaceChange is the share by which the predicted time of a request must differ from
+// that of the pace last logged for a pace to be logged again.
 const minPaceChange = 0.05
 
-// logPaces logs what has been learned of the engines of each service, as it changes.
+// logPaces logs the estimated pace of the engines of each service when it changes.
 func (g *Gateway) logPaces() {
-	for service, learned := range g.fleet.board.Paces() {
-		if !pacesDiffer(g.loggedPaces[service], learned) {
+	for service, current := range g.fleet.board.Paces() {
+		if !pacesDiffer(g.loggedPaces[service], current) {
 			continue
 		}
-		g.loggedPaces[service] = learned
+		g.loggedPaces[service] = current
 		g.cfg.Log.Info("engine_pace", zap.String("service", service),
-			zap.Int64("step_us", learned.Step.Microseconds()), zap.Int64("step_per_run_us", learned.StepPerRun.Microseconds()),
-			zap.Int64("read_1k_us", (1000*learned.ReadToken).Microseconds()),
-			zap.Int64("attention_1m_us", learned.AttentionPerM.Microseconds()),
-			zap.Int64("first_us", learned.First.Microseconds()))
+			zap.Int64("step_us", current.Step.Microseconds()), zap.Int64("step_per_run_us", current.StepPerRun.Microseconds()),
+			zap.Int64("read_1k_us", (1000*current.ReadToken).Microseconds()),
+			zap.Int64("attention_1m_us", current.AttentionPerM.Microseconds()),
+			zap.Int64("first_us", current.First.Microseconds()))
 	}
 }
 
-// pacesDiffer reports whether two paces predict differently for a request of usual size
-// among usual company.
+// pacesDiffer reports whether two paces predict different times for a request of typical
+// size beside a typical number of runs.
 func pacesDiffer(a, b pace.Pace) bool {
 	const unread, prompt, runs, output = 2000, 8000, 20, 200
 	before := float64(a.First + a.Prompt(unread, prompt, runs) + output*a.Plain(runs))
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -16,11 +16,11 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// updateTravelTime is taken off a peer's word for the time it was on its way: several
-// times the usual, of some ms between data centres.
+// updateTravelTime is subtracted from the time of a peer's confirmation for its travel:
+// several times the usual few ms between data centres.
 const updateTravelTime = 100 * time.Millisecond
 
-// peers keeps the links to other instances and takes their news. It implements
+// peers keeps the links to other instances and applies their updates. It implements
 // peer.Handler.
 type peers struct {
 	fleet   *fleet
@@ -28,10 +28,11 @@
 	links   *peer.Links
 	configs *configSync
 
-	// cachesComplete says that what all engines keep is known, from a peer that knew it or from
-	// the engines. What some peer has just heard of a few does not count.
+	// cachesComplete is set once the cache state of all engines is tracked, received from
+	// a peer that had it or read from the engines. The state of a few engines that a peer
+	// has just read does not count.
 	cachesComplete atomic.Bool
-	// cachesReceived says that some peer has told what engines keep. Each answer to a question
+	// cachesReceived is set once any peer has sent cache state. Each answer to a request
 	// for it is as long as all servers and caches together, so peers are asked only until
 	// the first.
 	cachesReceived atomic.Bool
@@ -40,18 +41,18 @@
 	node             *overlay.Node
 	differences      map[string]difference // by peer
 	stateRequestedAt monotime.Instant      // when a peer was last asked for its state
-	loggedRole       role                  // what was last logged
-	updatesLate      bool                  // news come late, as was last logged
-	// refreshPending says that a refresh is due.
+	loggedRole       role                  // role last logged
+	updatesLate      bool                  // updates were late when last logged
+	// refreshPending is set while a refresh is scheduled.
 	refreshPending bool
 }
 
-// refreshDelay is how long changes of what is known are gathered. While a fleet starts
-// each instance hears of each other one by itself, and 360 refreshes of half a
-// millisecond would keep a small machine from its callers for a second.
+// refreshDelay is how long changes of the view are collected. While a fleet starts, each
+// instance learns of the others one by one, and 360 refreshes of half a millisecond would
+// delay the callers of a small machine for a second.
 const refreshDelay = 10 * time.Millisecond
 
-// role is what an instance does for the others.
+// role is what an instance does for the others, and its primary hub.
 type role struct {
 	name, primary string
 }
@@ -91,7 +92,7 @@
 	p.scheduleRefresh()
 }
 
-// needsState reports whether the next peer is to be asked for what it knows.
+// needsState reports whether the next peer is to be asked for its state.
 func (p *peers) needsState() bool { return !p.cachesComplete.Load() && !p.cachesReceived.Load() }
 
 // LinkDown implements peer.Handler.
@@ -102,8 +103,8 @@
 	p.node.LinkDown(id, now)
 	delete(p.differences, id)
 	p.log.Info("peer_lost", zap.String("peer", id), eventlog.Cause(err))
-	// At once, before the links look what to dial: of a link that the peer dropped
-	// because nobody needs it, this side would open another one, for good.
+	// At once, before the links decide what to dial: this side would reopen, for good, a
+	// link that the peer dropped because it is not needed.
 	p.updateWantedLinks(now)
 	p.scheduleRefresh()
 }
@@ -125,7 +126,7 @@
 	}
 }
 
-// scheduleRefresh has a refresh follow; mu is held.
+// scheduleRefresh schedules a refresh. mu is held.
 func (p *peers) scheduleRefresh() {
 	if p.refreshPending {
 		return
@@ -139,8 +140,8 @@
 	})
 }
 
-// refresh does what follows from a change of what is known; mu is held, so that what
-// it sends goes out in the order of the changes.
+// refresh applies what follows from a change of the view. mu is held, so that messages
+// are sent in the order of the changes.
 func (p *peers) refresh(now monotime.Instant) {
 	p.refreshPending = false
 	effects := p.node.Refresh(now)
@@ -162,7 +163,7 @@
 	p.logRole(now)
 }
 
-// updateWantedLinks tells the links which of them are wanted; mu is held.
+// updateWantedLinks sets the links to keep or to open. mu is held.
 func (p *peers) updateWantedLinks(now monotime.Instant) {
 	wanted := p.node.Wanted(now)
 	targets := make([]peer.Target, 0, len(wanted))
@@ -172,7 +173,7 @@
 	p.links.SetWanted(targets)
 }
 
-// logRole logs what this instance does for the others, as it changes.
+// logRole logs this instance's role when it changes.
 func (p *peers) logRole(now monotime.Instant) {
 	current := role{p.node.Role(), p.node.Primary()}
 	if current == p.loggedRole {
@@ -184,7 +185,7 @@
 		zap.Duration("news_age_ms", p.node.Staleness(now)))
 }
 
-// tick does what is due by time alone.
+// tick runs the tasks that depend on time alone.
 func (p *peers) tick(now monotime.Instant) {
 	p.configs.updateLinked(p.linked)
 	p.configs.tick(now)
@@ -198,14 +199,14 @@
 }
 
 const (
-	// lateUpdateAge is the age from which on news count as late: requests are then placed on
-	// engines that have been given some ten others meanwhile. newsFresh is the age at
-	// which they no longer do.
+	// lateUpdateAge is the age from which updates count as late: requests are then placed
+	// on engines that have received some ten others meanwhile. freshUpdateAge is the age
+	// at which they no longer do.
 	lateUpdateAge  = 200 * time.Millisecond
 	freshUpdateAge = 100 * time.Millisecond
 )
 
-// logLateness logs that news come late, and that they no longer do.
+// logLateness logs that updates are late, and that they no longer are.
 func (p *peers) logLateness(now monotime.Instant) {
 	age := p.node.Staleness(now)
 	switch {
@@ -218,7 +219,7 @@
 	}
 }
 
-// updateMetrics is what an operator asks about the news of other instances.
+// updateMetrics is the state of updates of other instances in the metrics.
 type updateMetrics struct {
 	Role      string `json:"role"`
 	Hub       string `json:"hub"`
@@ -228,7 +229,7 @@
 	Missed    int    `json:"missed"`
 }
 
-// metrics returns what is known of the news now, for metrics.
+// metrics returns the current state of updates.
 func (p *peers) metrics() updateMetrics {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -238,28 +239,29 @@
 	}
 }
 
-// batchDelay is how long news are gathered before they are sent.
+// batchDelay returns how long updates are collected before they are sent.
 func (p *peers) batchDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Gather()
 }
 
-// due reports whether peers are to be told something although nothing happened.
+// due reports whether a status is to be sent to peers although there is no update.
 func (p *peers) due() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Due(monotime.Now())
 }
 
-// staleness is about how long after a choice of another instance it is known here.
+// staleness returns about how long a choice of another instance takes to be recorded
+// here.
 func (p *peers) staleness() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Staleness(monotime.Now())
 }
 
-// broadcast sends own news and those held for others.
+// broadcast sends an update of this instance and those held for others.
 func (p *peers) broadcast(own *wire.RelayNews, since monotime.Instant, urgent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -268,7 +270,7 @@
 	}
 }
 
-// leave has other instances take over what this one does for them.
+// leave hands over to other instances what this one does for them.
 func (p *peers) leave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -282,7 +284,7 @@
 	return p.node.Linked()
 }
 
-// setSeeds replaces the addresses to start from.
+// setSeeds replaces the seed addresses.
 func (p *peers) setSeeds(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -290,7 +292,7 @@
 	p.refresh(monotime.Now())
 }
 
-// routeMembers returns the instances that can be reached and this one.
+// routeMembers returns this instance and those that can be reached.
 func (p *peers) routeMembers() []route.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -301,35 +303,36 @@
 	return out
 }
 
-// rank returns this instance's place among those that can be reached in an order that
-// all of them agree on, and how many they are.
+// rank returns this instance's rank among those that can be reached, in an order that all
+// of them agree on, and how many they are.
 func (p *peers) rank() (place, of int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Rank()
 }
 
-// hasHub reports whether this instance hasHub all news over a hub.
+// hasHub reports whether this instance receives all updates over a hub.
 func (p *peers) hasHub() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Primary() != ""
 }
 
-// count returns the number of instances that can be reached or could be lately, this
-// one among them.
+// count returns the number of instances that can be reached or could be recently,
+// including this one.
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Known()
 }
 
-// staying returns the instances that can be reached and do not leave, by id.
+// staying returns the other instances that can be reached and do not leave, in order of
+// id.
 func (p *peers) staying() []wire.RelayMember {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Staying()
 }
 
-// configVersion of the configuration in force, or 0.
+// configVersion returns the version of the configuration in force, or 0.
 func (p *peers) configVersion() int { return int(p.fleet.configVersion()) }
--- a/internal/gateway/periodic.go
+++ b/internal/gateway/periodic.go
@@ -12,8 +12,8 @@
 	"basilrudder/internal/servers"
 )
 
-// drain leaves the fleet: callers are sent elsewhere, and what is in flight is
-// served for as long as the grace allows.
+// drain leaves the fleet: callers are sent elsewhere, and requests in flight are served
+// for as long as the grace period allows.
 func (g *Gateway) drain() {
 	began := monotime.Now()
 	g.leaving.Store(true)
@@ -32,7 +32,7 @@
 	}
 }
 
-// runPeriodic does what is due by time alone.
+// runPeriodic runs the tasks that depend on time alone.
 func (g *Gateway) runPeriodic(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -62,8 +62,9 @@
 	}
 }
 
-// checkIsolation notices that this instance hears neither the store nor a peer:
-// it is likely cut off from servers too, and callers are better off elsewhere.
+// checkIsolation marks the instance as isolated if it has neither an answer of the store
+// nor a linked peer: it is probably disconnected from servers too, and callers are better
+// served elsewhere.
 func (g *Gateway) checkIsolation() {
 	silent := monotime.Now().Sub(monotime.Instant(g.fleet.confirmedByStore.Load()))
 	isolated := silent > isolatedAfter && len(g.peers.linked()) == 0 && g.peers.count() > 1
@@ -72,7 +73,7 @@
 	}
 }
 
-// Reload has the settings read again soon. It does not wait.
+// Reload requests that the settings be read again soon. It does not wait.
 func (g *Gateway) Reload() {
 	select {
 	case g.reload <- struct{}{}:
@@ -80,7 +81,8 @@
 	}
 }
 
-// reloadSettings reads the settings again and takes what may change while running.
+// reloadSettings reads the settings again and applies those that may change while
+// running.
 func (g *Gateway) reloadSettings() {
 	if g.cfg.Reload == nil {
 		return
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -55,8 +55,9 @@
 	return target, placement.Chosen
 }
 
-// Serving implements relay.Fleet. In an outage, what others began before it or while its
-// news were on their way shows nothing: callers would be told to come back into it.
+// Serving implements relay.Fleet. In an outage, runs that others began before it, or
+// whose updates were in transit when it began, are no sign that a server is reachable:
+// callers would be told to retry during the outage.
 func (f *fleet) Serving(service string, now monotime.Instant) bool {
 	f.mu.Lock()
 	list := f.byService[service]
@@ -68,7 +69,7 @@
 	return f.throttle.InUse(ids(list), cutoff, now)
 }
 
-// ids lists those of servers.
+// ids yields the ids of servers.
 func ids(list []servers.Server) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, s := range list {
@@ -79,7 +80,7 @@
 	}
 }
 
-// find returns the server of an id, by which the list is sorted.
+// find returns the server with an id. The list is sorted by id.
 func find(list []servers.Server, id string) (servers.Server, bool) {
 	i, ok := slices.BinarySearchFunc(list, id, func(s servers.Server, id string) int { return strings.Compare(s.ID, id) })
 	if !ok {
@@ -88,8 +89,8 @@
 	return list[i], true
 }
 
-// candidates returns the servers of a list that a request may go to now, and whether
-// some are left out because they have got what they bear.
+// candidates returns the servers of a list that a request may go to now, and whether some
+// are left out because they are at their limit.
 func (f *fleet) candidates(list []servers.Server, service *routing.Service, work *placement.Work, excluded map[string]bool, now monotime.Instant) (out []placement.Candidate, throttled bool) {
 	request := f.limiterRequest(service.Name, work, now)
 	request.Scarce = f.allThrottled(list, request, now)
@@ -106,12 +107,13 @@
 	return out, throttled
 }
 
-// limiterRequest is what the limiter is asked for a request.
+// limiterRequest returns what the limiter is asked for a request.
 func (f *fleet) limiterRequest(service string, work *placement.Work, now monotime.Instant) throttle.Ask {
 	return throttle.Ask{Limit: f.coldLimit(service), Priority: work.Priority, StoreWord: f.serversConfirmedAt(now)}
 }
 
-// coldLimit is what cold servers of a service bear; no bound while none is known.
+// coldLimit returns the limit of cold servers of a service; no limit if none is
+// published.
 func (f *fleet) coldLimit(service string) throttle.Limit {
 	table := f.table.Load()
 	if table == nil {
@@ -137,7 +139,7 @@
 	return out
 }
 
-// allThrottled reports whether each server of a list bears only so much.
+// allThrottled reports whether each server of a list has a limit now.
 func (f *fleet) allThrottled(list []servers.Server, ask throttle.Ask, now monotime.Instant) bool {
 	for _, s := range list {
 		if !f.throttle.Bounded(s.ID, ask, now) {
@@ -147,12 +149,12 @@
 	return true
 }
 
-// minConnections is what an instance may always open to a server: a fleet that
-// grows for a moment must not leave an instance without any.
+// minConnections is the number of connections that an instance may always open to a
+// server: a fleet that grows for a moment must not leave an instance without any.
 const minConnections = 2
 
-// connectionShare is this instance's part of the connections that a server
-// accepts of all instances together.
+// connectionShare returns this instance's share of maxConns, the connections that a
+// server accepts from all instances together; 0 for no limit.
 func (f *fleet) connectionShare(maxConns int) int {
 	if maxConns <= 0 {
 		return 0
--- a/internal/gateway/race_test.go
+++ b/internal/gateway/race_test.go
@@ -2,6 +2,6 @@
 
 package gateway
 
-// defaultFleetSizes are the fleets over which versions are spread. Larger ones are too slow under
-// the race detector; CI runs the test without it too.
+// defaultFleetSizes are the sizes of fleet with which tests of any fleet size run. Larger
+// ones are too slow under the race detector; CI runs the tests without it too.
 var defaultFleetSizes = []int{8, 24}
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -18,8 +18,8 @@
 }
 
 // allow reports whether a request that must stay in some regions may go to a data centre.
-// With none given it may go anywhere. A data centre of which no region is known is in none:
-// a caller who gets a refusal can come back, one whose data left its region can't undo it.
+// A nil list allows all. A data centre without a configured region is in none: a refused
+// caller can retry, but data that has left its region cannot be recalled.
 func (r regions) allow(homes []string, dataCentre string) bool {
 	if homes == nil {
 		return true
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -16,9 +16,10 @@
 
 var twoRegions = regions{"hall": "north", "yard": "south"}
 
-// A customer's certificates must stay in the north. The server there is lost; the caller
-// is refused although one in the south is free, and so is one whose route and customer
-// leave no region in common, or while nobody says where a data centre lies.
+// A customer's data must stay in the north, and the server there is lost. The caller must
+// be refused although a server in the south is free, and so must one whose route and
+// customer have no region in common. A data centre without a configured region gets
+// neither.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	f, _, _ := newFleet()
 	f.regions = twoRegions
@@ -49,8 +50,8 @@
 	}
 }
 
-// The regions come from the settings: an instance that lost them would refuse every
-// request that is bound to one.
+// The regions come from the settings: an instance without them would refuse every request
+// that must stay in one.
 func TestRegionsAreTakenFromTheSettings(t *testing.T) {
 	g, err := New(Config{Log: zap.NewNop(), Settings: &relaysettings.RelaySettings{
 		Places:  []relaysettings.PlaceSettings{{DataCentre: "hall", Region: "north"}, {DataCentre: "yard", Region: "south"}},
@@ -64,7 +65,7 @@
 	}
 }
 
-// Callers of a region are sent to its instances, and elsewhere only when it has none.
+// Callers of a region are sent to its instances, and to others only if it has none.
 func TestTheDirectoryNamesInstancesOfTheCallersRegion(t *testing.T) {
 	f, _, _ := newFleet()
 	f.regions = twoRegions
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -13,7 +13,8 @@
 	"basilrudder/internal/servers"
 )
 
-// incarnationEntry is the entry of a start of engine "a", which keeps its name and address.
+// incarnationEntry returns the entry of an incarnation of engine "a", which keeps its
+// name and address.
 func incarnationEntry(born int64, revision servers.Revision) servers.Server {
 	return servers.Server{
 		ID: servers.Incarnation("a", born), Name: "a", Born: born, Service: "llm",
@@ -30,10 +31,10 @@
 	})
 }
 
-// An engine that kept a caller's prompt drains, stops and starts again under its
-// name. A peer that was cut off then tells of the former start. The next caller's
-// request goes to the new start, which is taken to keep nothing, and peers are
-// told that the former one is gone.
+// An engine that keeps a caller's prompt drains, stops and restarts under its name. A
+// peer that was disconnected then sends the former incarnation. The next request must go
+// to the new incarnation, which counts as keeping nothing, and peers must receive that
+// the former one is gone.
 func TestAServerThatStartsAgainUnderItsNameIsAnother(t *testing.T) {
 	f, _, _ := newFleet()
 	var sent []wire.RelayServer
@@ -48,7 +49,7 @@
 	f.First(run, monotime.Now())
 	f.End(run, monotime.Now())
 	if again, _ := f.Place("llm", work, nil, monotime.Now()); again.Choice.Unread != 0 {
-		t.Fatalf("the engine is not taken to keep the prompt: %+v", again.Choice)
+		t.Fatalf("the engine does not count as keeping the prompt: %+v", again.Choice)
 	}
 	former.Draining, former.Revision = true, 6
 	put(f, fromStore, former)
@@ -65,12 +66,12 @@
 		gone[state.ID] = state.Gone
 	}
 	if diff := cmp.Diff(map[string]bool{"a@1000": true, "a@2000": false}, gone); diff != "" {
-		t.Error("told to peers", diff)
+		t.Error("sent to peers", diff)
 	}
 }
 
-// The entry of one of two servers turns unreadable. Callers of it are sent to the
-// other one, and the server is back with its next good entry.
+// The entry of one of two servers becomes unreadable. Its requests must go to the other
+// server, and the server must be used again with its next valid entry.
 func TestAnUnreadableEntryTakesItsServerOutAlone(t *testing.T) {
 	f, fd, _ := newFleet()
 	f.installConfig(config(1), fromStore)
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -18,7 +18,7 @@
 	"basilrudder/internal/servers"
 )
 
-// fleetSize plays the tests of any size with one more.
+// fleetSize adds a fleet size to the tests of any fleet size.
 var fleetSize = flag.Int("fleet", 0, "number of instances of one more fleet")
 
 func fleetSizes() []int {
@@ -28,7 +28,7 @@
 	return defaultFleetSizes
 }
 
-// memoryStore is a store that many instances read, and that can come back from a copy.
+// memoryStore is a store that many instances read, and that can be restored from a copy.
 type memoryStore struct {
 	mu      sync.Mutex
 	config  *routing.Config
@@ -44,7 +44,7 @@
 	return &memoryStore{config: config(1), entries: make(map[string]servers.Server), changed: make(chan struct{})}
 }
 
-// change runs a change of the store and answers the watches.
+// change applies a change to the store and answers the watches.
 func (s *memoryStore) change(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	s.changed = make(chan struct{})
 }
 
-// put writes an entry; mu is held.
+// put writes an entry. mu is held.
 func (s *memoryStore) put(id string) {
 	s.latest++
 	s.entries[id] = entry(id, s.latest)
@@ -110,10 +110,11 @@
 	return s.config, nil
 }
 
-// Guards against an old view, or reads by all instances at once, when the store is back from a copy.
+// Guards against instances that keep an outdated view, or that all read the store, after
+// it was restored from a copy.
 func TestRestoredStoreIsFollowedSoonAtAnyFleetSize(t *testing.T) {
 	const (
-		limit          = time.Second // to a right view
+		limit          = time.Second // until all views are correct
 		watched        = 4 * time.Second
 		maxReaderCalls = 60 // of the six readers in that time
 		lost, kept     = 5, 20
@@ -165,11 +166,11 @@
 				})
 				last := lastCorrect(fleet, begun, watched, func(f *fleetView) bool { return f.era == 1 && f.uses["new"] && f.uses["lost-0"] })
 				if last > limit {
-					t.Errorf("some instance has no right view after %v", last)
+					t.Errorf("some instance has no correct view after %v", last)
 				}
 				time.Sleep(watched - time.Since(begun))
 				store.change(func() { calls += store.calls })
-				t.Logf("right at all after %v, %d calls to the store in %v", last, calls, watched)
+				t.Logf("correct at all instances after %v, %d calls to the store in %v", last, calls, watched)
 				if maxCalls := maxReaderCalls + 2*size; calls > maxCalls {
 					t.Errorf("%d calls in %v, at most %d wanted", calls, watched, maxCalls)
 				}
@@ -184,7 +185,7 @@
 	}
 }
 
-// fleetView is what an instance believes of the servers.
+// fleetView is an instance's view of the servers.
 type fleetView struct {
 	era  int64
 	uses map[string]bool
@@ -199,7 +200,8 @@
 	return out
 }
 
-// lastCorrect returns how long after an instant the last instance had a right view, or most.
+// lastCorrect returns how long after an instant the last instance had a correct view, or
+// the timeout.
 func lastCorrect(fleet []*linkedInstance, begun time.Time, timeout time.Duration, correct func(*fleetView) bool) time.Duration {
 	const interval = 10 * time.Millisecond
 	for time.Since(begun) < timeout {
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -9,9 +9,9 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Begin implements relay.Fleet. Between the choice of a server and the connection to it
-// other requests may have taken what it bears, or the connection shows that it
-// is back after it was lost.
+// Begin implements relay.Fleet. It checks the limiter again: between the choice of a
+// server and the connection to it, other requests may have used up its capacity, or the
+// connection may show that a lost server has recovered.
 func (f *fleet) Begin(target relay.Target, work placement.Work, now monotime.Instant) (run int, ok bool) {
 	request := f.limiterRequest(target.Service, &work, now)
 	f.throttle.Reached(target.ID, request.Limit, now)
--- a/internal/gateway/serverstate.go
+++ b/internal/gateway/serverstate.go
@@ -9,15 +9,16 @@
 	"basilrudder/internal/servers"
 )
 
-// Sources of a belief, for logs.
+// Origins of a change of server state, as logged.
 const (
 	fromStore = "store"
 	fromTimer = "timer"
-	// fromServer: what the server itself said in an answer.
+	// fromServer marks what a server reported about itself in an answer.
 	fromServer = "server"
 )
 
-// serverState returns what to tell of a server; mu is held.
+// serverState returns the state of a server as sent to peers, or its tombstone; false if
+// the id is not tracked. mu is held.
 func (f *fleet) serverState(id string) (wire.RelayServer, bool) {
 	if revision, gone := f.registry.Gone(id); gone {
 		return wire.RelayServer{ID: id, Gone: true, Revision: int(revision)}, true
@@ -36,8 +37,8 @@
 	return state, true
 }
 
-// allServers returns the state of every server, those that are gone among them,
-// for a peer that is new or has missed something.
+// allServers returns the state of every server and the tombstones of those that are gone.
+// It is sent to a peer that is new or has missed updates.
 func (f *fleet) allServers() []wire.RelayServer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,7 +54,7 @@
 	return out
 }
 
-// hasServer reports whether a server's entry is live.
+// hasServer reports whether the registry holds a live entry of a server.
 func (f *fleet) hasServer(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,7 +62,7 @@
 	return ok
 }
 
-// acceptingServers returns the servers of all services that take requests.
+// acceptingServers returns the servers of all services that accept requests.
 func (f *fleet) acceptingServers() []servers.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,15 +73,17 @@
 	return out
 }
 
-// serverCount returns the number of servers that are known, those of evacuated data
-// centres among them: an instance that may send to none of them still answers callers.
+// serverCount returns the number of servers with a live entry, including those of
+// evacuated data centres: an instance that may send to none of them still answers
+// callers.
 func (f *fleet) serverCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.registry.Len()
 }
 
-// changeServers runs a change of the registry and then tells of what changed.
+// changeServers applies a change to the registry, logs the servers whose state changed,
+// and sends them to the peers unless a peer sent the change.
 func (f *fleet) changeServers(from string, change func(r *servers.Registry, now monotime.Instant) []string) {
 	now := monotime.Now()
 	f.mu.Lock()
@@ -115,7 +118,8 @@
 	}
 }
 
-// recordEraChange notes that the store has come back from a copy, if it has.
+// recordEraChange records and logs that the store was restored from an older copy, if its
+// era changed.
 func (f *fleet) recordEraChange(from string, before, after servers.Revision) {
 	if before == 0 || before.Era() == after.Era() {
 		return
@@ -125,22 +129,23 @@
 		zap.Stringer("revision", after), zap.Stringer("revision_before", before))
 }
 
-// listedRevision returns the revision of the last full list of the store that is known here.
+// listedRevision returns the revision of the last full list of the store that was applied
+// here.
 func (f *fleet) listedRevision() servers.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.registry.Listed()
 }
 
-// latestRevision returns the highest revision of the store heard of, and doubtful the number of
-// servers whose entries are missing and may come back.
+// latestRevision returns the highest revision of the store received, and unconfirmed the
+// number of servers whose entries are missing from the store and may reappear.
 func (f *fleet) latestRevision() (revision servers.Revision, unconfirmed int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.registry.Latest(), f.registry.Doubtful()
 }
 
-// applyServerState tells the model of servers and the limiter of one that changed.
+// applyServerState passes a changed server on to the placement board and the limiter.
 func (f *fleet) applyServerState(state *wire.RelayServer, now monotime.Instant) {
 	if state.Gone {
 		f.board.Forget(state.ID)
@@ -159,7 +164,8 @@
 	}
 }
 
-// rebuildServerLists rebuilds byService and sources for a table, or for none; mu is held.
+// rebuildServerLists rebuilds byService and sources for the services of a table, or for
+// all services if the table is nil. mu is held.
 func (f *fleet) rebuildServerLists(table *routing.Table) {
 	published := func(service string) bool { return table == nil || table.Service(service) != nil }
 	f.byService = make(map[string][]servers.Server)
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -9,12 +9,12 @@
 
 const (
 	settingsSchema = "relaysettings.json"
-	// peerKeyVariable names the environment variable that goes before peers.key.
+	// peerKeyVariable is the environment variable that overrides peers.key.
 	peerKeyVariable = "BASILRUDDER_PEER_KEY"
 )
 
-// LoadSettings reads and checks a settings file (TOML). It returns the settings,
-// or every problem.
+// LoadSettings reads and checks a settings file (TOML). It returns the settings, or every
+// problem found.
 func LoadSettings(path string) (*relaysettings.RelaySettings, schema.Problems) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return ParseSettings(path, data)
 }
 
-// ParseSettings is LoadSettings for a file already read; name stands in problems.
+// ParseSettings is LoadSettings for data already read; name identifies it in problems.
 func ParseSettings(name string, data []byte) (*relaysettings.RelaySettings, schema.Problems) {
 	out := &relaysettings.RelaySettings{}
 	if problems := schema.Decode(settingsSchema, name, data, out); len(problems) > 0 {
--- a/internal/gateway/slowlinks_test.go
+++ b/internal/gateway/slowlinks_test.go
@@ -17,8 +17,8 @@
 
 const megabit = 1e6 / 8 // bytes
 
-// manyRoutes is a configuration in which each version differs from the one before by the
-// time-out of one route.
+// manyRoutes returns a configuration in which each version differs from the one before by
+// the timeout of one route.
 func manyRoutes(version int64, routes int) *routing.Config {
 	out := &routing.Config{
 		Version: version, Services: []routing.Service{{Name: "svc"}}, KeysRequired: true,
@@ -63,7 +63,8 @@
 	return sum
 }
 
-// Guards against working links that are closed, and versions and leaving servers known late, while configurations are large.
+// Guards against working links that are closed as silent, and against versions and
+// leaving servers that reach instances late, while large configurations are sent.
 func TestLargeConfigurationsReachInstancesWithSlowLinks(t *testing.T) {
 	const (
 		fast, slow = 4, 20
@@ -184,14 +185,15 @@
 	}
 }
 
-// rollout tells how a version came to all instances.
+// rollout is how a version reached all instances.
 type rollout struct {
 	last, p99 time.Duration
 	missing   int
-	busiest   int64 // bytes sent and received by the host with most of them
+	busiest   int64 // bytes sent and received by the busiest host
 }
 
-// measureRollout has the first instance read a version, and follows it for a while.
+// measureRollout installs a version at the first instance and follows it until all
+// instances have it or the timeout is over.
 func measureRollout(fleet []*linkedInstance, hosts []*narrownet.Host, config *routing.Config, timeout time.Duration) (out rollout) {
 	const interval = 5 * time.Millisecond
 	before := make([]int64, len(hosts))
--- a/internal/gateway/source.go
+++ b/internal/gateway/source.go
@@ -1,5 +1,5 @@
-// Package gateway is an instance that relays: it follows the store, keeps links
-// to the other instances, and wires the relay to both.
+// Package gateway implements an instance that relays requests: it follows the store,
+// keeps links to the other instances, and connects the relay to both.
 package gateway
 
 import (
@@ -12,34 +12,35 @@
 	"basilrudder/internal/servers"
 )
 
-// ErrHistoryLost says that the store no longer has the changes since a revision, or has
-// begun a new era; everything must be read again.
+// ErrHistoryLost reports that the store no longer has the changes since a revision, or
+// has begun a new era; everything must be read again.
 var ErrHistoryLost = errors.New("gateway: the store's history is lost")
 
-// Changes are what the store published, in no order but by revision.
+// Changes holds what the store published. The order of elements has no meaning; only
+// revisions order them.
 type Changes struct {
 	// Config is the newest configuration among them, or nil.
 	Config *routing.Config
-	// Servers are entries as they were written.
+	// Servers holds the entries as they were written.
 	Servers []servers.Server
-	// Removals are entries that ended.
+	// Removals holds the entries that were removed or expired.
 	Removals []servers.Mark
-	// Invalid are entries that can't be read.
+	// Invalid holds the entries that cannot be read.
 	Invalid []servers.Mark
-	// Evacuations are those that began or, in a watch, ended.
+	// Evacuations holds those that began or, in a watch, ended.
 	Evacuations []servers.Evacuation
-	// Revision up to which these are all changes.
+	// Revision is the revision up to which the changes are complete.
 	Revision servers.Revision
 }
 
-// Source reads the store. Every call is counted there.
+// Source reads the store. The store counts every call.
 type Source interface {
-	// All reads everything: the configuration and every server's entry. Changes
-	// after its Revision may be missing from it or not.
+	// All reads everything: the configuration and every server's entry. Changes after its
+	// Revision may or may not be included.
 	All(ctx context.Context) (*Changes, error)
-	// Watch waits until there are changes after a revision, at most wait. It
-	// fails with ErrHistoryLost when they are not known any more.
+	// Watch waits until there are changes after a revision, for wait at most. It fails
+	// with ErrHistoryLost if the store no longer has them.
 	Watch(ctx context.Context, after servers.Revision, wait time.Duration) (*Changes, error)
-	// Config reads the newest configuration; nil when there is none yet.
+	// Config reads the newest configuration; nil if there is none yet.
 	Config(ctx context.Context) (*routing.Config, error)
 }
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -12,8 +12,8 @@
 	"basilrudder/internal/servers"
 )
 
-// receive takes one of the news in a message. It reports whether the links may have to
-// change for it.
+// receive applies one update of a message. It reports whether the set of links may have
+// to change.
 func (p *peers) receive(from string, update *wire.RelayNews) (changed bool) {
 	now := monotime.Now()
 	p.mu.Lock()
@@ -22,7 +22,8 @@
 		p.mu.Unlock()
 		return receipt.Changed
 	}
-	// With mu held, so that news of one origin that come over two links count in order.
+	// With mu held, so that updates of one origin that arrive over two links are applied
+	// in order.
 	p.applyRuns(receipt.Origin, update, now)
 	if receipt.State != overlay.FeedUnchanged {
 		p.sendRuns(from, receipt.State, now)
@@ -31,7 +32,8 @@
 		p.links.Send(from, &wire.Envelope{News: []wire.RelayNews{{Members: p.node.Alive()}}})
 	}
 	p.mu.Unlock()
-	// Before servers: a process that starts must not send to an evacuated data centre.
+	// Before servers: a process that has just started must not send to an evacuated data
+	// centre.
 	p.fleet.applyEvacuations(receipt.Origin, decodeEvacuations(update.Evacuations))
 	if len(update.Servers) > 0 {
 		p.applyServers(receipt.Origin, update.Servers, servers.Revision(update.ServersListed))
@@ -45,7 +47,7 @@
 	return receipt.Changed
 }
 
-// applyStatus takes what a peer tells this instance alone.
+// applyStatus applies what a peer sent to this instance only.
 func (p *peers) applyStatus(from string, update *wire.RelayNews) {
 	p.compareServers(from, update)
 	switch {
@@ -75,8 +77,8 @@
 	}
 }
 
-// replaceRuns takes all runs of an instance in place of those known: news of it may have
-// been missed while there was no way for them.
+// replaceRuns replaces all recorded runs of an instance: updates of it may have been
+// missed while there was no path for them.
 func (p *peers) replaceRuns(origin string, update *wire.RelayNews, now monotime.Instant) {
 	board := p.fleet.board
 	states := make([]placement.RunState, 0, len(update.Begun))
@@ -91,7 +93,7 @@
 	}
 }
 
-// sendRuns tells a peer the runs that it lacks for a feed that it asked for; mu is held.
+// sendRuns sends a peer the runs that it lacks for a feed that it requested. mu is held.
 func (p *peers) sendRuns(to string, feed overlay.Feed, now monotime.Instant) {
 	runs := p.fleet.board.Runs(now)
 	state := p.node.State(to, feed)
@@ -115,28 +117,29 @@
 }
 
 const (
-	// maxConfirmedMS is how old the store's word may be with a peer whose servers are
-	// compared, in milliseconds.
+	// maxConfirmedMS is how old the store's last confirmation to a peer may be, in
+	// milliseconds, for the servers of the peer to be compared.
 	maxConfirmedMS = 1500
-	// differenceDelay is how long servers may differ: news of a change reach the
-	// instances one after the other.
+	// differenceDelay is how long servers may differ before they are requested: the
+	// update of a change reaches the instances one after the other.
 	differenceDelay = 400 * time.Millisecond
-	// maxDelayDoublings bounds how often that is doubled: an answer is some 30 KB, and while a
-	// link is so slow that news come late the servers differ whatever is asked.
+	// maxDelayDoublings bounds how often that delay is doubled. An answer is some 30 KB,
+	// and while a link is so slow that updates are late, the servers differ whatever is
+	// requested.
 	maxDelayDoublings = 4
 )
 
-// difference is since when the servers of a peer are others than those known here, or
-// when it was last asked for them, and how often it was.
+// difference records since when the servers of a peer differ from those tracked here, or
+// when they were last requested, and how often they were.
 type difference struct {
 	since    monotime.Instant
 	requests int
 }
 
-// compareServers asks a peer for all servers when its own have differed for a
-// while. An instance that does not read the store depends on the news of peers,
-// and news are lost when a link breaks. It would go on sending to a server that
-// left, since nothing tells of it again.
+// compareServers requests all servers of a peer if they have differed from those here for
+// a while. An instance that does not read the store depends on updates of peers, and
+// updates are lost when a link breaks. It would go on sending to a server that left,
+// since no later update reports it again.
 func (p *peers) compareServers(from string, update *wire.RelayNews) {
 	if update.Confirmed == 0 || update.Confirmed > maxConfirmedMS {
 		return
@@ -163,11 +166,12 @@
 	}
 }
 
-// stateRequestInterval is the least time between questions for a peer's whole state. The
-// answers of all peers at once would fill a small machine's link for a second.
+// stateRequestInterval is the minimum time between requests for the whole state of a
+// peer. The answers of all peers at once would fill a small machine's link for a second.
 const stateRequestInterval = 400 * time.Millisecond
 
-// mayRequestState reports whether a peer may be asked for its state now; mu is held.
+// mayRequestState reports whether the state of a peer may be requested now, and records
+// the request. mu is held.
 func (p *peers) mayRequestState(now monotime.Instant) bool {
 	if p.stateRequestedAt != 0 && now.Sub(p.stateRequestedAt) < stateRequestInterval {
 		return false
@@ -176,8 +180,8 @@
 	return true
 }
 
-// sendState tells a peer that asks the evacuations, the servers and, behind whatever else
-// is sent to it, what engines keep of prompts.
+// sendState sends a peer that requested them the evacuations, the servers and, as bulk
+// behind all other messages, the cache states of engines.
 func (p *peers) sendState(to string, caches []wire.RelayCache) {
 	state := p.stateUpdate()
 	if len(state.Evacuations)+len(state.Servers) > 0 {
@@ -196,8 +200,8 @@
 	}
 }
 
-// cacheUpdates returns what engines keep in messages of bounded size. The last one says
-// whether they tell of all engines.
+// cacheUpdates returns cache states in messages of bounded size. The last one tells
+// whether they cover all engines.
 func (p *peers) cacheUpdates(caches []wire.RelayCache) (out []wire.RelayNews) {
 	for _, some := range splitCaches(caches) {
 		out = append(out, wire.RelayNews{Caches: some})
@@ -208,9 +212,9 @@
 	return out
 }
 
-// applyServers believes a peer what the store told it: each instance may be cut
-// off from the store alone. listed is the revision of the full list that is told; 0 for
-// changes.
+// applyServers applies the servers that a peer read from the store or received: any
+// instance may be disconnected from the store alone. listed is the revision of the full
+// list that they are; 0 for changes.
 func (p *peers) applyServers(from string, states []wire.RelayServer, listed servers.Revision) {
 	p.fleet.changeServers(from, func(r *servers.Registry, now monotime.Instant) (ids []string) {
 		present := make(map[string]bool, len(states))
@@ -241,7 +245,7 @@
 	})
 }
 
-// applyConfigStatus takes what a peer tells of the configuration in force there.
+// applyConfigStatus applies a peer's status of the configuration in force there.
 func (p *peers) applyConfigStatus(from string, update *wire.RelayNews) {
 	if update.Confirmed > 0 {
 		age := time.Duration(update.Confirmed-1) * time.Millisecond
--- a/internal/gateway/updates_fuzz_test.go
+++ b/internal/gateway/updates_fuzz_test.go
@@ -11,9 +11,9 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// FuzzNews: whatever a peer's frame says of servers, runs, caches, engines, crashes and
-// configurations, the instance goes on placing requests, and predicts times that are not
-// negative.
+// FuzzNews checks that whatever a peer's frame holds about servers, runs, caches,
+// engines, crashes and configurations, the instance goes on placing requests and predicts
+// no negative times.
 func FuzzNews(f *testing.F) {
 	for _, news := range []wire.RelayNews{
 		{Servers: []wire.RelayServer{{ID: "a@7", Name: "a", Born: 7, Service: "llm", Address: "10.0.0.1:80", Slots: 4, Revision: 3}}},
