--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -25,11 +25,11 @@
 	// With mu held, so that updates of one origin that arrive over two links are applied
 	// in order.
 	p.applyRuns(receipt.Origin, update, now)
-	if receipt.State != overlay.FeedUnchanged {
-		p.sendRuns(from, receipt.State, now)
+	if receipt.RequestedFeed != overlay.FeedUnchanged {
+		p.sendRuns(from, receipt.RequestedFeed, now)
 	}
 	if update.MembersWanted {
-		p.links.Send(from, &wire.Envelope{News: []wire.RelayNews{{Members: p.node.Alive()}}})
+		p.links.Send(from, &wire.Envelope{News: []wire.RelayNews{{Members: p.node.Reachable()}}})
 	}
 	p.mu.Unlock()
 	// Before servers: a process that has just started must not send to an evacuated data
@@ -96,7 +96,7 @@
 // sendRuns sends a peer the runs that it lacks for a feed that it requested. mu is held.
 func (p *peers) sendRuns(to string, feed overlay.Feed, now monotime.Instant) {
 	runs := p.fleet.board.Runs(now)
-	state := p.node.State(to, feed)
+	state := p.node.FeedState(to, feed)
 	for i := range state {
 		update := &state[i]
 		id, ok := p.node.Instance(update.Origin)
--- a/internal/overlay/feed.go
+++ b/internal/overlay/feed.go
@@ -9,153 +9,156 @@
 )
 
 const (
-	// keepAlive is the longest time in which a hub sends nothing to a subscriber or to
-	// another hub. It also tells what is in force each time: an instance that does not
-	// read the store hears over two hubs that its version is the newest, and would read
-	// the store itself if that took longer than some hundred milliseconds.
+	// keepAlive is the longest time for which a hub sends nothing to a subscriber or
+	// another hub. Keep-alives also carry the configuration version in force: an instance
+	// that does not read the store receives over two hubs the confirmation that its
+	// version is the newest, and would read the store itself if that took longer than a
+	// few hundred milliseconds.
 	keepAlive = 100 * time.Millisecond
-	// statusInterval is the longest time in which a peer is not told what this
-	// instance has in force, so that one whose watch of the store went silent notices.
+	// statusInterval is the longest time between two reports to a peer of the
+	// configuration in force here. They let a peer whose watch of the store stopped
+	// responding detect it; with a longer interval it detects that later.
 	statusInterval = 500 * time.Millisecond
-	// linksInterval is how often a hub repeats whom it is linked to although nothing
-	// changed, for instances that missed a change.
+	// linksInterval is how often a hub repeats its links although they have not changed,
+	// for instances that missed a change. It bounds how long they use outdated links.
 	linksInterval = 5 * time.Second
 )
 
-// Frame is what is to be sent to some peers.
+// Frame is a list of updates to send to some peers.
 type Frame struct {
-	To   []string
-	News []wire.RelayNews
+	To      []string
+	Updates []wire.RelayNews
 }
 
-// held is news to be passed on, and since when it is held here.
-type held struct {
-	news wire.RelayNews
-	at   monotime.Instant
+// pendingUpdate is an update to relay and the time at which it was received.
+type pendingUpdate struct {
+	update     wire.RelayNews
+	receivedAt monotime.Instant
 }
 
-// outbox is what this instance is going to tell.
+// outbox holds what this instance is going to send.
 type outbox struct {
-	number int // of its own news
-	// group is news of subscribers, others what came from elsewhere.
-	group, others []held
-	// announce are peers whose links are new.
-	announce []wire.RelayMember
-	// links is what the others were last told of the links, and when.
-	links   []string
-	linksAt monotime.Instant
-	// statusAt and fedAt are when all peers, and those that want news, were last told
-	// what is in force.
-	statusAt, fedAt monotime.Instant
+	lastNumber int // of its own updates
+	// group holds updates from subscribers, others those received from elsewhere.
+	group, others []pendingUpdate
+	// newPeers are the peers whose links are new.
+	newPeers []wire.RelayMember
+	// sentLinks are the links last sent to the other instances, at linksSentAt.
+	sentLinks   []string
+	linksSentAt monotime.Instant
+	// statusSentAt and feedsSentAt are when the configuration in force was last sent to
+	// all peers, and to those that requested a feed.
+	statusSentAt, feedsSentAt monotime.Instant
 }
 
-// Receipt tells what to do with news that were taken.
+// Receipt describes an accepted update and what to do after it.
 type Receipt struct {
-	// Origin is the instance that the news are of.
+	// Origin is the instance that the update is about.
 	Origin string
-	// Direct says that they came over a link to it.
+	// Direct is set if the update came over a link to its origin.
 	Direct bool
-	// Age is how long before they came what they tell of happened.
+	// Age is the time from the event that the update reports to its arrival.
 	Age time.Duration
-	// Changed asks for a Refresh.
+	// Changed requests a call of Refresh.
 	Changed bool
-	// State is the feed whose state the peer is to be sent, since it has just asked for
-	// it; or FeedUnchanged.
-	State Feed
+	// RequestedFeed is the feed whose state must be sent to the peer, which has just
+	// requested it, or FeedUnchanged.
+	RequestedFeed Feed
 }
 
-// Receive takes news from a link. It reports false for those that are to be ignored,
-// because they came before or because their origin is not known.
-func (n *Node) Receive(from string, news *wire.RelayNews, now monotime.Instant) (Receipt, bool) {
+// Receive applies an update from a link. It reports false for an update to ignore,
+// because it was received before or its origin is unknown.
+func (n *Node) Receive(from string, update *wire.RelayNews, now monotime.Instant) (Receipt, bool) {
 	m := n.members[from]
 	if m == nil || !m.linked {
 		return Receipt{}, false
 	}
-	m.heardAt = now
-	if news.SentMS > 0 {
-		m.clock.note(int64(news.SentMS), now)
+	m.receivedAt = now
+	if update.SentMS > 0 {
+		m.clock.observe(int64(update.SentMS), now)
 	}
-	out := Receipt{Origin: from, Direct: true, Age: m.clock.late + milliseconds(news.HeldMS)}
-	if news.Origin == "" {
-		out.Changed = n.learn(news.Members, now)
-		out.Changed = n.takeLeaving(m, news) || out.Changed
-		out.Changed = n.takeNeighbours(m, news) || out.Changed
-		out.State = n.takeAsk(m, Feed(news.Feed), &out.Changed)
+	out := Receipt{Origin: from, Direct: true, Age: m.clock.excessDelay + milliseconds(update.HeldMS)}
+	if update.Origin == "" {
+		out.Changed = n.mergeMembers(update.Members, now)
+		out.Changed = n.mergeLeaving(m, update) || out.Changed
+		out.Changed = n.mergeNeighbours(m, update) || out.Changed
+		out.RequestedFeed = n.setOutFeed(m, Feed(update.Feed), &out.Changed)
 		return out, true
 	}
-	origin := n.incarnations[news.Origin]
+	origin := n.incarnations[update.Origin]
 	if origin == nil {
-		// What came is lost; the members that the peer tells then make the next count.
-		out.Changed = news.Origin != n.self.Incarnation
-		n.unknown = n.unknown || out.Changed
+		// The update is lost. Once the peer has sent its members, the next one counts.
+		out.Changed = update.Origin != n.self.Incarnation
+		n.unknownOrigin = n.unknownOrigin || out.Changed
 		return out, false
 	}
-	if !n.advance(origin, news) {
+	if !n.advance(origin, update) {
 		return out, false
 	}
 	out.Origin, out.Direct = origin.ID, origin == m
-	out.Changed = n.learn(news.Members, now)
-	out.Changed = n.takeLeaving(origin, news) || out.Changed
+	out.Changed = n.mergeMembers(update.Members, now)
+	out.Changed = n.mergeLeaving(origin, update) || out.Changed
 	if !origin.linked {
-		// One with a link tells its neighbours over that, and what others passed on may
-		// be older.
-		out.Changed = n.takeNeighbours(origin, news) || out.Changed
+		// An origin with a link sends its neighbours over that link; relayed ones may be
+		// older.
+		out.Changed = n.mergeNeighbours(origin, update) || out.Changed
 	}
-	if len(news.Begun) > 0 && !news.Whole {
-		n.staleness.note(out.Age, now)
+	if len(update.Begun) > 0 && !update.Whole {
+		n.staleness.observe(out.Age, now)
 	}
-	n.hold(m, news, out.Age, now)
+	n.queueForRelay(m, update, out.Age, now)
 	return out, true
 }
 
-// advance reports whether the news of an origin are newer than those taken. The state
-// of an origin counts once for each number. It is passed on like news: when a hub is
-// lost, so are news that it had not sent yet, and ends among them would leave runs
-// in the minds of all others.
-func (n *Node) advance(origin *member, news *wire.RelayNews) bool {
-	if news.Whole {
-		if news.Number < origin.last || news.Number < origin.whole {
+// advance reports whether an update is newer than those accepted from its origin. A full
+// state is accepted once for each number. It is relayed like any update: a lost hub loses
+// the updates that it had not sent yet, and if ends of runs were among them, all other
+// instances would keep recording those runs.
+func (n *Node) advance(origin *member, update *wire.RelayNews) bool {
+	if update.Whole {
+		if update.Number < origin.lastNumber || update.Number < origin.nextStateNumber {
 			return false
 		}
-		origin.last, origin.whole = news.Number, news.Number+1
+		origin.lastNumber, origin.nextStateNumber = update.Number, update.Number+1
 		return true
 	}
-	if news.Number <= origin.last {
+	if update.Number <= origin.lastNumber {
 		return false
 	}
-	if origin.last > 0 {
-		n.missed += news.Number - origin.last - 1
+	if origin.lastNumber > 0 {
+		n.missedUpdates += update.Number - origin.lastNumber - 1
 	}
-	origin.last = news.Number
+	origin.lastNumber = update.Number
 	return true
 }
 
-func (n *Node) takeLeaving(m *member, news *wire.RelayNews) (changed bool) {
-	changed = news.Leaving && !m.leaving
-	m.leaving = m.leaving || news.Leaving
+func (n *Node) mergeLeaving(m *member, update *wire.RelayNews) (changed bool) {
+	changed = update.Leaving && !m.leaving
+	m.leaving = m.leaving || update.Leaving
 	return changed
 }
 
-func (n *Node) takeNeighbours(m *member, news *wire.RelayNews) (changed bool) {
-	if len(news.Neighbours) == 0 || slices.Equal(m.neighbours, news.Neighbours) {
+func (n *Node) mergeNeighbours(m *member, update *wire.RelayNews) (changed bool) {
+	if len(update.Neighbours) == 0 || slices.Equal(m.neighbours, update.Neighbours) {
 		return false
 	}
-	m.neighbours = news.Neighbours
+	m.neighbours = update.Neighbours
 	return true
 }
 
-// Greeting is what a peer is told first over a new link.
+// Greeting returns the first message to a peer over a new link.
 func (n *Node) Greeting() wire.RelayNews {
-	return wire.RelayNews{Members: n.Alive(), Neighbours: n.out.links, Leaving: n.leaving}
+	return wire.RelayNews{Members: n.Reachable(), Neighbours: n.out.sentLinks, Leaving: n.leaving}
 }
 
-// takeAsk notes what a peer wants, and returns the feed whose state it lacks.
-func (n *Node) takeAsk(m *member, feed Feed, changed *bool) Feed {
-	if feed == FeedUnchanged || feed == m.wants {
+// setOutFeed records the feed that a peer requests, and returns the feed whose state the
+// peer lacks.
+func (n *Node) setOutFeed(m *member, feed Feed, changed *bool) Feed {
+	if feed == FeedUnchanged || feed == m.outFeed {
 		return FeedUnchanged
 	}
-	more := feed > m.wants && feed > FeedNone
-	m.wants = feed
+	more := feed > m.outFeed && feed > FeedNone
+	m.outFeed = feed
 	*changed = true
 	if more {
 		return feed
@@ -163,47 +166,47 @@
 	return FeedUnchanged
 }
 
-// hold keeps news to be passed on, if there is anybody to pass them on to.
-func (n *Node) hold(from *member, news *wire.RelayNews, age time.Duration, now monotime.Instant) {
-	passed := *news
-	passed.HeldMS = int(age / time.Millisecond)
-	passed.SentMS, passed.ConfigVersion, passed.Confirmed, passed.Digest = 0, 0, 0, 0
+// queueForRelay keeps an update for relaying if any peer is to receive it.
+func (n *Node) queueForRelay(from *member, update *wire.RelayNews, age time.Duration, now monotime.Instant) {
+	relayed := *update
+	relayed.HeldMS = int(age / time.Millisecond)
+	relayed.SentMS, relayed.ConfigVersion, relayed.Confirmed, relayed.Digest = 0, 0, 0, 0
 	switch {
-	case from.wants == FeedAll:
-		n.out.group = append(n.out.group, held{passed, now})
-	case n.feeds(FeedAll):
-		n.out.others = append(n.out.others, held{passed, now})
+	case from.outFeed == FeedAll:
+		n.out.group = append(n.out.group, pendingUpdate{relayed, now})
+	case n.hasPeerWithFeed(FeedAll):
+		n.out.others = append(n.out.others, pendingUpdate{relayed, now})
 	}
 }
 
-// feeds reports whether a peer wants that feed.
-func (n *Node) feeds(feed Feed) bool {
+// hasPeerWithFeed reports whether a linked peer requested that feed.
+func (n *Node) hasPeerWithFeed(feed Feed) bool {
 	for _, m := range n.list {
-		if m.linked && m.wants == feed {
+		if m.linked && m.outFeed == feed {
 			return true
 		}
 	}
 	return false
 }
 
-// State returns what a peer that has just asked for a feed lacks of the instances in
-// it: each one's links, and room for the runs of it that are known, which the caller
-// fills in as of now.
-func (n *Node) State(to string, feed Feed) []wire.RelayNews {
-	own := wire.RelayNews{Origin: n.self.Incarnation, Number: n.out.number, Whole: true, Neighbours: n.out.links, Leaving: n.leaving}
+// FeedState returns the state of the instances in a feed, for a peer that has just
+// requested it: the links of each instance, and an entry into which the caller fills the
+// instance's recorded runs as of now.
+func (n *Node) FeedState(to string, feed Feed) []wire.RelayNews {
+	own := wire.RelayNews{Origin: n.self.Incarnation, Number: n.out.lastNumber, Whole: true, Neighbours: n.out.sentLinks, Leaving: n.leaving}
 	out := []wire.RelayNews{own}
 	for _, m := range n.list {
-		inGroup := m.linked && m.wants == FeedAll
-		if !m.alive || m.ID == to || feed == FeedGroup && !inGroup {
+		inGroup := m.linked && m.outFeed == FeedAll
+		if !m.reachable || m.ID == to || feed == FeedGroup && !inGroup {
 			continue
 		}
-		out = append(out, wire.RelayNews{Origin: m.Incarnation, Number: m.last, Whole: true, Neighbours: m.neighbours, Leaving: m.leaving})
+		out = append(out, wire.RelayNews{Origin: m.Incarnation, Number: m.lastNumber, Whole: true, Neighbours: m.neighbours, Leaving: m.leaving})
 	}
 	return out
 }
 
-// Instance returns the id of the instance of an incarnation; false when it is not
-// known.
+// Instance returns the id of the instance of an incarnation, and false if there is no
+// such member.
 func (n *Node) Instance(incarnation string) (id string, ok bool) {
 	if incarnation == n.self.Incarnation {
 		return n.self.ID, true
