--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -23,8 +23,8 @@
 	f.mu.Lock()
 	list, sources := f.byService[service], f.sources[service]
 	f.mu.Unlock()
-	candidates, bounded := f.candidates(list, published, &work, excluded, now)
-	if len(candidates) == 0 && bounded {
+	candidates, throttled := f.candidates(list, published, &work, excluded, now)
+	if len(candidates) == 0 && throttled {
 		return relay.Target{}, placement.AllLimited
 	}
 	for _, s := range sources {
@@ -55,20 +55,21 @@
 	return target, placement.Chosen
 }
 
-// Serving implements relay.Fleet. In an outage, what others began before it or while its
-// news were on their way shows nothing: callers would be told to come back into it.
+// Serving implements relay.Fleet. In an outage, runs that others began before it, or
+// whose updates were in transit when it began, are no sign that a server is reachable:
+// callers would be told to retry during the outage.
 func (f *fleet) Serving(service string, now monotime.Instant) bool {
 	f.mu.Lock()
 	list := f.byService[service]
 	f.mu.Unlock()
-	shown := never
-	if since, out := f.outages.since(service, len(list)); out {
-		shown = since.Add(newsTravel)
+	cutoff := never
+	if since, outage := f.outages.outageSince(service, len(list)); outage {
+		cutoff = since.Add(updateTravelTime)
 	}
-	return f.throttle.InUse(ids(list), shown, now)
+	return f.throttle.InUse(ids(list), cutoff, now)
 }
 
-// ids lists those of servers.
+// ids yields the ids of servers.
 func ids(list []servers.Server) iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for _, s := range list {
@@ -79,7 +80,7 @@
 	}
 }
 
-// find returns the server of an id, by which the list is sorted.
+// find returns the server with an id. The list is sorted by id.
 func find(list []servers.Server, id string) (servers.Server, bool) {
 	i, ok := slices.BinarySearchFunc(list, id, func(s servers.Server, id string) int { return strings.Compare(s.ID, id) })
 	if !ok {
@@ -88,30 +89,31 @@
 	return list[i], true
 }
 
-// candidates returns the servers of a list that a request may go to now, and whether
-// some are left out because they have got what they bear.
-func (f *fleet) candidates(list []servers.Server, service *routing.Service, work *placement.Work, excluded map[string]bool, now monotime.Instant) (out []placement.Candidate, bounded bool) {
-	ask := f.boundAsk(service.Name, work, now)
-	ask.AllLimited = f.allBounded(list, ask, now)
+// candidates returns the servers of a list that a request may go to now, and whether some
+// are left out because they are at their limit.
+func (f *fleet) candidates(list []servers.Server, service *routing.Service, work *placement.Work, excluded map[string]bool, now monotime.Instant) (out []placement.Candidate, throttled bool) {
+	request := f.limiterRequest(service.Name, work, now)
+	request.AllLimited = f.allThrottled(list, request, now)
 	out = make([]placement.Candidate, 0, len(list))
 	for _, s := range list {
 		switch {
 		case excluded[s.ID], !f.regions.allow(work.Homes, s.DataCentre):
-		case !f.throttle.Allows(s.ID, ask, now):
-			bounded = true
+		case !f.throttle.Allows(s.ID, request, now):
+			throttled = true
 		default:
 			out = append(out, candidate(s, service))
 		}
 	}
-	return out, bounded
+	return out, throttled
 }
 
-// boundAsk is what the limiter is asked for a request.
-func (f *fleet) boundAsk(service string, work *placement.Work, now monotime.Instant) throttle.Request {
-	return throttle.Request{ColdLimit: f.coldLimit(service), Priority: work.Priority, StoreConfirmedAt: f.storeWord(now)}
+// limiterRequest returns what the limiter is asked for a request.
+func (f *fleet) limiterRequest(service string, work *placement.Work, now monotime.Instant) throttle.Request {
+	return throttle.Request{ColdLimit: f.coldLimit(service), Priority: work.Priority, StoreConfirmedAt: f.serversConfirmedAt(now)}
 }
 
-// coldLimit is what cold servers of a service bear; no bound while none is known.
+// coldLimit returns the limit of cold servers of a service; no limit if none is
+// published.
 func (f *fleet) coldLimit(service string) throttle.ColdLimit {
 	table := f.table.Load()
 	if table == nil {
@@ -128,17 +130,17 @@
 func (f *fleet) coldServers() []string {
 	out := []string{}
 	now := monotime.Now()
-	word := f.storeWord(now)
-	for _, s := range f.takingRequests() {
-		if f.throttle.Cold(s.ID, word, now) {
+	confirmed := f.serversConfirmedAt(now)
+	for _, s := range f.acceptingServers() {
+		if f.throttle.Cold(s.ID, confirmed, now) {
 			out = append(out, s.ID)
 		}
 	}
 	return out
 }
 
-// allBounded reports whether each server of a list bears only so much.
-func (f *fleet) allBounded(list []servers.Server, ask throttle.Request, now monotime.Instant) bool {
+// allThrottled reports whether each server of a list has a limit now.
+func (f *fleet) allThrottled(list []servers.Server, ask throttle.Request, now monotime.Instant) bool {
 	for _, s := range list {
 		if !f.throttle.Limited(s.ID, ask, now) {
 			return false
@@ -147,17 +149,17 @@
 	return true
 }
 
-// minConnections is what an instance may always open to a server: a fleet that
-// grows for a moment must not leave an instance without any.
+// minConnections is the number of connections that an instance may always open to a
+// server: a fleet that grows for a moment must not leave an instance without any.
 const minConnections = 2
 
-// connectionShare is this instance's part of the connections that a server
-// accepts of all instances together.
-func (f *fleet) connectionShare(most int) int {
-	if most <= 0 {
+// connectionShare returns this instance's share of maxConns, the connections that a
+// server accepts from all instances together; 0 for no limit.
+func (f *fleet) connectionShare(maxConns int) int {
+	if maxConns <= 0 {
 		return 0
 	}
-	return max(minConnections, most/max(1, f.members()))
+	return max(minConnections, maxConns/max(1, f.members()))
 }
 
 func candidate(s servers.Server, service *routing.Service) placement.Candidate {
