--- a/internal/daemon/dispatcher.go
+++ b/internal/daemon/dispatcher.go
@@ -127,7 +127,7 @@
 	if attempt.Resume {
 		err = d.clients.Resume(ctx, target, attempt.ID, attempt.Offset, sink)
 	} else {
-		call := upstream.Generate{RequestID: attempt.ID, Priority: attempt.Priority, Body: h.request.Body}
+		call := upstream.GenerateRequest{RequestID: attempt.ID, Priority: attempt.Priority, Body: h.request.Body}
 		err = d.clients.Generate(ctx, target, call, sink)
 	}
 	if ctx.Err() != nil {
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -131,7 +131,7 @@
 func (o *orderer) call(ctx context.Context, action orders.Action) (engineapi.OrderAnswer, *verdict.Error) {
 	target := targetOf(action.Engine)
 	if action.Kind == orders.Observe {
-		return o.clients.Holds(ctx, target)
+		return o.clients.Holdings(ctx, target)
 	}
 	cat := o.node.Catalog()
 	if !o.node.MayOrder(monotime.Now()) || cat.Revision != uint64(action.Order.Fence) {
--- a/internal/daemon/poll.go
+++ b/internal/daemon/poll.go
@@ -85,7 +85,7 @@
 }
 
 func (p *poller) askLoad(ctx context.Context, target upstream.Target, id string) *verdict.Error {
-	report, err := p.clients.Load(ctx, target)
+	report, err := p.clients.LoadReport(ctx, target)
 	if err == nil {
 		p.node.LoadReport(monotime.Now(), id, report)
 	}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -44,7 +44,7 @@
 		n.finish(now, r, nil)
 		return
 	}
-	r.worst = verdict.Worse(r.worst, err.Verdict)
+	r.worst = verdict.Worst(r.worst, err.Verdict)
 	n.recordDecision(now, r, string(err.Reason), "attempt failed: "+err.Message, 0)
 	switch {
 	case err.Reason == verdict.ReasonCallerGone || err.Reason == verdict.ReasonDraining || r.gone && r.Class.Idempotent:
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -128,7 +128,7 @@
 
 // refuse ends a waiting request at once.
 func (n *Node) refuse(now monotime.Instant, r *request, err *verdict.Error) {
-	err.Verdict = verdict.Worse(err.Verdict, r.worst)
+	err.Verdict = verdict.Worst(err.Verdict, r.worst)
 	n.finish(now, r, err)
 }
 
--- a/internal/relay/flight.go
+++ b/internal/relay/flight.go
@@ -194,7 +194,7 @@
 		if problem == nil {
 			return
 		}
-		f.worst = verdict.Worse(f.worst, problem.Verdict)
+		f.worst = verdict.Worst(f.worst, problem.Verdict)
 		f.note(problem)
 		if f.over() {
 			f.giveUp()
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -17,9 +17,9 @@
 	"basilrudder/internal/upstream"
 )
 
-// quickEngine takes almost no time for a token, so that the client's own cost
+// zeroCostEngine takes almost no time for a token, so that the client's own cost
 // shows.
-func quickEngine() engine.Config {
+func zeroCostEngine() engine.Config {
 	return engine.Config{
 		Engines: []engine.EngineConfig{{Model: enginemodel.Config{
 			Name:              "e0",
@@ -74,7 +74,7 @@
 // BenchmarkGenerate is one whole request of one token: through the client, and
 // read raw from the same stand-in.
 func BenchmarkGenerate(b *testing.B) {
-	_, target := startEngine(b, quickEngine())
+	_, target := startEngine(b, zeroCostEngine())
 	b.Run("client", func(b *testing.B) {
 		client := upstream.New(upstream.Config{})
 		b.ReportAllocs()
@@ -96,7 +96,7 @@
 // BenchmarkStream is one token of a long stream over loopback: through the
 // client, and read raw from the same stand-in.
 func BenchmarkStream(b *testing.B) {
-	_, target := startEngine(b, quickEngine())
+	_, target := startEngine(b, zeroCostEngine())
 	b.Run("client", func(b *testing.B) {
 		client := upstream.New(upstream.Config{})
 		b.ReportAllocs()
@@ -115,17 +115,17 @@
 // step is longer than the reading: one write and one read of the socket each.
 func BenchmarkLoneToken(b *testing.B) {
 	b.Run("client", func(b *testing.B) {
-		ask, target := lonely(b)
-		sink := &pacedSink{ask: ask, left: b.N}
+		ask, target := startTokenPerRequest(b)
+		sink := &pacedSink{requests: ask, remaining: b.N}
 		b.ReportAllocs()
 		ask <- struct{}{}
 		err := upstream.New(upstream.Config{}).Generate(background, target, generate("a", 1), sink)
-		if sink.left > 0 {
+		if sink.remaining > 0 {
 			b.Fatal(err)
 		}
 	})
 	b.Run("raw", func(b *testing.B) {
-		ask, target := lonely(b)
+		ask, target := startTokenPerRequest(b)
 		raw := dialRaw(b, target.Address)
 		_, _ = io.WriteString(raw.conn, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
 		b.ReportAllocs()
@@ -141,15 +141,15 @@
 	})
 }
 
-// lonely starts an upstream that sends one token each time it is asked.
-func lonely(b *testing.B) (chan<- struct{}, upstream.Target) {
+// startTokenPerRequest starts an upstream that sends one token each time it is asked.
+func startTokenPerRequest(b *testing.B) (chan<- struct{}, upstream.Target) {
 	b.Helper()
-	ask := make(chan struct{}, 1)
-	b.Cleanup(func() { close(ask) })
-	_, target := scripted(b, func(conn net.Conn, _ int) bool {
+	requests := make(chan struct{}, 1)
+	b.Cleanup(func() { close(requests) })
+	_, target := startScripted(b, func(conn net.Conn, _ int) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Started: true\r\nTransfer-Encoding: chunked\r\n\r\n")
 		i := 0
-		for range ask {
+		for range requests {
 			event := fmt.Sprintf("id: %d\ndata: {\"offset\":%d,\"text\":\"%s\"}\n\n", i, i, engine.TokenText("a", i))
 			if _, err := fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event); err != nil {
 				return false
@@ -158,38 +158,38 @@
 		}
 		return false
 	})
-	return ask, target
+	return requests, target
 }
 
 // pacedSink asks for the next token when it has got one.
 type pacedSink struct {
-	ask  chan<- struct{}
-	left int
+	requests  chan<- struct{}
+	remaining int
 }
 
 func (s *pacedSink) Token(engineapi.TokenEvent) error {
-	s.left--
-	if s.left == 0 {
+	s.remaining--
+	if s.remaining == 0 {
 		return io.EOF
 	}
-	s.ask <- struct{}{}
+	s.requests <- struct{}{}
 	return nil
 }
 
 // BenchmarkHolds is one question to an engine what it holds, with the bytes
 // that it costs in both directions.
 func BenchmarkHolds(b *testing.B) {
-	cfg := quickEngine()
+	cfg := zeroCostEngine()
 	cfg.Engines[0].Models = []string{"drafting@2026-11"}
 	_, target := startEngine(b, cfg)
 	var bytes atomic.Int64
 	client := upstream.New(upstream.Config{Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, "tcp", address)
-		return &countingConn{Conn: conn, bytes: &bytes}, err
+		return &countingConn{Conn: conn, total: &bytes}, err
 	}})
 	b.ReportAllocs()
 	for range b.N {
-		if _, err := client.Holds(background, target); err != nil {
+		if _, err := client.Holdings(background, target); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -198,17 +198,17 @@
 
 type countingConn struct {
 	net.Conn
-	bytes *atomic.Int64
+	total *atomic.Int64
 }
 
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.bytes.Add(int64(n))
+	c.total.Add(int64(n))
 	return n, err
 }
 
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.bytes.Add(int64(n))
+	c.total.Add(int64(n))
 	return n, err
 }
--- a/internal/upstream/calls.go
+++ b/internal/upstream/calls.go
@@ -18,14 +18,14 @@
 // counts as ended.
 func (c *Client) Cancel(ctx context.Context, target Target, requestID string) *verdict.Error {
 	path := enginehttp.PathStreams + url.PathEscape(requestID)
-	_, err := c.call(ctx, target, request{KindCancel, fasthttp.MethodDelete, path, nil}, nil)
+	_, err := c.controlCall(ctx, target, controlRequest{KindCancel, fasthttp.MethodDelete, path, nil}, nil)
 	return err
 }
 
-// Load reads an engine's load report, which lags.
-func (c *Client) Load(ctx context.Context, target Target) (engineapi.LoadReport, *verdict.Error) {
+// LoadReport reads an engine's load report, which lags.
+func (c *Client) LoadReport(ctx context.Context, target Target) (engineapi.LoadReport, *verdict.Error) {
 	var report engineapi.LoadReport
-	_, err := c.call(ctx, target, request{KindLoad, fasthttp.MethodGet, enginehttp.PathLoad, nil}, &report)
+	_, err := c.controlCall(ctx, target, controlRequest{KindLoad, fasthttp.MethodGet, enginehttp.PathLoad, nil}, &report)
 	return report, err
 }
 
@@ -34,7 +34,7 @@
 func (c *Client) CacheEvents(ctx context.Context, target Target, after int) (engineapi.CacheEvents, *verdict.Error) {
 	var events engineapi.CacheEvents
 	path := enginehttp.PathCacheEvents + "?" + enginehttp.QueryAfter + "=" + strconv.Itoa(after)
-	_, err := c.call(ctx, target, request{KindCacheEvents, fasthttp.MethodGet, path, nil}, &events)
+	_, err := c.controlCall(ctx, target, controlRequest{KindCacheEvents, fasthttp.MethodGet, path, nil}, &events)
 	return events, err
 }
 
@@ -46,37 +46,37 @@
 	if err != nil {
 		return answer, verdict.Wrap(verdict.NotRun, verdict.ReasonInternal, err)
 	}
-	_, failure := c.call(ctx, target, request{KindOrder, fasthttp.MethodPost, enginehttp.PathOrders, body}, &answer)
+	_, failure := c.controlCall(ctx, target, controlRequest{KindOrder, fasthttp.MethodPost, enginehttp.PathOrders, body}, &answer)
 	return answer, failure
 }
 
-// Holds reads what an engine holds, without an order.
-func (c *Client) Holds(ctx context.Context, target Target) (engineapi.OrderAnswer, *verdict.Error) {
+// Holdings reads what an engine holds, without an order.
+func (c *Client) Holdings(ctx context.Context, target Target) (engineapi.OrderAnswer, *verdict.Error) {
 	var answer engineapi.OrderAnswer
-	_, err := c.call(ctx, target, request{KindHolds, fasthttp.MethodGet, enginehttp.PathOrders, nil}, &answer)
+	_, err := c.controlCall(ctx, target, controlRequest{KindHolds, fasthttp.MethodGet, enginehttp.PathOrders, nil}, &answer)
 	return answer, err
 }
 
-// request is a control call to make.
-type request struct {
+// controlRequest is a control call to make.
+type controlRequest struct {
 	kind   Kind
 	method string
 	path   string
 	body   []byte
 }
 
-// call makes a control call, whose repetition is harmless: orders and cancels
+// controlCall makes a control controlCall, whose repetition is harmless: orders and cancels
 // are idempotent. So one that fails on a connection used before, without a
 // byte of an answer, is made once more on a new connection.
-func (c *Client) call(ctx context.Context, target Target, r request, into any) (int, *verdict.Error) {
-	status, retry, err := c.callOnce(ctx, target, r, into, false)
+func (c *Client) controlCall(ctx context.Context, target Target, r controlRequest, result any) (int, *verdict.Error) {
+	status, retry, err := c.controlCallOnce(ctx, target, r, result, false)
 	if retry && ctx.Err() == nil {
-		status, _, err = c.callOnce(ctx, target, r, into, true)
+		status, _, err = c.controlCallOnce(ctx, target, r, result, true)
 	}
 	return status, err
 }
 
-func (c *Client) callOnce(ctx context.Context, target Target, r request, into any, fresh bool) (status int, retry bool, failure *verdict.Error) {
+func (c *Client) controlCallOnce(ctx context.Context, target Target, r controlRequest, result any, forceDial bool) (status int, retry bool, failure *verdict.Error) {
 	req := newRequest(target, r.method, r.path)
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.Set(enginehttp.HeaderEngine, target.Engine)
@@ -84,7 +84,7 @@
 		req.Header.SetContentType(enginehttp.TypeJSON)
 		req.SetBodyRaw(r.body)
 	}
-	x, failure := c.open(ctx, target, r.kind, fresh)
+	x, failure := c.open(ctx, target, r.kind, forceDial)
 	if failure != nil {
 		return 0, false, failure
 	}
@@ -92,36 +92,36 @@
 		return 0, x.conn.reused && x.conn.received == 0, failure
 	}
 	status = x.resp.StatusCode()
-	if !controlAnswer(status, into) {
-		return status, false, x.refused()
+	if !isExpectedStatus(status, result) {
+		return status, false, x.failStatus()
 	}
-	return status, false, x.decode(into)
+	return status, false, x.decode(result)
 }
 
-// controlAnswer reports whether the status comes with the answer that the call
+// isExpectedStatus reports whether the status comes with the answer that the call
 // wants. 409 carries the answer to an order that was not accepted; 404 to a
 // cancel means that there is nothing to cancel.
-func controlAnswer(status int, into any) bool {
+func isExpectedStatus(status int, result any) bool {
 	switch status {
 	case fasthttp.StatusOK:
 		return true
 	case fasthttp.StatusNoContent, fasthttp.StatusNotFound:
-		return into == nil
+		return result == nil
 	case fasthttp.StatusConflict:
-		_, order := into.(*engineapi.OrderAnswer)
-		return order
+		_, isOrder := result.(*engineapi.OrderAnswer)
+		return isOrder
 	default:
 		return false
 	}
 }
 
-func (x *exchange) decode(into any) *verdict.Error {
-	if err := x.readBody(controlLimit); err != nil {
-		return x.failed(err, "read answer")
+func (x *exchange) decode(result any) *verdict.Error {
+	if err := x.readBody(maxControlBytes); err != nil {
+		return x.fail(err, "read answer")
 	}
-	if into != nil {
-		if err := json.Unmarshal(x.resp.Body(), into); err != nil {
-			return x.failed(errors.Wrap(err, "decode"), "read answer")
+	if result != nil {
+		if err := json.Unmarshal(x.resp.Body(), result); err != nil {
+			return x.fail(errors.Wrap(err, "decode"), "read answer")
 		}
 	}
 	x.finish()
--- a/internal/upstream/calls_test.go
+++ b/internal/upstream/calls_test.go
@@ -16,7 +16,7 @@
 func TestLoadAndCacheEvents(t *testing.T) {
 	_, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
-	report, err := client.Load(background, target)
+	report, err := client.LoadReport(background, target)
 	if err != nil || report.Engine != "e0" {
 		t.Errorf("load: %+v, %v", report, err)
 	}
@@ -29,7 +29,7 @@
 // An instance that was paused sends an order of an old revision. A server that
 // checks refuses and tells the number it has seen; one that does not check
 // takes the order, which shows in what it reports to hold.
-func TestStaleOrder(t *testing.T) {
+func TestStaleOrderIsRefusedOnlyWithFencing(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks=%v", checks), func(t *testing.T) {
 			cfg := fastEngine()
@@ -47,7 +47,7 @@
 			if checks {
 				want, fence = []string{"m@2"}, 7
 			}
-			held, err := client.Holds(background, target)
+			held, err := client.Holdings(background, target)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -60,15 +60,15 @@
 
 // The server closes a connection of the pool just when a control call is
 // written to it. Control calls are idempotent, so the call is made once more.
-func TestControlCallIsRepeatedOnce(t *testing.T) {
+func TestControlCallIsRetriedOnce(t *testing.T) {
 	report := `{"engine":"e0","age_ms":1,"running":0,"waiting":0}`
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(report), report)
-	server, target := scripted(t, func(conn net.Conn, request int) bool {
+	server, target := startScripted(t, func(conn net.Conn, request int) bool {
 		return request != 2 && reply(whole)(conn, request)
 	})
 	client := upstream.New(shortConfig())
 	for range 2 {
-		if _, err := client.Load(background, target); err != nil {
+		if _, err := client.LoadReport(background, target); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-func TestServiceAnswerIsPassedOn(t *testing.T) {
-	_, target := scripted(t, reply("HTTP/1.1 418 I'm a teapot\r\nX-Kind: b\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
+func TestServiceAnswerIsForwarded(t *testing.T) {
+	_, target := startScripted(t, reply("HTTP/1.1 418 I'm a teapot\r\nX-Kind: b\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	client := upstream.New(shortConfig())
 	for range 2 {
 		answer, err := client.CallService(background, target, upstream.ServiceCall{RequestID: "a", Method: "POST", Path: "/x?y=1", Body: []byte("z")})
@@ -110,20 +110,20 @@
 		{"not HTTP", "hello\r\n\r\n", verdict.MayHaveRun, verdict.ReasonUpstreamError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, target := scripted(t, func(conn net.Conn, request int) bool {
+			_, target := startScripted(t, func(conn net.Conn, request int) bool {
 				reply(c.answer)(conn, request)
 				return false
 			})
 			cfg := shortConfig()
 			cfg.MaxAnswer = 1000
 			_, err := upstream.New(cfg).CallService(background, target, upstream.ServiceCall{Method: "GET", Path: "/"})
-			wantVerdict(t, err, c.want, c.reason)
+			checkVerdict(t, err, c.want, c.reason)
 		})
 	}
 }
 
-func TestServicePathCannotAddLines(t *testing.T) {
-	server, target := scripted(t, reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+func TestServicePathCannotInjectHeaders(t *testing.T) {
+	server, target := startScripted(t, reply("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	client := upstream.New(shortConfig())
 	for _, call := range []upstream.ServiceCall{
 		{Method: "GET", Path: "/ HTTP/1.1\r\nX-Evil: 1\r\n\r\n"},
@@ -132,7 +132,7 @@
 		{Method: "", Path: "/"},
 	} {
 		_, err := client.CallService(background, target, call)
-		wantVerdict(t, err, verdict.NotRun, verdict.ReasonBadRequest)
+		checkVerdict(t, err, verdict.NotRun, verdict.ReasonBadRequest)
 	}
 	if sent := server.requests.Load(); sent != 0 {
 		t.Errorf("%d requests arrived, want none", sent)
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -29,18 +29,18 @@
 )
 
 const (
-	// headerLimit bounds the header of an answer in bytes.
-	headerLimit = 16 << 10
-	// controlLimit bounds the answers of control calls in bytes.
-	controlLimit = 1 << 20
-	// refusalLimit bounds the body of a refusal in bytes.
-	refusalLimit = 64 << 10
-	// messageLimit bounds what of a refusal's body goes into an error.
-	messageLimit = 200
-	// endTimeout bounds the wait for the end of a body whose content is
+	// maxHeaderBytes bounds the header of an answer in bytes.
+	maxHeaderBytes = 16 << 10
+	// maxControlBytes bounds the answers of control calls in bytes.
+	maxControlBytes = 1 << 20
+	// maxRefusalBytes bounds the body of a refusal in bytes.
+	maxRefusalBytes = 64 << 10
+	// maxMessageBytes bounds what of a refusal's body goes into an error.
+	maxMessageBytes = 200
+	// bodyEndTimeout bounds the wait for the end of a body whose content is
 	// complete; it only decides whether the connection can be used again.
-	endTimeout = 50 * time.Millisecond
-	userAgent  = "basilrudder"
+	bodyEndTimeout = 50 * time.Millisecond
+	userAgent      = "basilrudder"
 )
 
 // Target is where a request goes.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,9 +9,9 @@
 
 const writeBufferSize = 4 << 10
 
-// deadlineSlack is the part of a timeout by which it may fire early, so that
+// deadlineSlackDivisor is the part of a timeout by which it may fire early, so that
 // the deadline is not set again for each token.
-const deadlineSlack = 8
+const deadlineSlackDivisor = 8
 
 // conn is a connection that counts what it has taken of the current request.
 // Only close may be called from another goroutine.
@@ -30,9 +30,9 @@
 	// idleSince is when the connection went into the pool.
 	idleSince time.Time
 
-	// gap is how long each read may wait; 0 while a fixed deadline is in force.
-	gap         time.Duration
-	deadlineSet time.Time
+	// readTimeout is how long each read may wait; 0 while a fixed deadline is in force.
+	readTimeout       time.Duration
+	deadlineRenewedAt time.Time
 }
 
 func (c *Client) dial(ctx context.Context, address string) (*conn, error) {
@@ -47,7 +47,7 @@
 
 func newConn(raw net.Conn, address string) *conn {
 	cn := &conn{Conn: raw, address: address}
-	cn.reader = bufio.NewReaderSize(cn, headerLimit)
+	cn.reader = bufio.NewReaderSize(cn, maxHeaderBytes)
 	cn.writer = bufio.NewWriterSize(cn, writeBufferSize)
 	return cn
 }
@@ -69,35 +69,35 @@
 	return n, err
 }
 
-// setGap sets how long each read from now on may wait. TCP alone would wait on
+// setReadTimeout sets how long each read from now on may wait. TCP alone would wait on
 // a silent connection for minutes.
-func (cn *conn) setGap(gap time.Duration) {
-	if gap != cn.gap {
-		cn.gap = gap
-		cn.deadlineSet = time.Time{}
+func (cn *conn) setReadTimeout(timeout time.Duration) {
+	if timeout != cn.readTimeout {
+		cn.readTimeout = timeout
+		cn.deadlineRenewedAt = time.Time{}
 	}
 }
 
-// setDeadline sets when all reads together must be done.
-func (cn *conn) setDeadline(deadline time.Time) error {
-	cn.gap = 0
+// setFixedDeadline sets when all reads together must be done.
+func (cn *conn) setFixedDeadline(deadline time.Time) error {
+	cn.readTimeout = 0
 	return cn.SetReadDeadline(deadline)
 }
 
 func (cn *conn) renewDeadline() error {
-	if cn.gap == 0 {
+	if cn.readTimeout == 0 {
 		return nil
 	}
 	now := time.Now()
-	if now.Sub(cn.deadlineSet) < cn.gap/deadlineSlack {
+	if now.Sub(cn.deadlineRenewedAt) < cn.readTimeout/deadlineSlackDivisor {
 		return nil
 	}
-	cn.deadlineSet = now
-	return cn.SetReadDeadline(now.Add(cn.gap))
+	cn.deadlineRenewedAt = now
+	return cn.SetReadDeadline(now.Add(cn.readTimeout))
 }
 
-// begin prepares for the next request.
-func (cn *conn) begin() {
+// resetCounts prepares for the next request.
+func (cn *conn) resetCounts() {
 	cn.written = 0
 	cn.received = 0
 }
--- a/internal/upstream/counters.go
+++ b/internal/upstream/counters.go
@@ -76,7 +76,7 @@
 	return string(data)
 }
 
-func (c *callCounters) ended(cn *conn) {
+func (c *callCounters) addBytes(cn *conn) {
 	c.bytesOut.Add(uint64(cn.written))
 	c.bytesIn.Add(uint64(cn.received))
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -26,16 +26,16 @@
 	started bool
 	// resuming says that the request was sent by an earlier exchange.
 	resuming bool
-	// unwatch ends the watch on ctx.
-	unwatch func() bool
+	// stopWatching ends the watch on ctx.
+	stopWatching func() bool
 }
 
-// open connects to the target. fresh asks for a new connection.
-func (c *Client) open(ctx context.Context, target Target, kind Kind, fresh bool) (*exchange, *verdict.Error) {
+// open connects to the target. forceDial asks for a new connection.
+func (c *Client) open(ctx context.Context, target Target, kind Kind, forceDial bool) (*exchange, *verdict.Error) {
 	x := &exchange{client: c, ctx: ctx, target: target, counts: &c.counters.kinds[kind]}
 	x.counts.calls.Add(1)
-	if !fresh {
-		x.conn = c.pool.take(target.Address)
+	if !forceDial {
+		x.conn = c.pool.get(target.Address)
 	}
 	if x.conn == nil {
 		cn, err := c.dial(ctx, target.Address)
@@ -45,11 +45,11 @@
 		}
 		x.conn = cn
 	}
-	x.conn.begin()
+	x.conn.resetCounts()
 	x.resp = fasthttp.AcquireResponse()
 	// A caller that goes away must free its reader at once, not at the next
 	// timeout: closing the connection is what ends a read that waits.
-	x.unwatch = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
+	x.stopWatching = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
 	return x, nil
 }
 
@@ -65,29 +65,29 @@
 // send writes the request and reads the header of the answer.
 func (x *exchange) send(req *fasthttp.Request, timeout time.Duration) *verdict.Error {
 	if err := x.conn.SetWriteDeadline(time.Now().Add(x.client.cfg.WriteTimeout)); err != nil {
-		return x.failed(err, "set deadline")
+		return x.fail(err, "set deadline")
 	}
 	if err := req.Write(x.conn.writer); err != nil {
-		return x.failed(err, "write request")
+		return x.fail(err, "write request")
 	}
 	if err := x.conn.writer.Flush(); err != nil {
-		return x.failed(err, "write request")
+		return x.fail(err, "write request")
 	}
-	if err := x.conn.setDeadline(time.Now().Add(timeout)); err != nil {
-		return x.failed(err, "set deadline")
+	if err := x.conn.setFixedDeadline(time.Now().Add(timeout)); err != nil {
+		return x.fail(err, "set deadline")
 	}
 	if err := x.readHeader(); err != nil {
-		return x.failed(err, "read answer")
+		return x.fail(err, "read answer")
 	}
 	x.started = hasFlag(x.resp, enginehttp.HeaderStarted)
 	return nil
 }
 
-// maxInterim bounds the informational answers before the final one.
-const maxInterim = 3
+// maxInterimAnswers bounds the informational answers before the final one.
+const maxInterimAnswers = 3
 
 func (x *exchange) readHeader() error {
-	for range maxInterim {
+	for range maxInterimAnswers {
 		if err := x.resp.Header.Read(x.conn.reader); err != nil {
 			return err
 		}
@@ -105,10 +105,10 @@
 // finish gives the connection back when the whole answer was read.
 func (x *exchange) finish() {
 	cn := x.conn
-	x.counts.ended(cn)
+	x.counts.addBytes(cn)
 	reusable := !x.resp.ConnectionClose()
 	fasthttp.ReleaseResponse(x.resp)
-	if !x.unwatch() || !reusable {
+	if !x.stopWatching() || !reusable {
 		_ = cn.Close()
 		return
 	}
@@ -117,16 +117,16 @@
 
 // abort closes the connection.
 func (x *exchange) abort() {
-	x.unwatch()
+	x.stopWatching()
 	_ = x.conn.Close()
-	x.counts.ended(x.conn)
+	x.counts.addBytes(x.conn)
 	// The response is left to the collector: its body stream may still refer to
 	// the reader of the connection.
 }
 
-// known returns what is known about the execution of the request when the
+// verdictOnFailure returns what is verdictOnFailure about the execution of the request when the
 // connection fails.
-func (x *exchange) known() verdict.Verdict {
+func (x *exchange) verdictOnFailure() verdict.Verdict {
 	switch {
 	case x.started:
 		return verdict.Ran
@@ -137,29 +137,29 @@
 	}
 }
 
-// failed ends the exchange after an error of the connection.
-func (x *exchange) failed(err error, doing string) *verdict.Error {
+// fail ends the exchange after an error of the connection.
+func (x *exchange) fail(err error, operation string) *verdict.Error {
 	x.counts.errors.Add(1)
-	reason := x.reason(err)
+	reason := x.failureReason(err)
 	if reason == verdict.ReasonUpstreamSilent {
-		x.client.pool.drop(x.target.Address)
+		x.client.pool.closeAddress(x.target.Address)
 	}
 	x.abort()
-	return verdict.Wrap(x.known(), reason, errors.Wrapf(err, "%s: %s", x.target.Server, doing))
+	return verdict.Wrap(x.verdictOnFailure(), reason, errors.Wrapf(err, "%s: %s", x.target.Server, operation))
 }
 
-func (x *exchange) reason(err error) verdict.Reason {
+func (x *exchange) failureReason(err error) verdict.Reason {
 	if x.ctx.Err() != nil {
 		return contextReason(x.ctx)
 	}
-	var timeout interface{ Timeout() bool }
-	if errors.As(err, &timeout) && timeout.Timeout() {
+	var timeoutErr interface{ Timeout() bool }
+	if errors.As(err, &timeoutErr) && timeoutErr.Timeout() {
 		return verdict.ReasonUpstreamSilent
 	}
-	var network *net.OpError
-	lost := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) ||
-		errors.Is(err, io.ErrClosedPipe) || errors.As(err, &network)
-	if lost {
+	var netErr *net.OpError
+	connectionLost := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) ||
+		errors.Is(err, io.ErrClosedPipe) || errors.As(err, &netErr)
+	if connectionLost {
 		return verdict.ReasonUpstreamLost
 	}
 	return verdict.ReasonUpstreamError
@@ -172,27 +172,27 @@
 	return verdict.ReasonCallerGone
 }
 
-// refused turns an answer without success into an error and ends the exchange.
-func (x *exchange) refused() *verdict.Error {
+// failStatus turns an answer without success into an error and ends the exchange.
+func (x *exchange) failStatus() *verdict.Error {
 	x.counts.errors.Add(1)
-	known, reason := x.classify()
-	after := retryAfter(x.resp)
+	v, reason := x.classifyStatus()
+	delay := retryAfter(x.resp)
 	message := x.target.Server + " answered " + strconv.Itoa(x.resp.StatusCode())
-	if err := x.readBody(refusalLimit); err != nil {
+	if err := x.readBody(maxRefusalBytes); err != nil {
 		x.abort()
 	} else {
 		body := x.resp.Body()
-		message += ": " + string(body[:min(len(body), messageLimit)])
+		message += ": " + string(body[:min(len(body), maxMessageBytes)])
 		x.finish()
 	}
-	return verdict.New(known, reason, message).After(after)
+	return verdict.New(v, reason, message).After(delay)
 }
 
-// classify gives the verdict of an answer without success.
+// classifyStatus gives the verdict of an answer without success.
 //
 // Only the upstream itself can say that it did not start a request whose bytes
 // have left; a status alone may have another cause, so it proves nothing.
-func (x *exchange) classify() (verdict.Verdict, verdict.Reason) {
+func (x *exchange) classifyStatus() (verdict.Verdict, verdict.Reason) {
 	status := x.resp.StatusCode()
 	switch {
 	case x.started:
@@ -210,14 +210,14 @@
 
 func retryAfter(resp *fasthttp.Response) time.Duration {
 	seconds, err := strconv.Atoi(string(resp.Header.Peek(enginehttp.HeaderRetryAfter)))
-	if err != nil || seconds < 0 || seconds > maxRetryAfter {
+	if err != nil || seconds < 0 || seconds > maxRetryAfterSeconds {
 		return 0
 	}
 	return time.Duration(seconds) * time.Second
 }
 
-// maxRetryAfter bounds a Retry-After that is believed, in seconds.
-const maxRetryAfter = 3600
+// maxRetryAfterSeconds bounds a Retry-After that is believed, in seconds.
+const maxRetryAfterSeconds = 3600
 
 // readBody reads the rest of an answer that is not streamed.
 func (x *exchange) readBody(limit int) error {
@@ -228,11 +228,11 @@
 	if err := x.resp.ReadBody(x.conn.reader, limit); err != nil {
 		return err
 	}
-	if x.resp.Header.ContentLength() != chunked {
+	if x.resp.Header.ContentLength() != chunkedLength {
 		return nil
 	}
 	return x.resp.Header.ReadTrailer(x.conn.reader)
 }
 
-// chunked is the content length that fasthttp reports for a chunked body.
-const chunked = -1
+// chunkedLength is the content length that fasthttp reports for a chunkedLength body.
+const chunkedLength = -1
--- a/internal/upstream/generate_test.go
+++ b/internal/upstream/generate_test.go
@@ -13,7 +13,7 @@
 	"basilrudder/internal/verdict"
 )
 
-func TestGenerateRelaysTheWholeAnswerOnce(t *testing.T) {
+func TestGenerateDeliversEachTokenOnce(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
 	for _, id := range []string{"a", "b", "c"} {
@@ -21,7 +21,7 @@
 		if err := client.Generate(background, target, generate(id, 30), sink); err != nil {
 			t.Fatal(err)
 		}
-		sink.wantWhole(t, id, 30)
+		sink.checkComplete(t, id, 30)
 	}
 	if runs := len(server.Engine("e0").Runs()); runs != 3 {
 		t.Errorf("%d runs, want 3", runs)
@@ -38,17 +38,17 @@
 	_ = ln.Close()
 	target := upstream.Target{Address: ln.Addr().String(), Server: "s0", Engine: "e0"}
 	err := upstream.New(shortConfig()).Generate(background, target, generate("a", 3), newCollector())
-	wantVerdict(t, err, verdict.NotRun, verdict.ReasonConnect)
+	checkVerdict(t, err, verdict.NotRun, verdict.ReasonConnect)
 }
 
 // failingConn fails the write of a request after some bytes.
 type failingConn struct {
 	net.Conn
-	takes int
+	accepts int
 }
 
 func (c *failingConn) Write(p []byte) (int, error) {
-	n := min(len(p), c.takes)
+	n := min(len(p), c.accepts)
 	if n > 0 {
 		_, _ = c.Conn.Write(p[:n])
 	}
@@ -59,11 +59,11 @@
 // The connection fails while the request is written. If it took no byte, the
 // upstream can't have seen the request; if it took even one, the rest may have
 // been taken by the time of the error, so the honest answer is "may have run".
-func TestWriteFailureDependsOnBytesTaken(t *testing.T) {
+func TestWriteFailureVerdictDependsOnBytesWritten(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		takes int
-		want  verdict.Verdict
+		name    string
+		accepts int
+		want    verdict.Verdict
 	}{
 		{"none", 0, verdict.NotRun},
 		{"one", 1, verdict.MayHaveRun},
@@ -72,12 +72,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			cfg := shortConfig()
 			cfg.Dial = func(context.Context, string) (net.Conn, error) {
-				near, far := net.Pipe()
-				go func() { _, _ = far.Read(make([]byte, 1000)) }()
-				return &failingConn{Conn: near, takes: c.takes}, nil
+				clientEnd, serverEnd := net.Pipe()
+				go func() { _, _ = serverEnd.Read(make([]byte, 1000)) }()
+				return &failingConn{Conn: clientEnd, accepts: c.accepts}, nil
 			}
 			err := upstream.New(cfg).Generate(background, upstream.Target{Server: "s0", Address: "a"}, generate("a", 3), newCollector())
-			wantVerdict(t, err, c.want, verdict.ReasonUpstreamLost)
+			checkVerdict(t, err, c.want, verdict.ReasonUpstreamLost)
 		})
 	}
 }
@@ -87,7 +87,7 @@
 // again, neither on a new connection nor on one that was used before.
 func TestLostAfterWriteMayHaveRunAndIsNotSentAgain(t *testing.T) {
 	whole := stream("data: {\"offset\":0,\"text\":\"x\",\"finish\":\"stop\"}\n\n")
-	server, target := scripted(t, func(conn net.Conn, request int) bool {
+	server, target := startScripted(t, func(conn net.Conn, request int) bool {
 		return request == 1 && reply(whole)(conn, request)
 	})
 	client := upstream.New(shortConfig())
@@ -96,7 +96,7 @@
 	}
 	for _, id := range []string{"on a used connection", "on a new connection"} {
 		err := client.Generate(background, target, generate(id, 1), newCollector())
-		wantVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamLost)
+		checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamLost)
 	}
 	if sent := server.requests.Load(); sent != 3 {
 		t.Errorf("%d requests arrived, want 3", sent)
@@ -114,7 +114,7 @@
 		if err := client.Generate(background, target, generate(id, 3), sink); err != nil {
 			t.Fatal(err)
 		}
-		sink.wantWhole(t, id, 3)
+		sink.checkComplete(t, id, 3)
 		server.Cut()
 	}
 }
@@ -122,7 +122,7 @@
 // A connection of the pool went silent while unused. The request is written
 // to it and nothing comes back: it may have run. The other unused connections
 // to the address are given up as well, so the next request gets through.
-func TestSilentIdleConnectionsAreGivenUp(t *testing.T) {
+func TestUnresponsiveIdleConnectionsAreClosed(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
 	done := make(chan *verdict.Error)
@@ -136,13 +136,13 @@
 	}
 	server.Silence()
 	err := client.Generate(background, target, generate("c", 3), newCollector())
-	wantVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamSilent)
+	checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamSilent)
 	if err := client.Generate(background, target, generate("d", 3), newCollector()); err != nil {
 		t.Errorf("the next request: %v", err)
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestVerdictOfUnsuccessfulAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer string
@@ -157,9 +157,9 @@
 		{"both flags", "503 Service Unavailable\r\nX-Not-Started: true\r\nX-Started: true\r\nRetry-After: 7", verdict.Ran, verdict.ReasonUpstreamError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, target := scripted(t, reply("HTTP/1.1 "+c.answer+"\r\nContent-Length: 2\r\n\r\nno"))
+			_, target := startScripted(t, reply("HTTP/1.1 "+c.answer+"\r\nContent-Length: 2\r\n\r\nno"))
 			err := upstream.New(shortConfig()).Generate(background, target, generate("a", 3), newCollector())
-			wantVerdict(t, err, c.want, c.reason)
+			checkVerdict(t, err, c.want, c.reason)
 			if err.RetryAfter != 7*time.Second {
 				t.Errorf("retry after %v, want 7s", err.RetryAfter)
 			}
@@ -167,11 +167,11 @@
 	}
 }
 
-func TestEngineRefusalIsNoRun(t *testing.T) {
+func TestEngineRefusalIsNotRun(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	server.Engine("e0").SetRefusing(true)
 	err := upstream.New(shortConfig()).Generate(background, target, generate("a", 3), newCollector())
-	wantVerdict(t, err, verdict.NotRun, verdict.ReasonUpstreamRefused)
+	checkVerdict(t, err, verdict.NotRun, verdict.ReasonUpstreamRefused)
 	if runs := len(server.Engine("e0").Runs()); runs != 0 {
 		t.Errorf("%d runs, want none", runs)
 	}
@@ -180,14 +180,14 @@
 // The same request id arrives again, from an instance that did not know
 // better. The engine knows the id and refuses; the verdict is "ran", since it
 // did, and there is still one run.
-func TestDuplicateIDRan(t *testing.T) {
+func TestDuplicateRequestIDIsRan(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
 	if err := client.Generate(background, target, generate("a", 3), newCollector()); err != nil {
 		t.Fatal(err)
 	}
 	err := client.Generate(background, target, generate("a", 3), newCollector())
-	wantVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamError)
+	checkVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamError)
 	if runs := len(server.Engine("e0").Runs()); runs != 1 {
 		t.Errorf("%d runs, want 1", runs)
 	}
@@ -207,16 +207,16 @@
 		cancel()
 	}()
 	err := upstream.New(shortConfig()).Generate(ctx, target, generate("a", 1_000_000), sink)
-	wantVerdict(t, err, verdict.Ran, verdict.ReasonCallerGone)
+	checkVerdict(t, err, verdict.Ran, verdict.ReasonCallerGone)
 	server.Engine("e0").WaitForRun(func(r enginemodel.Run) bool { return r.End == enginemodel.Abandoned })
 }
 
-func TestContextThatHasEndedIsNotRun(t *testing.T) {
+func TestCancelledContextIsNotRun(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	ctx, cancel := context.WithCancel(background)
 	cancel()
 	err := upstream.New(shortConfig()).Generate(ctx, target, generate("a", 3), newCollector())
-	wantVerdict(t, err, verdict.NotRun, verdict.ReasonCallerGone)
+	checkVerdict(t, err, verdict.NotRun, verdict.ReasonCallerGone)
 	if runs := len(server.Engine("e0").Runs()); runs != 0 {
 		t.Errorf("%d runs, want none", runs)
 	}
@@ -232,7 +232,7 @@
 	if err := client.Cancel(background, target, "a"); err != nil {
 		t.Fatal(err)
 	}
-	wantVerdict(t, <-done, verdict.Ran, verdict.ReasonUpstreamLost)
+	checkVerdict(t, <-done, verdict.Ran, verdict.ReasonUpstreamLost)
 	server.Engine("e0").WaitForRun(func(r enginemodel.Run) bool { return r.End == enginemodel.Cancelled })
 	if err := client.Cancel(background, target, "unknown"); err != nil {
 		t.Errorf("cancel of an unknown request: %v", err)
@@ -242,10 +242,10 @@
 func TestSinkErrorEndsTheStream(t *testing.T) {
 	_, target := startEngine(t, fastEngine())
 	sink := newCollector()
-	sink.stop = errors.New("no more")
+	sink.tokenErr = errors.New("no more")
 	err := upstream.New(shortConfig()).Generate(background, target, generate("a", 50), sink)
-	wantVerdict(t, err, verdict.Ran, verdict.ReasonCallerGone)
-	if !errors.Is(err, sink.stop) || len(sink.events) != 1 {
+	checkVerdict(t, err, verdict.Ran, verdict.ReasonCallerGone)
+	if !errors.Is(err, sink.tokenErr) || len(sink.events) != 1 {
 		t.Errorf("error %v after %d tokens", err, len(sink.events))
 	}
 }
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -18,22 +18,22 @@
 	"basilrudder/internal/verdict"
 )
 
-// shortGap makes silence show soon; the tests assert no durations.
-const shortGap = 150 * time.Millisecond
+// shortTimeout makes silence show soon; the tests assert no durations.
+const shortTimeout = 150 * time.Millisecond
 
 func shortConfig() upstream.Config {
 	return upstream.Config{
-		FirstByteTimeout:  shortGap,
+		FirstByteTimeout:  shortTimeout,
 		FirstTokenTimeout: 5 * time.Second,
-		TokenGapTimeout:   shortGap,
+		TokenGapTimeout:   shortTimeout,
 	}
 }
 
-// fastEngine answers soon and beats often enough for shortGap.
+// fastEngine answers soon and beats often enough for shortTimeout.
 func fastEngine() engine.Config {
 	return engine.Config{
 		Engines:   []engine.EngineConfig{{Model: enginemodel.Config{Name: "e0", StepMS: 2}}},
-		Heartbeat: shortGap / 10,
+		Heartbeat: shortTimeout / 10,
 	}
 }
 
@@ -63,17 +63,17 @@
 	return ln
 }
 
-// script serves each connection with a function that gets every request.
-type script struct {
+// scriptedServer serves each connection with a function that gets every request.
+type scriptedServer struct {
 	requests atomic.Int64
 	conns    atomic.Int64
 }
 
-// scripted starts an upstream whose connections are handled by answer. It is
+// startScripted starts an upstream whose connections are handled by answer. It is
 // called for each request and returns false to close the connection.
-func scripted(t testing.TB, answer func(conn net.Conn, request int) bool) (*script, upstream.Target) {
+func startScripted(t testing.TB, answer func(conn net.Conn, request int) bool) (*scriptedServer, upstream.Target) {
 	t.Helper()
-	s := new(script)
+	s := new(scriptedServer)
 	ln := listen(t)
 	t.Cleanup(func() { _ = ln.Close() })
 	go func() {
@@ -89,7 +89,7 @@
 	return s, upstream.Target{Address: ln.Addr().String(), Server: "s0", Engine: "e0"}
 }
 
-func (s *script) serve(conn net.Conn, answer func(net.Conn, int) bool) {
+func (s *scriptedServer) serve(conn net.Conn, answer func(net.Conn, int) bool) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	var req fasthttp.Request
@@ -117,9 +117,9 @@
 
 // collector is a Sink that keeps every token and tells of each.
 type collector struct {
-	events []engineapi.TokenEvent
-	seen   chan int
-	stop   error
+	events   []engineapi.TokenEvent
+	seen     chan int
+	tokenErr error
 }
 
 func newCollector() *collector {
@@ -129,11 +129,11 @@
 func (c *collector) Token(event engineapi.TokenEvent) error {
 	c.events = append(c.events, event)
 	c.seen <- event.Offset
-	return c.stop
+	return c.tokenErr
 }
 
-// wantWhole checks that the answer to a request is whole, in order and its own.
-func (c *collector) wantWhole(t testing.TB, id string, tokens int) {
+// checkComplete checks that the answer to a request is whole, in order and its own.
+func (c *collector) checkComplete(t testing.TB, id string, tokens int) {
 	t.Helper()
 	if len(c.events) != tokens {
 		t.Fatalf("%d tokens, want %d", len(c.events), tokens)
@@ -148,12 +148,12 @@
 	}
 }
 
-func generate(id string, tokens int) upstream.Generate {
+func generate(id string, tokens int) upstream.GenerateRequest {
 	body := fmt.Sprintf(`{"model":"m","max_tokens":%d,"prompt_tokens":10}`, tokens)
-	return upstream.Generate{RequestID: id, Body: []byte(body)}
+	return upstream.GenerateRequest{RequestID: id, Body: []byte(body)}
 }
 
-func wantVerdict(t testing.TB, err *verdict.Error, v verdict.Verdict, reason verdict.Reason) {
+func checkVerdict(t testing.TB, err *verdict.Error, v verdict.Verdict, reason verdict.Reason) {
 	t.Helper()
 	if err == nil {
 		t.Fatalf("no error, want %s (%s)", reason, v)
@@ -165,11 +165,11 @@
 
 var background = context.Background()
 
-// atToken calls do once the token at the offset has come.
-func (c *collector) atToken(offset int, do func()) {
+// runAtToken calls do once the token at the offset has come.
+func (c *collector) runAtToken(offset int, run func()) {
 	for seen := range c.seen {
 		if seen == offset {
-			do()
+			run()
 			return
 		}
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -9,33 +9,33 @@
 
 // pool keeps unused connections by address, the latest used on top.
 type pool struct {
-	mu         *sync.Mutex
-	idle       map[string][]*conn
-	perAddress int
-	timeout    time.Duration
+	mu            *sync.Mutex
+	idle          map[string][]*conn
+	maxPerAddress int
+	idleTimeout   time.Duration
 }
 
-func newPool(perAddress int, timeout time.Duration) pool {
+func newPool(maxPerAddress int, idleTimeout time.Duration) pool {
 	return pool{
-		mu:         new(sync.Mutex),
-		idle:       make(map[string][]*conn),
-		perAddress: perAddress,
-		timeout:    timeout,
+		mu:            new(sync.Mutex),
+		idle:          make(map[string][]*conn),
+		maxPerAddress: maxPerAddress,
+		idleTimeout:   idleTimeout,
 	}
 }
 
-// take returns a connection that looks usable, or nil.
+// get returns a connection that looks usable, or nil.
 //
 // An upstream that restarted has closed its connections; a request written to
 // one of them is lost with the verdict "may have run". Asking the socket first
 // finds all but those closed in the same instant.
-func (p *pool) take(address string) *conn {
+func (p *pool) get(address string) *conn {
 	for {
 		cn := p.pop(address)
 		if cn == nil {
 			return nil
 		}
-		if time.Since(cn.idleSince) < p.timeout && netconn.Quiet(cn.Conn) {
+		if time.Since(cn.idleSince) < p.idleTimeout && netconn.Quiet(cn.Conn) {
 			cn.reused = true
 			return cn
 		}
@@ -64,7 +64,7 @@
 // put keeps a connection, or closes it when it can't be used again.
 func (p *pool) put(cn *conn) {
 	// An old deadline would make the check of the socket fail later.
-	if cn.reader.Buffered() > 0 || cn.setDeadline(time.Time{}) != nil {
+	if cn.reader.Buffered() > 0 || cn.setFixedDeadline(time.Time{}) != nil {
 		_ = cn.Close()
 		return
 	}
@@ -72,7 +72,7 @@
 	p.mu.Lock()
 	conns := p.idle[cn.address]
 	var oldest *conn
-	if len(conns) >= p.perAddress {
+	if len(conns) >= p.maxPerAddress {
 		oldest = conns[0]
 		conns = append(conns[:0], conns[1:]...)
 	}
@@ -83,10 +83,10 @@
 	}
 }
 
-// drop closes the unused connections to an address. One connection that went
+// closeAddress closes the unused connections to an address. One connection that went
 // silent tells that something between the two ends lost its state; the others
 // of the address are likely to be lost as well.
-func (p *pool) drop(address string) {
+func (p *pool) closeAddress(address string) {
 	p.mu.Lock()
 	conns := p.idle[address]
 	delete(p.idle, address)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -9,15 +9,15 @@
 
 func pipeConn(t *testing.T, address string) *conn {
 	t.Helper()
-	near, far := net.Pipe()
-	t.Cleanup(func() { _ = far.Close() })
-	return newConn(near, address)
+	clientEnd, serverEnd := net.Pipe()
+	t.Cleanup(func() { _ = serverEnd.Close() })
+	return newConn(clientEnd, address)
 }
 
 // A connection was last read with a deadline that has passed while it was
 // unused. Checking the socket must not fail for that reason, or no connection
 // would be used twice after a pause longer than a timeout.
-func TestPassedDeadlineDoesNotSpoilAnIdleConnection(t *testing.T) {
+func TestExpiredDeadlineDoesNotInvalidateIdleConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -28,22 +28,22 @@
 		t.Fatal(err)
 	}
 	cn := newConn(raw, "a")
-	if err := cn.setDeadline(time.Now().Add(-time.Second)); err != nil {
+	if err := cn.setFixedDeadline(time.Now().Add(-time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	p := newPool(1, time.Hour)
 	p.put(cn)
-	if got := p.take("a"); got != cn {
+	if got := p.get("a"); got != cn {
 		t.Error("the connection was given up")
 	}
 }
 
-func TestPoolForgetsOldConnections(t *testing.T) {
+func TestPoolDiscardsExpiredConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(2, time.Minute)
 		p.put(pipeConn(t, "a"))
 		time.Sleep(time.Minute)
-		if p.take("a") != nil {
+		if p.get("a") != nil {
 			t.Error("a connection beyond the idle timeout was used")
 		}
 	})
@@ -55,18 +55,18 @@
 	for _, cn := range []*conn{first, second, third} {
 		p.put(cn)
 	}
-	if p.take("a") != third || p.take("a") != second || p.take("a") != nil {
+	if p.get("a") != third || p.get("a") != second || p.get("a") != nil {
 		t.Error("want the latest two, the latest first")
 	}
 	if _, err := first.Write([]byte{0}); err == nil {
 		t.Error("the oldest connection is still open")
 	}
-	if p.take("b") != nil {
+	if p.get("b") != nil {
 		t.Error("a connection of another address")
 	}
 }
 
-func TestPoolClosesAConnectionWithUnreadBytes(t *testing.T) {
+func TestPoolRejectsConnectionWithUnreadBytes(t *testing.T) {
 	cn := newConn(&bytesConn{}, "a")
 	cn.Conn.(*bytesConn).answer.Reset([]byte("unasked"))
 	if _, err := cn.reader.Peek(1); err != nil {
@@ -74,7 +74,7 @@
 	}
 	p := newPool(2, time.Hour)
 	p.put(cn)
-	if p.take("a") != nil {
+	if p.get("a") != nil {
 		t.Error("unread bytes would be taken for the next answer")
 	}
 }
--- a/internal/upstream/resume_test.go
+++ b/internal/upstream/resume_test.go
@@ -12,17 +12,17 @@
 // The connection is reset after some tokens. The run goes on at the engine;
 // resuming from the number of tokens received gives exactly the rest, and the
 // engine ran the request once.
-func TestResumeAfterLossGivesTheExactRest(t *testing.T) {
+func TestResumeDeliversExactlyTheMissingTokens(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
 	sink := newCollector()
-	go sink.atToken(5, server.Cut)
+	go sink.runAtToken(5, server.Cut)
 	err := client.Generate(background, target, generate("a", 200), sink)
-	wantVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamLost)
+	checkVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamLost)
 	if err := client.Resume(background, target, "a", len(sink.events), sink); err != nil {
 		t.Fatal(err)
 	}
-	sink.wantWhole(t, "a", 200)
+	sink.checkComplete(t, "a", 200)
 	if runs := server.Engine("e0").Runs(); len(runs) != 1 || runs[0].End != enginemodel.Completed {
 		t.Errorf("runs: %+v", runs)
 	}
@@ -31,17 +31,17 @@
 // The stream goes silent: the engine goes on, TCP reports nothing, no more
 // bytes come. The gap between tokens exceeds the limit, the client gives up
 // the connection and the rest comes over a new one.
-func TestSilentStreamIsNoticedAndResumed(t *testing.T) {
+func TestUnresponsiveStreamIsDetectedAndResumed(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
 	sink := newCollector()
-	go sink.atToken(5, server.Silence)
+	go sink.runAtToken(5, server.Silence)
 	err := client.Generate(background, target, generate("a", 200), sink)
-	wantVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamSilent)
+	checkVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamSilent)
 	if err := client.Resume(background, target, "a", len(sink.events), sink); err != nil {
 		t.Fatal(err)
 	}
-	sink.wantWhole(t, "a", 200)
+	sink.checkComplete(t, "a", 200)
 }
 
 // The engine crashed and restarted, so it does not know the request any more.
@@ -49,7 +49,7 @@
 func TestResumeOfAnUnknownRequestMayHaveRun(t *testing.T) {
 	_, target := startEngine(t, fastEngine())
 	err := upstream.New(shortConfig()).Resume(background, target, "a", 4, newCollector())
-	wantVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUnknownRequest)
+	checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUnknownRequest)
 }
 
 func TestResumeThatCannotConnectMayHaveRun(t *testing.T) {
@@ -57,13 +57,13 @@
 	_ = ln.Close()
 	target := upstream.Target{Address: ln.Addr().String(), Server: "s0", Engine: "e0"}
 	err := upstream.New(shortConfig()).Resume(background, target, "a", 4, newCollector())
-	wantVerdict(t, err, verdict.MayHaveRun, verdict.ReasonConnect)
+	checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonConnect)
 }
 
 // The engine process crashes in the middle of an answer and all its
 // connections are reset. The caller is told "ran"; the restarted engine does
 // not know the request.
-func TestCrashInTheMiddle(t *testing.T) {
+func TestCrashDuringStreamIsRan(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
 	sink := newCollector()
@@ -71,10 +71,10 @@
 	go func() { done <- client.Generate(background, target, generate("a", 1_000_000), sink) }()
 	<-sink.seen
 	server.Crash()
-	wantVerdict(t, <-done, verdict.Ran, verdict.ReasonUpstreamLost)
+	checkVerdict(t, <-done, verdict.Ran, verdict.ReasonUpstreamLost)
 	server.Restart()
 	err := client.Resume(background, target, "a", len(sink.events), sink)
-	wantVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUnknownRequest)
+	checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUnknownRequest)
 	if text := engine.TokenText("a", 0); sink.events[0].Text != text {
 		t.Errorf("first token %q, want %q", sink.events[0].Text, text)
 	}
@@ -83,7 +83,7 @@
 // The engine resumes earlier than asked, as one that keeps whole blocks may.
 // The receiver has those tokens already and must not get them again.
 func TestResumedStreamMayBeginEarlier(t *testing.T) {
-	_, target := scripted(t, reply(stream("data: {\"offset\":1,\"text\":\"b\"}\n\ndata: {\"offset\":2,\"text\":\"c\"}\n\n"+
+	_, target := startScripted(t, reply(stream("data: {\"offset\":1,\"text\":\"b\"}\n\ndata: {\"offset\":2,\"text\":\"c\"}\n\n"+
 		"data: {\"offset\":3,\"text\":\"d\",\"finish\":\"stop\"}\n\n")))
 	sink := newCollector()
 	if err := upstream.New(shortConfig()).Resume(background, target, "a", 2, sink); err != nil {
@@ -97,10 +97,10 @@
 // A token is missing in the middle. The answer would not be whole, so the
 // stream fails instead of going on.
 func TestMissingTokenFailsTheStream(t *testing.T) {
-	_, target := scripted(t, reply(stream("data: {\"offset\":0,\"text\":\"a\"}\n\ndata: {\"offset\":2,\"text\":\"c\",\"finish\":\"stop\"}\n\n")))
+	_, target := startScripted(t, reply(stream("data: {\"offset\":0,\"text\":\"a\"}\n\ndata: {\"offset\":2,\"text\":\"c\",\"finish\":\"stop\"}\n\n")))
 	sink := newCollector()
 	err := upstream.New(shortConfig()).Generate(background, target, generate("a", 3), sink)
-	wantVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamError)
+	checkVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamError)
 	if len(sink.events) != 1 {
 		t.Errorf("tokens: %+v", sink.events)
 	}
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -38,7 +38,7 @@
 // CallService makes one call to an application server and never repeats it.
 // Any answer but one that says "not started" is the server's answer.
 func (c *Client) CallService(ctx context.Context, target Target, call ServiceCall) (*ServiceAnswer, *verdict.Error) {
-	if !validTarget(call.Method, call.Path) {
+	if !validRequestLine(call.Method, call.Path) {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "method or path is not valid")
 	}
 	timeout := call.Timeout
@@ -58,22 +58,22 @@
 		return nil, err
 	}
 	if hasFlag(x.resp, enginehttp.HeaderNotStarted) {
-		return nil, x.refused()
+		return nil, x.failStatus()
 	}
 	// A server that answers so far has seen the call, even if the rest of the
 	// answer is lost.
 	x.started = x.resp.StatusCode() < fasthttp.StatusInternalServerError
 	x.resp.SkipBody = call.Method == fasthttp.MethodHead
 	if err := x.readBody(c.cfg.MaxAnswer); err != nil {
-		return nil, x.failed(err, "read answer")
+		return nil, x.fail(err, "read answer")
 	}
 	answer := x.serviceAnswer()
 	x.finish()
 	return answer, nil
 }
 
-// validTarget keeps a caller's path from adding lines to the request.
-func validTarget(method, path string) bool {
+// validRequestLine keeps a caller's path from adding lines to the request.
+func validRequestLine(method, path string) bool {
 	visible := func(r rune) bool { return r > ' ' && r < 0x7f }
 	invisible := func(r rune) bool { return !visible(r) }
 	notUpper := func(r rune) bool { return r < 'A' || r > 'Z' }
@@ -87,15 +87,15 @@
 		Body:   append([]byte(nil), x.resp.Body()...),
 	}
 	for name, value := range x.resp.Header.All() {
-		if !hopByHop[string(name)] {
+		if !hopByHopHeaders[string(name)] {
 			answer.Headers = append(answer.Headers, Header{Name: string(name), Value: string(value)})
 		}
 	}
 	return answer
 }
 
-// hopByHop are the headers that belong to the connection, not to the answer.
-var hopByHop = map[string]bool{
+// hopByHopHeaders are the headers that belong to the connection, not to the answer.
+var hopByHopHeaders = map[string]bool{
 	fasthttp.HeaderConnection:       true,
 	fasthttp.HeaderContentLength:    true,
 	fasthttp.HeaderDate:             true,
--- a/internal/upstream/sse.go
+++ b/internal/upstream/sse.go
@@ -11,26 +11,26 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// eventLimit bounds a line of an event stream, and the data of one event, in
+// maxEventBytes bounds a line of an event stream, and the data of one event, in
 // bytes.
-const eventLimit = 64 << 10
+const maxEventBytes = 64 << 10
 
 // eventReader reads the token events of a text/event-stream body.
 type eventReader struct {
 	lines *bufio.Reader
 	// data of the event that is being read.
 	data []byte
-	// payload feeds the decoder with the data of one event at a time, so that
+	// decoderInput feeds the decoder with the data of one event at a time, so that
 	// one decoder and its buffers serve the whole stream.
-	payload bytes.Reader
-	decoder *json.Decoder
-	// fed counts the bytes that the decoder should have consumed.
-	fed int64
+	decoderInput bytes.Reader
+	decoder      *json.Decoder
+	// expectedOffset counts the bytes that the decoder should have consumed.
+	expectedOffset int64
 }
 
 func newEventReader() *eventReader {
-	r := &eventReader{lines: bufio.NewReaderSize(nil, eventLimit)}
-	r.decoder = json.NewDecoder(&r.payload)
+	r := &eventReader{lines: bufio.NewReaderSize(nil, maxEventBytes)}
+	r.decoder = json.NewDecoder(&r.decoderInput)
 	return r
 }
 
@@ -40,15 +40,15 @@
 }
 
 var (
-	fieldData     = []byte("data")
-	errNotOneJSON = errors.New("event data is not one JSON object")
+	fieldData       = []byte("data")
+	errNotOneObject = errors.New("event data is not one JSON object")
 )
 
 // next reads up to the end of the next event or comment. A comment is a sign
 // of life without an event; then ok is false.
 func (r *eventReader) next(event *engineapi.TokenEvent) (ok bool, err error) {
 	for {
-		line, err := r.line()
+		line, err := r.readLine()
 		if err != nil {
 			return false, err
 		}
@@ -61,13 +61,13 @@
 		if line[0] == ':' {
 			return false, nil
 		}
-		if err := r.field(line); err != nil {
+		if err := r.parseField(line); err != nil {
 			return false, err
 		}
 	}
 }
 
-func (r *eventReader) line() ([]byte, error) {
+func (r *eventReader) readLine() ([]byte, error) {
 	line, err := r.lines.ReadSlice('\n')
 	if err != nil {
 		return nil, err
@@ -76,13 +76,13 @@
 	return bytes.TrimSuffix(line, []byte{'\r'}), nil
 }
 
-func (r *eventReader) field(line []byte) error {
+func (r *eventReader) parseField(line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	if !bytes.Equal(name, fieldData) {
 		return nil
 	}
 	value = bytes.TrimPrefix(value, []byte{' '})
-	if len(r.data)+len(value) > eventLimit {
+	if len(r.data)+len(value) > maxEventBytes {
 		return bufio.ErrBufferFull
 	}
 	r.data = append(r.data, value...)
@@ -95,17 +95,17 @@
 	data := bytes.TrimSpace(r.data)
 	r.data = r.data[:0]
 	if len(data) == 0 || data[0] != '{' {
-		return errNotOneJSON
+		return errNotOneObject
 	}
 	*event = engineapi.TokenEvent{}
-	r.payload.Reset(data)
-	r.fed += int64(len(data))
+	r.decoderInput.Reset(data)
+	r.expectedOffset += int64(len(data))
 	err := r.decoder.Decode(event)
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return errNotOneJSON
+		return errNotOneObject
 	}
-	if err == nil && r.decoder.InputOffset() != r.fed {
-		return errNotOneJSON
+	if err == nil && r.decoder.InputOffset() != r.expectedOffset {
+		return errNotOneObject
 	}
 	return err
 }
--- a/internal/upstream/sse_test.go
+++ b/internal/upstream/sse_test.go
@@ -54,7 +54,7 @@
 		{"half an object", "data: {\"offset\":0\n\n" + dataB + "\n\n", nil},
 		{"null", "data: null\n\n", nil},
 		{"wrong type", "data: {\"offset\":\"0\"}\n\n", nil},
-		{"too long", "data: " + strings.Repeat("x", 2*eventLimit) + "\n\n", nil},
+		{"too long", "data: " + strings.Repeat("x", 2*maxEventBytes) + "\n\n", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, _ := readAll(c.body)
@@ -108,7 +108,7 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 409 No\r\nContent-Length: 0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, answer []byte) {
 		client := New(Config{Dial: dialBytes(answer)})
-		err := client.Generate(t.Context(), Target{Address: "a"}, Generate{RequestID: "r"}, discard{})
+		err := client.Generate(t.Context(), Target{Address: "a"}, GenerateRequest{RequestID: "r"}, discard{})
 		if err == nil && !bytes.Contains(answer, []byte("finish")) {
 			t.Error("success without a finish event")
 		}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -15,8 +15,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// Generate is a request to a model engine.
-type Generate struct {
+// GenerateRequest is a request to a model engine.
+type GenerateRequest struct {
 	// RequestID is unique; the engine refuses one that it knows.
 	RequestID string
 	// Priority in the engine; 0 is the highest.
@@ -35,7 +35,7 @@
 
 // Generate sends the request and passes each token to the sink. It returns nil
 // once the sink has got the last token. It never sends a request twice.
-func (c *Client) Generate(ctx context.Context, target Target, g Generate, sink Sink) *verdict.Error {
+func (c *Client) Generate(ctx context.Context, target Target, g GenerateRequest, sink Sink) *verdict.Error {
 	req := newRequest(target, fasthttp.MethodPost, enginehttp.PathGenerate)
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetContentType(enginehttp.TypeJSON)
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	return x.stream(req, 0, sink)
+	return x.streamAnswer(req, 0, sink)
 }
 
 // Resume continues the answer of a request that was sent to the target before,
@@ -63,30 +63,30 @@
 	x, err := c.open(ctx, target, KindResume, true)
 	if err == nil {
 		x.resuming = true
-		err = x.stream(req, offset, sink)
+		err = x.streamAnswer(req, offset, sink)
 	}
 	if err != nil {
-		err.Verdict = verdict.Worse(err.Verdict, verdict.MayHaveRun)
+		err.Verdict = verdict.Worst(err.Verdict, verdict.MayHaveRun)
 	}
 	return err
 }
 
-// stream sends the request and relays the events of the answer.
-func (x *exchange) stream(req *fasthttp.Request, offset int, sink Sink) *verdict.Error {
+// streamAnswer sends the request and relays the events of the answer.
+func (x *exchange) streamAnswer(req *fasthttp.Request, offset int, sink Sink) *verdict.Error {
 	if err := x.send(req, x.client.cfg.FirstByteTimeout); err != nil {
 		return err
 	}
 	if x.resp.StatusCode() != fasthttp.StatusOK {
-		return x.refused()
+		return x.failStatus()
 	}
-	x.conn.setGap(x.client.cfg.FirstTokenTimeout)
+	x.conn.setReadTimeout(x.client.cfg.FirstTokenTimeout)
 	x.resp.StreamBody = true
 	if err := x.resp.ReadBody(x.conn.reader, 0); err != nil {
-		return x.failed(err, "read answer")
+		return x.fail(err, "read answer")
 	}
 	events := eventReaders.Get().(*eventReader)
 	events.reset(x.resp.BodyStream())
-	if err := x.relay(events, offset, sink); err != nil {
+	if err := x.relayEvents(events, offset, sink); err != nil {
 		// The reader is not used again: its decoder keeps the error.
 		return err
 	}
@@ -94,24 +94,24 @@
 	return nil
 }
 
-// errOffset means that the engine left out a token.
-var errOffset = errors.New("token out of order")
+// errTokenOrder means that the engine left out a token.
+var errTokenOrder = errors.New("token out of order")
 
-// relay passes events to the sink until the last one.
-func (x *exchange) relay(events *eventReader, offset int, sink Sink) *verdict.Error {
+// relayEvents passes events to the sink until the last one.
+func (x *exchange) relayEvents(events *eventReader, offset int, sink Sink) *verdict.Error {
 	var event engineapi.TokenEvent
 	for {
 		ok, err := events.next(&event)
 		if err != nil {
-			return x.failed(err, "read token")
+			return x.fail(err, "read token")
 		}
-		x.conn.setGap(x.client.cfg.TokenGapTimeout)
+		x.conn.setReadTimeout(x.client.cfg.TokenGapTimeout)
 		if !ok {
 			continue
 		}
 		x.started = true
 		if event.Offset > offset {
-			return x.failed(errors.Wrapf(errOffset, "got %d, want %d", event.Offset, offset), "read token")
+			return x.fail(errors.Wrapf(errTokenOrder, "got %d, want %d", event.Offset, offset), "read token")
 		}
 		// A resumed stream may begin before the offset asked for; the sink
 		// must not see a token twice.
@@ -132,7 +132,7 @@
 // endStream reads the end of the body, so that the connection can be used
 // again. The answer is complete whatever happens here.
 func (x *exchange) endStream(events *eventReader) {
-	x.conn.setGap(endTimeout)
+	x.conn.setReadTimeout(bodyEndTimeout)
 	if _, err := events.lines.Discard(1); !errors.Is(err, io.EOF) {
 		x.abort()
 		return
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/timeout_test.go
@@ -16,20 +16,20 @@
 	"basilrudder/internal/verdict"
 )
 
-// piped returns a client whose connections are pipes in the bubble's time, and
+// newPipeClient returns a client whose connections are pipes in the bubble's time, and
 // serves the first request on each with the function.
-func piped(t *testing.T, cfg upstream.Config, serve func(far net.Conn)) *upstream.Client {
+func newPipeClient(t *testing.T, cfg upstream.Config, serve func(serverEnd net.Conn)) *upstream.Client {
 	var serving sync.WaitGroup
 	t.Cleanup(serving.Wait)
 	cfg.Dial = func(context.Context, string) (net.Conn, error) {
-		near, far := net.Pipe()
+		clientEnd, serverEnd := net.Pipe()
 		serving.Go(func() {
 			var req fasthttp.Request
-			if req.Read(bufio.NewReader(far)) == nil {
-				serve(far)
+			if req.Read(bufio.NewReader(serverEnd)) == nil {
+				serve(serverEnd)
 			}
 		})
-		return near, nil
+		return clientEnd, nil
 	}
 	return upstream.New(cfg)
 }
@@ -40,14 +40,14 @@
 
 // The engine accepts and sends one token, then its connection goes silent.
 // TCP would not tell for minutes; the client must give up within the gap.
-func TestSilenceIsNoticedWithinTheGap(t *testing.T) {
+func TestUnresponsiveStreamIsDetectedWithinTheTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := piped(t, upstream.Config{TokenGapTimeout: 2 * time.Second}, func(far net.Conn) {
-			_, _ = io.WriteString(far, eventStream+"data: {\"offset\":0,\"text\":\"a\"}\n\n")
+		client := newPipeClient(t, upstream.Config{TokenGapTimeout: 2 * time.Second}, func(serverEnd net.Conn) {
+			_, _ = io.WriteString(serverEnd, eventStream+"data: {\"offset\":0,\"text\":\"a\"}\n\n")
 		})
 		start := time.Now()
 		err := client.Generate(background, pipeTarget, generate("a", 3), newCollector())
-		wantVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamSilent)
+		checkVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamSilent)
 		if took := time.Since(start); took > 2*time.Second || took < time.Second {
 			t.Errorf("noticed after %v, want at most 2s", took)
 		}
@@ -57,10 +57,10 @@
 // The engine never answers a request that was written: it may have run.
 func TestNoAnswerMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := piped(t, upstream.Config{FirstByteTimeout: 3 * time.Second}, func(net.Conn) {})
+		client := newPipeClient(t, upstream.Config{FirstByteTimeout: 3 * time.Second}, func(net.Conn) {})
 		start := time.Now()
 		err := client.Generate(background, pipeTarget, generate("a", 3), newCollector())
-		wantVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamSilent)
+		checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamSilent)
 		if took := time.Since(start); took != 3*time.Second {
 			t.Errorf("noticed after %v, want 3s", took)
 		}
@@ -71,13 +71,13 @@
 // comments meanwhile, which are signs of life: the stream is not silent.
 func TestCommentsKeepAWaitingStreamAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := piped(t, upstream.Config{TokenGapTimeout: 2 * time.Second}, func(far net.Conn) {
-			_, _ = io.WriteString(far, eventStream)
+		client := newPipeClient(t, upstream.Config{TokenGapTimeout: 2 * time.Second}, func(serverEnd net.Conn) {
+			_, _ = io.WriteString(serverEnd, eventStream)
 			for range 60 {
 				time.Sleep(time.Second)
-				_, _ = io.WriteString(far, ":\n\n")
+				_, _ = io.WriteString(serverEnd, ":\n\n")
 			}
-			_, _ = io.WriteString(far, "data: {\"offset\":0,\"text\":\"a\",\"finish\":\"stop\"}\n\n")
+			_, _ = io.WriteString(serverEnd, "data: {\"offset\":0,\"text\":\"a\",\"finish\":\"stop\"}\n\n")
 		})
 		if err := client.Generate(background, pipeTarget, generate("a", 1), newCollector()); err != nil {
 			t.Error(err)
@@ -86,31 +86,31 @@
 }
 
 // The other end takes no bytes: the write must not hang for good.
-func TestWriteThatBlocksFails(t *testing.T) {
+func TestBlockedWriteTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := upstream.New(upstream.Config{Dial: func(context.Context, string) (net.Conn, error) {
-			near, _ := net.Pipe()
-			return near, nil
+			clientEnd, _ := net.Pipe()
+			return clientEnd, nil
 		}})
 		err := client.Generate(background, pipeTarget, generate("a", 1), newCollector())
-		wantVerdict(t, err, verdict.NotRun, verdict.ReasonUpstreamSilent)
+		checkVerdict(t, err, verdict.NotRun, verdict.ReasonUpstreamSilent)
 	})
 }
 
 // A service sends its header, then a byte now and then for ever. The limit is
 // on the whole answer, so the call ends.
-func TestDribblingServiceEnds(t *testing.T) {
+func TestSlowServiceAnswerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		client := piped(t, upstream.Config{ServiceTimeout: 5 * time.Second}, func(far net.Conn) {
-			_, err := io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
+		client := newPipeClient(t, upstream.Config{ServiceTimeout: 5 * time.Second}, func(serverEnd net.Conn) {
+			_, err := io.WriteString(serverEnd, "HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
 			for err == nil {
 				time.Sleep(time.Second)
-				_, err = far.Write([]byte{'x'})
+				_, err = serverEnd.Write([]byte{'x'})
 			}
 		})
 		start := time.Now()
 		_, err := client.CallService(background, pipeTarget, upstream.ServiceCall{Method: "GET", Path: "/"})
-		wantVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamSilent)
+		checkVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamSilent)
 		if took := time.Since(start); took != 5*time.Second {
 			t.Errorf("ended after %v, want 5s", took)
 		}
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -39,10 +39,10 @@
 	}
 }
 
-// Worse returns the verdict that promises less about a request of which two
+// Worst returns the verdict that promises less about a request of which two
 // attempts are known: one that ran outweighs one that may have, and that one
 // outweighs one that did not.
-func Worse(a, b Verdict) Verdict {
+func Worst(a, b Verdict) Verdict {
 	return max(a, b)
 }
 
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -7,16 +7,16 @@
 	"github.com/go-faster/errors"
 )
 
-func TestWorsePrefersTheLessPromising(t *testing.T) {
-	if got := Worse(NotRun, MayHaveRun); got != MayHaveRun {
+func TestWorstPrefersRanThenMayHaveRun(t *testing.T) {
+	if got := Worst(NotRun, MayHaveRun); got != MayHaveRun {
 		t.Errorf("Worse(NotRun, MayHaveRun) = %v", got)
 	}
-	if got := Worse(Ran, MayHaveRun); got != Ran {
+	if got := Worst(Ran, MayHaveRun); got != Ran {
 		t.Errorf("Worse(Ran, MayHaveRun) = %v", got)
 	}
 }
 
-func TestErrorKeepsItsCause(t *testing.T) {
+func TestErrorUnwrapsToItsCause(t *testing.T) {
 	cause := errors.New("connection reset")
 	err := Wrap(MayHaveRun, ReasonUpstreamLost, cause).After(time.Second)
 	if !errors.Is(err, cause) {
