--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -17,8 +17,8 @@
 	"basilrudder/internal/upstream"
 )
 
-// zeroCostEngine takes almost no time for a token, so that the client's own cost
-// shows.
+// zeroCostEngine takes almost no time per token, so the benchmarks measure the client's
+// own cost.
 func zeroCostEngine() engine.Config {
 	return engine.Config{
 		Engines: []engine.EngineConfig{{Model: enginemodel.Config{
@@ -35,7 +35,7 @@
 
 func (discardSink) Token(engineapi.TokenEvent) error { return nil }
 
-// rawConn speaks to an upstream with as little work as can be.
+// rawConn sends requests and reads answers with as little work as possible.
 type rawConn struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -71,8 +71,8 @@
 	}
 }
 
-// BenchmarkGenerate is one whole request of one token: through the client, and
-// read raw from the same stand-in.
+// BenchmarkGenerate measures one whole request of one token: through the client, and read
+// raw from the same stand-in.
 func BenchmarkGenerate(b *testing.B) {
 	_, target := startEngine(b, zeroCostEngine())
 	b.Run("client", func(b *testing.B) {
@@ -93,8 +93,8 @@
 	})
 }
 
-// BenchmarkStream is one token of a long stream over loopback: through the
-// client, and read raw from the same stand-in.
+// BenchmarkStream measures one token of a long stream over loopback: through the client,
+// and read raw from the same stand-in.
 func BenchmarkStream(b *testing.B) {
 	_, target := startEngine(b, zeroCostEngine())
 	b.Run("client", func(b *testing.B) {
@@ -111,8 +111,8 @@
 	})
 }
 
-// BenchmarkLoneToken is one token that arrives alone, as from an engine whose
-// step is longer than the reading: one write and one read of the socket each.
+// BenchmarkLoneToken measures a token that arrives alone, as from an engine whose step
+// takes longer than reading a token: one write and one read of the socket each.
 func BenchmarkLoneToken(b *testing.B) {
 	b.Run("client", func(b *testing.B) {
 		ask, target := startTokenPerRequest(b)
@@ -141,7 +141,8 @@
 	})
 }
 
-// startTokenPerRequest starts an upstream that sends one token each time it is asked.
+// startTokenPerRequest starts an upstream that sends one token for each value sent on
+// the returned channel.
 func startTokenPerRequest(b *testing.B) (chan<- struct{}, upstream.Target) {
 	b.Helper()
 	requests := make(chan struct{}, 1)
@@ -161,7 +162,7 @@
 	return requests, target
 }
 
-// pacedSink asks for the next token when it has got one.
+// pacedSink requests the next token when it has received one.
 type pacedSink struct {
 	requests  chan<- struct{}
 	remaining int
@@ -176,8 +177,8 @@
 	return nil
 }
 
-// BenchmarkHolds is one question to an engine what it holds, with the bytes
-// that it costs in both directions.
+// BenchmarkHolds measures one request for an engine's holdings, and its bytes in both
+// directions.
 func BenchmarkHolds(b *testing.B) {
 	cfg := zeroCostEngine()
 	cfg.Engines[0].Models = []string{"drafting@2026-11"}
--- a/internal/upstream/bytesconn_test.go
+++ b/internal/upstream/bytesconn_test.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// bytesConn takes every write and answers with fixed bytes.
+// bytesConn accepts every write and answers with fixed bytes.
 type bytesConn struct {
 	net.Conn
 	answer bytes.Reader
--- a/internal/upstream/calls.go
+++ b/internal/upstream/calls.go
@@ -14,23 +14,23 @@
 	"basilrudder/internal/verdict"
 )
 
-// Cancel ends a request at its engine. A request that the engine does not know
-// counts as ended.
+// Cancel ends a request at its engine. A request that is unknown to the engine counts as
+// ended.
 func (c *Client) Cancel(ctx context.Context, target Target, requestID string) *verdict.Error {
 	path := enginehttp.PathStreams + url.PathEscape(requestID)
 	_, err := c.controlCall(ctx, target, controlRequest{KindCancel, fasthttp.MethodDelete, path, nil}, nil)
 	return err
 }
 
-// LoadReport reads an engine's load report, which lags.
+// LoadReport reads an engine's load report, which lags behind the engine's state.
 func (c *Client) LoadReport(ctx context.Context, target Target) (engineapi.LoadReport, *verdict.Error) {
 	var report engineapi.LoadReport
 	_, err := c.controlCall(ctx, target, controlRequest{KindLoad, fasthttp.MethodGet, enginehttp.PathLoad, nil}, &report)
 	return report, err
 }
 
-// CacheEvents reads an engine's cache events from a sequence number on. They
-// come late and with gaps.
+// CacheEvents reads an engine's cache events, starting at a sequence number. Events
+// arrive late and some are missing.
 func (c *Client) CacheEvents(ctx context.Context, target Target, after int) (engineapi.CacheEvents, *verdict.Error) {
 	var events engineapi.CacheEvents
 	path := enginehttp.PathCacheEvents + "?" + enginehttp.QueryAfter + "=" + strconv.Itoa(after)
@@ -38,8 +38,8 @@
 	return events, err
 }
 
-// Order sends an order. An answer that was not accepted is no error: it tells
-// the fencing number that the engine has seen.
+// Order sends an order to an engine. An order that the engine does not accept is not an
+// error: the answer then contains the highest fencing number that the engine has seen.
 func (c *Client) Order(ctx context.Context, target Target, order engineapi.Order) (engineapi.OrderAnswer, *verdict.Error) {
 	var answer engineapi.OrderAnswer
 	body, err := json.Marshal(order)
@@ -50,14 +50,14 @@
 	return answer, failure
 }
 
-// Holdings reads what an engine holds, without an order.
+// Holdings reads the models and the role that an engine holds, without sending an order.
 func (c *Client) Holdings(ctx context.Context, target Target) (engineapi.OrderAnswer, *verdict.Error) {
 	var answer engineapi.OrderAnswer
 	_, err := c.controlCall(ctx, target, controlRequest{KindHolds, fasthttp.MethodGet, enginehttp.PathOrders, nil}, &answer)
 	return answer, err
 }
 
-// controlRequest is a control call to make.
+// controlRequest describes a control call.
 type controlRequest struct {
 	kind   Kind
 	method string
@@ -65,9 +65,9 @@
 	body   []byte
 }
 
-// controlCall makes a control controlCall, whose repetition is harmless: orders and cancels
-// are idempotent. So one that fails on a connection used before, without a
-// byte of an answer, is made once more on a new connection.
+// controlCall makes a control call. Control calls can be repeated safely, since orders
+// and cancels are idempotent. A call that fails on a reused connection before any byte of
+// the answer is therefore retried once on a new connection.
 func (c *Client) controlCall(ctx context.Context, target Target, r controlRequest, result any) (int, *verdict.Error) {
 	status, retry, err := c.controlCallOnce(ctx, target, r, result, false)
 	if retry && ctx.Err() == nil {
@@ -98,9 +98,9 @@
 	return status, false, x.decode(result)
 }
 
-// isExpectedStatus reports whether the status comes with the answer that the call
-// wants. 409 carries the answer to an order that was not accepted; 404 to a
-// cancel means that there is nothing to cancel.
+// isExpectedStatus reports whether an answer with the status can be decoded into result.
+// Status 409 carries the answer to an order that was not accepted. Status 404 to a cancel
+// means that there is nothing to cancel.
 func isExpectedStatus(status int, result any) bool {
 	switch status {
 	case fasthttp.StatusOK:
--- a/internal/upstream/calls_test.go
+++ b/internal/upstream/calls_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// An instance that was paused sends an order of an old revision. A server that
-// checks refuses and tells the number it has seen; one that does not check
-// takes the order, which shows in what it reports to hold.
+// A paused instance resumes and sends an order of an old revision. A server that checks
+// fencing numbers refuses it and returns the number it has seen. One that does not check
+// accepts the order, which shows in its holdings.
 func TestStaleOrderIsRefusedOnlyWithFencing(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks=%v", checks), func(t *testing.T) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// The server closes a connection of the pool just when a control call is
-// written to it. Control calls are idempotent, so the call is made once more.
+// The server closes a pooled connection while a control call is written to it. Control
+// calls are idempotent, so the call is retried once.
 func TestControlCallIsRetriedOnce(t *testing.T) {
 	report := `{"engine":"e0","age_ms":1,"running":0,"waiting":0}`
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(report), report)
@@ -73,7 +73,7 @@
 		}
 	}
 	if sent := server.requests.Load(); sent != 3 {
-		t.Errorf("%d requests arrived, want 3", sent)
+		t.Errorf("%d requests received, want 3", sent)
 	}
 }
 
@@ -135,6 +135,6 @@
 		checkVerdict(t, err, verdict.NotRun, verdict.ReasonBadRequest)
 	}
 	if sent := server.requests.Load(); sent != 0 {
-		t.Errorf("%d requests arrived, want none", sent)
+		t.Errorf("%d requests received, want none", sent)
 	}
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,9 +1,10 @@
 // Package upstream calls model engines and application servers over HTTP/1.1.
 //
-// The client owns its connections, because the verdict on a failed request
-// depends on whether a byte of it may have left: "not run" is only said when
-// the connection took no byte or the upstream itself said so. Nothing that may
-// have run is ever sent again here. docs/design/upstream-verdicts.md tells why.
+// The client manages its own connections because the verdict on a failed request depends
+// on whether any byte of it may have been sent. It reports "not run" only if the
+// connection accepted no byte or the upstream itself stated that it did not start the
+// request. A request that may have run is never sent again by this package; only
+// idempotent control calls are. docs/design/upstream-verdicts.md gives the reasons.
 package upstream
 
 import (
@@ -15,66 +16,89 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Defaults of Config, used for fields left zero.
+// Defaults of Config, used for fields that are zero. A longer timeout delays the detection
+// of an unresponsive upstream.
 const (
-	DefaultConnectTimeout    = time.Second
-	DefaultWriteTimeout      = 2 * time.Second
-	DefaultFirstByteTimeout  = 2 * time.Second
+	// If shorter, connections over slow networks fail with the verdict "not run".
+	DefaultConnectTimeout = time.Second
+	// If shorter, large requests over slow networks fail with "may have run".
+	DefaultWriteTimeout = 2 * time.Second
+	// If shorter, requests that an engine accepts late fail with "may have run".
+	DefaultFirstByteTimeout = 2 * time.Second
+	// If shorter, requests fail while they wait in the queue of an engine that sends no
+	// comments.
 	DefaultFirstTokenTimeout = 30 * time.Second
-	DefaultTokenGapTimeout   = 2 * time.Second
-	DefaultServiceTimeout    = 10 * time.Second
-	DefaultIdleTimeout       = 15 * time.Second
-	DefaultIdlePerAddress    = 32
-	DefaultMaxAnswer         = 8 << 20
+	// If shorter than the longest time without a token or comment, streams of working
+	// engines fail.
+	DefaultTokenGapTimeout = 2 * time.Second
+	// If shorter, calls fail that a slow application server would have answered.
+	DefaultServiceTimeout = 10 * time.Second
+	// If longer than an upstream keeps idle connections, more requests are written just as
+	// it closes the connection and fail with "may have run".
+	DefaultIdleTimeout = 15 * time.Second
+	// With fewer, bursts of requests open new connections more often; with more, more
+	// sockets stay open.
+	DefaultIdlePerAddress = 32
+	// In bytes. A larger answer fails with "ran"; the limit bounds the memory per call.
+	DefaultMaxAnswer = 8 << 20
 )
 
 const (
-	// maxHeaderBytes bounds the header of an answer in bytes.
+	// maxHeaderBytes limits the header of an answer; a larger one fails the request. Each
+	// connection has a read buffer of this size.
 	maxHeaderBytes = 16 << 10
-	// maxControlBytes bounds the answers of control calls in bytes.
+	// maxControlBytes limits the body of the answer to a control call. A larger body
+	// fails the call; the limit bounds the memory per call.
 	maxControlBytes = 1 << 20
-	// maxRefusalBytes bounds the body of a refusal in bytes.
+	// maxRefusalBytes limits the body of an unsuccessful answer. If it is larger, the
+	// error lacks the body and the connection is closed instead of being reused.
 	maxRefusalBytes = 64 << 10
-	// maxMessageBytes bounds what of a refusal's body goes into an error.
+	// maxMessageBytes limits how much of that body is copied into the error message.
+	// The message is part of refusals to callers; a larger limit makes them longer.
 	maxMessageBytes = 200
-	// bodyEndTimeout bounds the wait for the end of a body whose content is
-	// complete; it only decides whether the connection can be used again.
+	// bodyEndTimeout limits the wait for the end of a body whose content is complete. It
+	// only decides whether the connection can be reused: if shorter, connections with a
+	// late end are closed; if longer, a late end delays the return of a complete answer.
 	bodyEndTimeout = 50 * time.Millisecond
 	userAgent      = "basilrudder"
 )
 
-// Target is where a request goes.
+// Target identifies the upstream of a request.
 type Target struct {
 	// Address is the host and port of the server.
 	Address string
-	// Server names the server in errors.
+	// Server is the name of the server in error messages.
 	Server string
-	// Engine of the server; empty for application servers.
+	// Engine is the name of the engine on the server; empty for application servers.
 	Engine string
 }
 
-// Config of a Client. Zero fields take the defaults above.
+// Config configures a Client. Zero fields take the defaults above.
 type Config struct {
-	// Dial opens a connection; nil for TCP.
+	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// ConnectTimeout bounds opening a connection.
+	// ConnectTimeout limits the time to open a connection.
 	ConnectTimeout time.Duration
-	// WriteTimeout bounds writing a request.
+	// WriteTimeout limits the time to write a request.
 	WriteTimeout time.Duration
-	// FirstByteTimeout bounds the wait for the header of an answer. Engines
-	// send it when they accept a request, before the first token.
+	// FirstByteTimeout limits the wait for the header of an answer. Engines send it when
+	// they accept a request, before the first token.
 	FirstByteTimeout time.Duration
-	// FirstTokenTimeout bounds the wait for the first event of a stream.
+	// FirstTokenTimeout limits the wait for the first event or comment of a stream.
 	FirstTokenTimeout time.Duration
-	// TokenGapTimeout bounds the silence after any event or comment.
+	// TokenGapTimeout limits the wait for further bytes after an event or comment. It
+	// must exceed an engine's longest interval between them, or streams of working
+	// engines fail. It may fire early by 1/deadlineSlackDivisor of its length.
 	TokenGapTimeout time.Duration
-	// ServiceTimeout bounds the answer of an application server.
+	// ServiceTimeout limits the time until the whole answer of an application server is
+	// read.
 	ServiceTimeout time.Duration
 	// IdleTimeout is how long an unused connection is kept.
 	IdleTimeout time.Duration
-	// IdlePerAddress is how many unused connections are kept.
+	// IdlePerAddress is the maximum number of unused connections kept per address. When a
+	// further connection becomes unused, the one unused for longest is closed.
 	IdlePerAddress int
-	// MaxAnswer bounds the answer of an application server in bytes.
+	// MaxAnswer limits the body of an application server's answer in bytes.
 	MaxAnswer int
 }
 
@@ -106,23 +130,24 @@
 	counters Counters
 }
 
-// New returns a Client.
+// New returns a Client with the given configuration.
 func New(cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	return &Client{cfg: cfg, pool: newPool(cfg.IdlePerAddress, cfg.IdleTimeout)}
 }
 
-// Counters returns the counts of the calls, to be published by expvar.
+// Counters returns the statistics of all calls, which can be published with expvar.
 func (c *Client) Counters() *Counters {
 	return &c.counters
 }
 
-// CloseIdle closes the unused connections.
+// CloseIdle closes all unused connections.
 func (c *Client) CloseIdle() {
 	c.pool.closeAll()
 }
 
-// newRequest fills what every request has. The caller releases it.
+// newRequest returns a request with the fields that all requests share. The caller must
+// release it.
 func newRequest(target Target, method, path string) *fasthttp.Request {
 	req := fasthttp.AcquireRequest()
 	req.Header.SetMethod(method)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -7,30 +7,34 @@
 	"time"
 )
 
+// writeBufferSize is the size in bytes of a connection's write buffer. A request that does
+// not fit is sent in several writes.
 const writeBufferSize = 4 << 10
 
-// deadlineSlackDivisor is the part of a timeout by which it may fire early, so that
-// the deadline is not set again for each token.
+// deadlineSlackDivisor defines how early a read timeout may fire: by up to 1/8 of its
+// length. The deadline is renewed only after that part has passed, not for each token. A
+// smaller divisor makes timeouts fire earlier; a larger one renews the deadline more
+// often.
 const deadlineSlackDivisor = 8
 
-// conn is a connection that counts what it has taken of the current request.
-// Only close may be called from another goroutine.
+// conn is a connection that counts the bytes of the current request and its answer. Only
+// Close may be called from another goroutine.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
 	writer  *bufio.Writer
-	// written counts the bytes of the current request that the operating
-	// system took. They may reach the upstream whatever fails later.
+	// written is the number of bytes of the current request that the operating system
+	// accepted. They may reach the upstream even if a later write fails.
 	written int64
-	// received counts the bytes of the current answer.
+	// received is the number of bytes read of the current answer.
 	received int64
-	// reused says that the connection has carried a request before.
+	// reused is set if the connection has carried an earlier request.
 	reused bool
-	// idleSince is when the connection went into the pool.
+	// idleSince is the time at which the connection was returned to the pool.
 	idleSince time.Time
 
-	// readTimeout is how long each read may wait; 0 while a fixed deadline is in force.
+	// readTimeout limits each read; 0 while a fixed deadline is in force.
 	readTimeout       time.Duration
 	deadlineRenewedAt time.Time
 }
@@ -52,14 +56,14 @@
 	return cn
 }
 
-// Write implements io.Writer and counts.
+// Write implements io.Writer and counts the bytes written.
 func (cn *conn) Write(p []byte) (int, error) {
 	n, err := cn.Conn.Write(p)
 	cn.written += int64(n)
 	return n, err
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It renews the read deadline and counts the bytes read.
 func (cn *conn) Read(p []byte) (int, error) {
 	if err := cn.renewDeadline(); err != nil {
 		return 0, err
@@ -69,8 +73,8 @@
 	return n, err
 }
 
-// setReadTimeout sets how long each read from now on may wait. TCP alone would wait on
-// a silent connection for minutes.
+// setReadTimeout limits each following read. Without a limit, TCP would wait for minutes
+// on an unresponsive connection.
 func (cn *conn) setReadTimeout(timeout time.Duration) {
 	if timeout != cn.readTimeout {
 		cn.readTimeout = timeout
@@ -78,7 +82,7 @@
 	}
 }
 
-// setFixedDeadline sets when all reads together must be done.
+// setFixedDeadline sets one deadline for all following reads together.
 func (cn *conn) setFixedDeadline(deadline time.Time) error {
 	cn.readTimeout = 0
 	return cn.SetReadDeadline(deadline)
@@ -96,7 +100,7 @@
 	return cn.SetReadDeadline(now.Add(cn.readTimeout))
 }
 
-// resetCounts prepares for the next request.
+// resetCounts resets the byte counts for the next request.
 func (cn *conn) resetCounts() {
 	cn.written = 0
 	cn.received = 0
--- a/internal/upstream/counters.go
+++ b/internal/upstream/counters.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// Kind of a call to an upstream.
+// Kind is the kind of a call to an upstream.
 type Kind uint8
 
-// Kinds. All but the first three are control traffic.
+// Kinds of calls. All but the first three are control calls.
 const (
 	KindGenerate Kind = iota
 	KindResume
@@ -30,18 +30,19 @@
 	return kindNames[k]
 }
 
-// CallStats counts the calls of one kind.
+// CallStats holds the statistics of the calls of one kind.
 type CallStats struct {
-	// Calls made; a control call that was made again counts twice.
+	// Calls is the number of calls made. A control call that was retried counts twice.
 	Calls uint64 `json:"calls"`
-	// Errors among them: failed connections and answers without success.
+	// Errors is the number of calls that failed or got an unsuccessful answer.
 	Errors uint64 `json:"errors"`
-	// BytesOut and BytesIn of ended calls, header included.
+	// BytesOut and BytesIn are the bytes sent and received by calls that have ended,
+	// headers included.
 	BytesOut uint64 `json:"bytes_out"`
 	BytesIn  uint64 `json:"bytes_in"`
 }
 
-// Counters counts the calls of a Client by kind. It is an expvar.Var.
+// Counters counts the calls of a Client by kind. It implements expvar.Var.
 type Counters struct {
 	kinds [kindCount]callCounters
 }
@@ -50,7 +51,7 @@
 	calls, errors, bytesOut, bytesIn atomic.Uint64
 }
 
-// Of returns the counts of one kind.
+// Of returns the statistics of one kind.
 func (c *Counters) Of(kind Kind) CallStats {
 	k := &c.kinds[kind]
 	return CallStats{
@@ -61,7 +62,8 @@
 	}
 }
 
-// String returns the counts by kind as JSON, as expvar.Var wants.
+// String returns the statistics by kind as JSON, as expvar.Var requires. Kinds without
+// calls are omitted.
 func (c *Counters) String() string {
 	out := make(map[string]CallStats, kindCount)
 	for kind := range kindCount {
--- a/internal/upstream/decode_bench_test.go
+++ b/internal/upstream/decode_bench_test.go
@@ -12,8 +12,8 @@
 
 const benchEvent = `{"offset":123,"text":"ab12.123 "}`
 
-// BenchmarkDecodeEvent compares the one decoder of a stream with a fresh
-// json.Unmarshal for each event.
+// BenchmarkDecodeEvent compares one decoder for a whole stream with json.Unmarshal for
+// each event.
 func BenchmarkDecodeEvent(b *testing.B) {
 	b.Run("reader", func(b *testing.B) {
 		r := newEventReader()
@@ -38,7 +38,7 @@
 	})
 }
 
-// BenchmarkStillOpen is the check that an unused connection is not closed.
+// BenchmarkStillOpen measures the check that an unused connection is still open.
 func BenchmarkStillOpen(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -22,15 +22,16 @@
 	counts *callCounters
 	conn   *conn
 	resp   *fasthttp.Response
-	// started says that the upstream is known to have started the request.
+	// started is set once the upstream has confirmed that it started the request.
 	started bool
-	// resuming says that the request was sent by an earlier exchange.
+	// resuming is set if the request itself was sent by an earlier exchange.
 	resuming bool
-	// stopWatching ends the watch on ctx.
+	// stopWatching stops the watch on ctx; it returns false if ctx has already ended.
 	stopWatching func() bool
 }
 
-// open connects to the target. forceDial asks for a new connection.
+// open starts an exchange on an unused or a new connection to the target. forceDial
+// requires a new one.
 func (c *Client) open(ctx context.Context, target Target, kind Kind, forceDial bool) (*exchange, *verdict.Error) {
 	x := &exchange{client: c, ctx: ctx, target: target, counts: &c.counters.kinds[kind]}
 	x.counts.calls.Add(1)
@@ -47,13 +48,14 @@
 	}
 	x.conn.resetCounts()
 	x.resp = fasthttp.AcquireResponse()
-	// A caller that goes away must free its reader at once, not at the next
-	// timeout: closing the connection is what ends a read that waits.
+	// If the caller disconnects, a blocked read must end at once and not at the next
+	// timeout. Closing the connection ends it.
 	x.stopWatching = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
 	return x, nil
 }
 
-// connectError is "not run": without a connection no byte was written.
+// connectError returns an error with the verdict "not run": without a connection no byte
+// was written.
 func connectError(ctx context.Context, target Target, err error) *verdict.Error {
 	reason := verdict.ReasonConnect
 	if ctx.Err() != nil {
@@ -62,7 +64,7 @@
 	return verdict.Wrap(verdict.NotRun, reason, errors.Wrapf(err, "connect to %s", target.Server))
 }
 
-// send writes the request and reads the header of the answer.
+// send writes the request and reads the header of the answer within timeout.
 func (x *exchange) send(req *fasthttp.Request, timeout time.Duration) *verdict.Error {
 	if err := x.conn.SetWriteDeadline(time.Now().Add(x.client.cfg.WriteTimeout)); err != nil {
 		return x.fail(err, "set deadline")
@@ -83,11 +85,13 @@
 	return nil
 }
 
-// maxInterimAnswers bounds the informational answers before the final one.
-const maxInterimAnswers = 3
+// maxHeaderBlocks limits the header blocks read per request: up to two informational (1xx)
+// answers and the final one. With a smaller limit, upstreams that send informational
+// answers fail; with a larger one, an upstream can send more of them before it fails.
+const maxHeaderBlocks = 3
 
 func (x *exchange) readHeader() error {
-	for range maxInterimAnswers {
+	for range maxHeaderBlocks {
 		if err := x.resp.Header.Read(x.conn.reader); err != nil {
 			return err
 		}
@@ -102,7 +106,7 @@
 	return string(resp.Header.Peek(header)) == enginehttp.True
 }
 
-// finish gives the connection back when the whole answer was read.
+// finish returns the connection to the pool after the whole answer was read.
 func (x *exchange) finish() {
 	cn := x.conn
 	x.counts.addBytes(cn)
@@ -115,17 +119,16 @@
 	x.client.pool.put(cn)
 }
 
-// abort closes the connection.
+// abort ends the exchange and closes the connection.
 func (x *exchange) abort() {
 	x.stopWatching()
 	_ = x.conn.Close()
 	x.counts.addBytes(x.conn)
-	// The response is left to the collector: its body stream may still refer to
-	// the reader of the connection.
+	// The response is not released for reuse: its body stream may still refer to the
+	// connection's reader.
 }
 
-// verdictOnFailure returns what is verdictOnFailure about the execution of the request when the
-// connection fails.
+// verdictOnFailure returns the verdict on the request if the connection fails now.
 func (x *exchange) verdictOnFailure() verdict.Verdict {
 	switch {
 	case x.started:
@@ -137,7 +140,9 @@
 	}
 }
 
-// fail ends the exchange after an error of the connection.
+// fail ends the exchange after an error of the connection or of the answer's content and
+// returns that error with its verdict. If the upstream was unresponsive, it also closes
+// the unused connections to its address.
 func (x *exchange) fail(err error, operation string) *verdict.Error {
 	x.counts.errors.Add(1)
 	reason := x.failureReason(err)
@@ -148,6 +153,8 @@
 	return verdict.Wrap(x.verdictOnFailure(), reason, errors.Wrapf(err, "%s: %s", x.target.Server, operation))
 }
 
+// failureReason returns the reason of a failure. The end of ctx takes precedence over err,
+// because it closes the connection and so causes err.
 func (x *exchange) failureReason(err error) verdict.Reason {
 	if x.ctx.Err() != nil {
 		return contextReason(x.ctx)
@@ -172,7 +179,7 @@
 	return verdict.ReasonCallerGone
 }
 
-// failStatus turns an answer without success into an error and ends the exchange.
+// failStatus ends the exchange and returns an unsuccessful answer as an error.
 func (x *exchange) failStatus() *verdict.Error {
 	x.counts.errors.Add(1)
 	v, reason := x.classifyStatus()
@@ -188,10 +195,11 @@
 	return verdict.New(v, reason, message).After(delay)
 }
 
-// classifyStatus gives the verdict of an answer without success.
+// classifyStatus returns the verdict and reason for an unsuccessful answer.
 //
-// Only the upstream itself can say that it did not start a request whose bytes
-// have left; a status alone may have another cause, so it proves nothing.
+// Once bytes of a request were sent, only the upstream's statement (X-Not-Started) proves
+// that it did not start the request. A status alone can have other causes and proves
+// nothing.
 func (x *exchange) classifyStatus() (verdict.Verdict, verdict.Reason) {
 	status := x.resp.StatusCode()
 	switch {
@@ -208,6 +216,7 @@
 	}
 }
 
+// retryAfter returns the Retry-After of an answer, or 0 if it is missing or not accepted.
 func retryAfter(resp *fasthttp.Response) time.Duration {
 	seconds, err := strconv.Atoi(string(resp.Header.Peek(enginehttp.HeaderRetryAfter)))
 	if err != nil || seconds < 0 || seconds > maxRetryAfterSeconds {
@@ -216,10 +225,12 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// maxRetryAfterSeconds bounds a Retry-After that is believed, in seconds.
+// maxRetryAfterSeconds is the largest accepted value of Retry-After in seconds. Larger
+// values are ignored; without the limit, one wrong header could block retries for a very
+// long time.
 const maxRetryAfterSeconds = 3600
 
-// readBody reads the rest of an answer that is not streamed.
+// readBody reads the rest of an answer that is not streamed. limit is in bytes.
 func (x *exchange) readBody(limit int) error {
 	status := x.resp.StatusCode()
 	if x.resp.SkipBody || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified {
@@ -234,5 +245,5 @@
 	return x.resp.Header.ReadTrailer(x.conn.reader)
 }
 
-// chunkedLength is the content length that fasthttp reports for a chunkedLength body.
+// chunkedLength is the content length that fasthttp reports for a chunked body.
 const chunkedLength = -1
--- a/internal/upstream/generate_test.go
+++ b/internal/upstream/generate_test.go
@@ -27,12 +27,12 @@
 		t.Errorf("%d runs, want 3", runs)
 	}
 	if conns := server.Accepted(); conns != 1 {
-		t.Errorf("%d connections, want one used three times", conns)
+		t.Errorf("%d connections, want one, reused", conns)
 	}
 }
 
-// Nothing listens at the address. No connection was made, so no byte of the
-// request can have left and the caller may be told that it did not run.
+// Nothing listens at the address. Without a connection no byte of the request can have
+// been sent, so the verdict is "not run".
 func TestConnectRefusedIsNotRun(t *testing.T) {
 	ln := listen(t)
 	_ = ln.Close()
@@ -41,7 +41,7 @@
 	checkVerdict(t, err, verdict.NotRun, verdict.ReasonConnect)
 }
 
-// failingConn fails the write of a request after some bytes.
+// failingConn fails each write after accepting some bytes, and closes the connection.
 type failingConn struct {
 	net.Conn
 	accepts int
@@ -56,9 +56,9 @@
 	return n, &net.OpError{Op: "write", Net: "tcp", Err: errors.New("connection reset by peer")}
 }
 
-// The connection fails while the request is written. If it took no byte, the
-// upstream can't have seen the request; if it took even one, the rest may have
-// been taken by the time of the error, so the honest answer is "may have run".
+// The connection fails while the request is written. If it accepted no byte, the upstream
+// can't have received the request. If it accepted even one, the rest may have been
+// accepted by the time of the error, so the verdict must be "may have run".
 func TestWriteFailureVerdictDependsOnBytesWritten(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -82,9 +82,9 @@
 	}
 }
 
-// The server takes the request and its process dies before it answers. The
-// engine may have started, so "may have run"; and the request is not sent
-// again, neither on a new connection nor on one that was used before.
+// The server reads the request and its process ends before it answers. The engine may
+// have started, so the verdict is "may have run". The request must not be sent again,
+// neither on a new connection nor on a reused one.
 func TestLostAfterWriteMayHaveRunAndIsNotSentAgain(t *testing.T) {
 	whole := stream("data: {\"offset\":0,\"text\":\"x\",\"finish\":\"stop\"}\n\n")
 	server, target := startScripted(t, func(conn net.Conn, request int) bool {
@@ -99,13 +99,13 @@
 		checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamLost)
 	}
 	if sent := server.requests.Load(); sent != 3 {
-		t.Errorf("%d requests arrived, want 3", sent)
+		t.Errorf("%d requests received, want 3", sent)
 	}
 }
 
-// The server restarts between two requests and so has closed the connection
-// that the pool holds. The second request must not be lost to it: the pool
-// notices the closed connection and a new one is opened.
+// The server restarts between two requests and closes the pooled connection. The second
+// request must not be lost: the pool detects the closed connection and a new one is
+// opened.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
@@ -119,9 +119,9 @@
 	}
 }
 
-// A connection of the pool went silent while unused. The request is written
-// to it and nothing comes back: it may have run. The other unused connections
-// to the address are given up as well, so the next request gets through.
+// A pooled connection becomes unresponsive while unused. The next request is written to
+// it and gets no answer, so it may have run. The other unused connections to the address
+// are closed as well, so the request after that succeeds.
 func TestUnresponsiveIdleConnectionsAreClosed(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
@@ -177,9 +177,9 @@
 	}
 }
 
-// The same request id arrives again, from an instance that did not know
-// better. The engine knows the id and refuses; the verdict is "ran", since it
-// did, and there is still one run.
+// Another instance sends a request ID that the engine has already accepted. The engine
+// refuses it; the verdict is "ran", since the first request did, and there is still one
+// run.
 func TestDuplicateRequestIDIsRan(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
@@ -193,9 +193,9 @@
 	}
 }
 
-// The caller goes away in the middle of an answer. The context ends, the
-// connection is closed at once though a read waits on it, and the engine,
-// which notices the closed connection, gives the run up after its linger time.
+// The caller disconnects in the middle of an answer. The context ends and the connection
+// is closed at once, although a read is blocked on it. The engine detects the closed
+// connection and abandons the run after its linger time.
 func TestContextEndClosesTheConnection(t *testing.T) {
 	cfg := fastEngine()
 	cfg.Engines[0].Model.Linger = 20 * time.Millisecond
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -18,7 +18,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// shortTimeout makes silence show soon; the tests assert no durations.
+// shortTimeout makes timeouts expire soon; the tests assert no durations.
 const shortTimeout = 150 * time.Millisecond
 
 func shortConfig() upstream.Config {
@@ -29,7 +29,7 @@
 	}
 }
 
-// fastEngine answers soon and beats often enough for shortTimeout.
+// fastEngine answers quickly and sends heartbeats often enough for shortTimeout.
 func fastEngine() engine.Config {
 	return engine.Config{
 		Engines:   []engine.EngineConfig{{Model: enginemodel.Config{Name: "e0", StepMS: 2}}},
@@ -37,7 +37,7 @@
 	}
 }
 
-// startEngine serves a stand-in on loopback and returns where it listens.
+// startEngine serves a stand-in engine on loopback and returns its address.
 func startEngine(t testing.TB, cfg engine.Config) (*engine.Server, upstream.Target) {
 	t.Helper()
 	server := engine.New(cfg)
@@ -63,14 +63,15 @@
 	return ln
 }
 
-// scriptedServer serves each connection with a function that gets every request.
+// scriptedServer answers requests with a function of the test and counts requests and
+// connections.
 type scriptedServer struct {
 	requests atomic.Int64
 	conns    atomic.Int64
 }
 
-// startScripted starts an upstream whose connections are handled by answer. It is
-// called for each request and returns false to close the connection.
+// startScripted starts an upstream that calls answer for each request. If answer returns
+// false, the connection is closed.
 func startScripted(t testing.TB, answer func(conn net.Conn, request int) bool) (*scriptedServer, upstream.Target) {
 	t.Helper()
 	s := new(scriptedServer)
@@ -115,7 +116,7 @@
 		fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(events), events)
 }
 
-// collector is a Sink that keeps every token and tells of each.
+// collector is a Sink that keeps every token and sends its offset on seen.
 type collector struct {
 	events   []engineapi.TokenEvent
 	seen     chan int
@@ -132,7 +133,8 @@
 	return c.tokenErr
 }
 
-// checkComplete checks that the answer to a request is whole, in order and its own.
+// checkComplete checks that the collector has received the whole answer to the request,
+// in order.
 func (c *collector) checkComplete(t testing.TB, id string, tokens int) {
 	t.Helper()
 	if len(c.events) != tokens {
@@ -165,7 +167,7 @@
 
 var background = context.Background()
 
-// runAtToken calls do once the token at the offset has come.
+// runAtToken calls run once the token at the offset has been received.
 func (c *collector) runAtToken(offset int, run func()) {
 	for seen := range c.seen {
 		if seen == offset {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -7,7 +7,7 @@
 	"basilrudder/internal/netconn"
 )
 
-// pool keeps unused connections by address, the latest used on top.
+// pool keeps unused connections by address. The most recently used one is reused first.
 type pool struct {
 	mu            *sync.Mutex
 	idle          map[string][]*conn
@@ -24,11 +24,11 @@
 	}
 }
 
-// get returns a connection that looks usable, or nil.
+// get returns an unused connection that still appears to be open, or nil.
 //
-// An upstream that restarted has closed its connections; a request written to
-// one of them is lost with the verdict "may have run". Asking the socket first
-// finds all but those closed in the same instant.
+// An upstream that restarted has closed its connections, and a request written to one of
+// them fails with the verdict "may have run". Checking the socket before use finds all
+// closed connections except those closed at the same moment.
 func (p *pool) get(address string) *conn {
 	for {
 		cn := p.pop(address)
@@ -61,9 +61,9 @@
 	return cn
 }
 
-// put keeps a connection, or closes it when it can't be used again.
+// put returns a connection to the pool, or closes it if it can't be reused.
 func (p *pool) put(cn *conn) {
-	// An old deadline would make the check of the socket fail later.
+	// An expired read deadline would fail the later check of the socket.
 	if cn.reader.Buffered() > 0 || cn.setFixedDeadline(time.Time{}) != nil {
 		_ = cn.Close()
 		return
@@ -83,9 +83,9 @@
 	}
 }
 
-// closeAddress closes the unused connections to an address. One connection that went
-// silent tells that something between the two ends lost its state; the others
-// of the address are likely to be lost as well.
+// closeAddress closes the unused connections to an address. When one connection becomes
+// unresponsive, something on the path has lost its state, and the other connections to
+// the address are likely to be lost too.
 func (p *pool) closeAddress(address string) {
 	p.mu.Lock()
 	conns := p.idle[address]
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -14,9 +14,9 @@
 	return newConn(clientEnd, address)
 }
 
-// A connection was last read with a deadline that has passed while it was
-// unused. Checking the socket must not fail for that reason, or no connection
-// would be used twice after a pause longer than a timeout.
+// The read deadline of an unused connection has passed. The check of the socket must not
+// fail for that reason, or no connection could be reused after a pause longer than the
+// timeout.
 func TestExpiredDeadlineDoesNotInvalidateIdleConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,7 +34,7 @@
 	p := newPool(1, time.Hour)
 	p.put(cn)
 	if got := p.get("a"); got != cn {
-		t.Error("the connection was given up")
+		t.Error("the usable connection was closed")
 	}
 }
 
@@ -44,7 +44,7 @@
 		p.put(pipeConn(t, "a"))
 		time.Sleep(time.Minute)
 		if p.get("a") != nil {
-			t.Error("a connection beyond the idle timeout was used")
+			t.Error("got a connection unused for longer than the idle timeout")
 		}
 	})
 }
@@ -56,13 +56,13 @@
 		p.put(cn)
 	}
 	if p.get("a") != third || p.get("a") != second || p.get("a") != nil {
-		t.Error("want the latest two, the latest first")
+		t.Error("want the two most recently used, the last one first")
 	}
 	if _, err := first.Write([]byte{0}); err == nil {
 		t.Error("the oldest connection is still open")
 	}
 	if p.get("b") != nil {
-		t.Error("a connection of another address")
+		t.Error("got a connection to another address")
 	}
 }
 
--- a/internal/upstream/resume_test.go
+++ b/internal/upstream/resume_test.go
@@ -9,9 +9,9 @@
 	"basilrudder/internal/verdict"
 )
 
-// The connection is reset after some tokens. The run goes on at the engine;
-// resuming from the number of tokens received gives exactly the rest, and the
-// engine ran the request once.
+// The connection is reset after some tokens while the run continues at the engine.
+// Resuming from the number of received tokens returns exactly the remaining ones, and the
+// engine runs the request only once.
 func TestResumeDeliversExactlyTheMissingTokens(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
@@ -28,9 +28,9 @@
 	}
 }
 
-// The stream goes silent: the engine goes on, TCP reports nothing, no more
-// bytes come. The gap between tokens exceeds the limit, the client gives up
-// the connection and the rest comes over a new one.
+// The stream becomes unresponsive: the engine continues and TCP reports no error, but no
+// more bytes arrive. After the timeout between tokens the client closes the connection,
+// and the remaining tokens arrive over a new one.
 func TestUnresponsiveStreamIsDetectedAndResumed(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
@@ -44,8 +44,8 @@
 	sink.checkComplete(t, "a", 200)
 }
 
-// The engine crashed and restarted, so it does not know the request any more.
-// Resume must not say "not run": the request ran before the crash.
+// The engine crashed and restarted, so it has no record of the request. Resume must not
+// return "not run": the request ran before the crash.
 func TestResumeOfAnUnknownRequestMayHaveRun(t *testing.T) {
 	_, target := startEngine(t, fastEngine())
 	err := upstream.New(shortConfig()).Resume(background, target, "a", 4, newCollector())
@@ -60,9 +60,8 @@
 	checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonConnect)
 }
 
-// The engine process crashes in the middle of an answer and all its
-// connections are reset. The caller is told "ran"; the restarted engine does
-// not know the request.
+// The engine process crashes in the middle of an answer and all its connections are
+// reset. The verdict is "ran". The restarted engine has no record of the request.
 func TestCrashDuringStreamIsRan(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
@@ -80,8 +79,8 @@
 	}
 }
 
-// The engine resumes earlier than asked, as one that keeps whole blocks may.
-// The receiver has those tokens already and must not get them again.
+// The engine resumes at an earlier token than requested, as one that keeps whole blocks
+// may. The receiver already has those tokens and must not receive them again.
 func TestResumedStreamMayBeginEarlier(t *testing.T) {
 	_, target := startScripted(t, reply(stream("data: {\"offset\":1,\"text\":\"b\"}\n\ndata: {\"offset\":2,\"text\":\"c\"}\n\n"+
 		"data: {\"offset\":3,\"text\":\"d\",\"finish\":\"stop\"}\n\n")))
@@ -94,8 +93,8 @@
 	}
 }
 
-// A token is missing in the middle. The answer would not be whole, so the
-// stream fails instead of going on.
+// A token is missing in the middle. The stream must fail, since the answer would be
+// incomplete.
 func TestMissingTokenFailsTheStream(t *testing.T) {
 	_, target := startScripted(t, reply(stream("data: {\"offset\":0,\"text\":\"a\"}\n\ndata: {\"offset\":2,\"text\":\"c\",\"finish\":\"stop\"}\n\n")))
 	sink := newCollector()
--- a/internal/upstream/service.go
+++ b/internal/upstream/service.go
@@ -14,12 +14,13 @@
 
 // ServiceCall is a request to an application server.
 type ServiceCall struct {
-	// RequestID under which the server knows the call.
+	// RequestID is the ID under which the server records the call.
 	RequestID string
-	// Method, Path with query, ContentType and Body of the request.
+	// Method, Path (with query), ContentType and Body are those of the request.
 	Method, Path, ContentType string
 	Body                      []byte
-	// Timeout for the whole answer; 0 for the configured one.
+	// Timeout limits the time until the whole answer is read; 0 means
+	// Config.ServiceTimeout.
 	Timeout time.Duration
 }
 
@@ -28,15 +29,16 @@
 	Name, Value string
 }
 
-// ServiceAnswer is the answer of an application server, whatever its status.
+// ServiceAnswer is the answer of an application server, with any status.
 type ServiceAnswer struct {
 	Status  int
 	Headers []Header
 	Body    []byte
 }
 
-// CallService makes one call to an application server and never repeats it.
-// Any answer but one that says "not started" is the server's answer.
+// CallService makes one call to an application server and never repeats it. Every
+// complete answer is returned whatever its status, except one with X-Not-Started, which
+// is an error.
 func (c *Client) CallService(ctx context.Context, target Target, call ServiceCall) (*ServiceAnswer, *verdict.Error) {
 	if !validRequestLine(call.Method, call.Path) {
 		return nil, verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "method or path is not valid")
@@ -60,8 +62,8 @@
 	if hasFlag(x.resp, enginehttp.HeaderNotStarted) {
 		return nil, x.failStatus()
 	}
-	// A server that answers so far has seen the call, even if the rest of the
-	// answer is lost.
+	// An answer with a status below 500 shows that the server has handled the call,
+	// even if the rest of the answer is lost.
 	x.started = x.resp.StatusCode() < fasthttp.StatusInternalServerError
 	x.resp.SkipBody = call.Method == fasthttp.MethodHead
 	if err := x.readBody(c.cfg.MaxAnswer); err != nil {
@@ -72,7 +74,8 @@
 	return answer, nil
 }
 
-// validRequestLine keeps a caller's path from adding lines to the request.
+// validRequestLine reports whether the method and path can be written to a request line.
+// A path with spaces or control characters could add headers to the request.
 func validRequestLine(method, path string) bool {
 	visible := func(r rune) bool { return r > ' ' && r < 0x7f }
 	invisible := func(r rune) bool { return !visible(r) }
@@ -94,7 +97,7 @@
 	return answer
 }
 
-// hopByHopHeaders are the headers that belong to the connection, not to the answer.
+// hopByHopHeaders are the headers that belong to the connection and are not forwarded.
 var hopByHopHeaders = map[string]bool{
 	fasthttp.HeaderConnection:       true,
 	fasthttp.HeaderContentLength:    true,
--- a/internal/upstream/sse.go
+++ b/internal/upstream/sse.go
@@ -11,20 +11,21 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// maxEventBytes bounds a line of an event stream, and the data of one event, in
-// bytes.
+// maxEventBytes limits a line of an event stream and the data of one event. A larger
+// event fails the stream. Each event reader has a buffer of this size.
 const maxEventBytes = 64 << 10
 
 // eventReader reads the token events of a text/event-stream body.
 type eventReader struct {
 	lines *bufio.Reader
-	// data of the event that is being read.
+	// data is the data of the event that is being read.
 	data []byte
-	// decoderInput feeds the decoder with the data of one event at a time, so that
-	// one decoder and its buffers serve the whole stream.
+	// decoderInput passes the data of one event at a time to the decoder. One decoder and
+	// its buffers can then be used for the whole stream.
 	decoderInput bytes.Reader
 	decoder      *json.Decoder
-	// expectedOffset counts the bytes that the decoder should have consumed.
+	// expectedOffset is the decoder's input offset if it has consumed exactly all data
+	// passed to it.
 	expectedOffset int64
 }
 
@@ -44,8 +45,8 @@
 	errNotOneObject = errors.New("event data is not one JSON object")
 )
 
-// next reads up to the end of the next event or comment. A comment is a sign
-// of life without an event; then ok is false.
+// next reads up to the end of the next event or comment. For a comment, which shows that
+// the stream is alive but carries no event, ok is false.
 func (r *eventReader) next(event *engineapi.TokenEvent) (ok bool, err error) {
 	for {
 		line, err := r.readLine()
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// decode accepts exactly one object. Anything after it would stay in the
-// decoder and be taken for the next event.
+// decode decodes the data of one event, which must be exactly one JSON object. Anything
+// after the object would remain in the decoder and be taken for the next event.
 func (r *eventReader) decode(event *engineapi.TokenEvent) error {
 	data := bytes.TrimSpace(r.data)
 	r.data = r.data[:0]
--- a/internal/upstream/sse_test.go
+++ b/internal/upstream/sse_test.go
@@ -12,7 +12,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// readAll reads events until an error.
+// readAll reads until an error and returns the events and the number of comments.
 func readAll(body string) ([]engineapi.TokenEvent, int) {
 	r := newEventReader()
 	r.reset(strings.NewReader(body))
@@ -65,8 +65,8 @@
 	}
 }
 
-// FuzzEventReader: whatever an upstream sends, reading ends, and the events
-// read do not depend on how the bytes are cut into reads.
+// FuzzEventReader checks that reading ends on any input, and that the events do not
+// depend on how the bytes are split into reads.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("id: 0\ndata: {\"offset\":0,\"text\":\"a\"}\n\n:\n\ndata: {\"offset\":1,\"text\":\"\",\"finish\":\"stop\"}\n\n"))
 	f.Add([]byte("data: {}{}\n\ndata: null\n\n"))
@@ -98,8 +98,8 @@
 	return r.r.Read(p[:min(len(p), 1)])
 }
 
-// FuzzAnswer: whatever an upstream answers, the call ends with an answer or an
-// error, and only the header X-Not-Started makes it "not run".
+// FuzzAnswer checks that a call ends with an answer or an error for any bytes sent by an
+// upstream, and that only the header X-Not-Started leads to "not run".
 func FuzzAnswer(f *testing.F) {
 	event := "data: {\"offset\":0,\"text\":\"a\",\"finish\":\"stop\"}\n\n"
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(event), event)))
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -17,24 +17,24 @@
 
 // GenerateRequest is a request to a model engine.
 type GenerateRequest struct {
-	// RequestID is unique; the engine refuses one that it knows.
+	// RequestID must be unique: the engine refuses an ID that it has already accepted.
 	RequestID string
-	// Priority in the engine; 0 is the highest.
+	// Priority is the priority in the engine; 0 is the highest.
 	Priority int
-	// Body is the JSON of the request.
+	// Body is the request as JSON.
 	Body []byte
 }
 
-// Sink takes the tokens of an answer in order, each once. An error ends the
-// stream; it means that the receiver wants no more.
+// Sink receives the tokens of an answer in order, each exactly once. An error from Token
+// ends the stream; it means that the receiver accepts no more tokens.
 type Sink interface {
 	Token(engineapi.TokenEvent) error
 }
 
 var eventReaders = sync.Pool{New: func() any { return newEventReader() }}
 
-// Generate sends the request and passes each token to the sink. It returns nil
-// once the sink has got the last token. It never sends a request twice.
+// Generate sends the request and passes each token to the sink. It returns nil once the
+// sink has received the last token. It never sends a request twice.
 func (c *Client) Generate(ctx context.Context, target Target, g GenerateRequest, sink Sink) *verdict.Error {
 	req := newRequest(target, fasthttp.MethodPost, enginehttp.PathGenerate)
 	defer fasthttp.ReleaseRequest(req)
@@ -50,10 +50,10 @@
 	return x.streamAnswer(req, 0, sink)
 }
 
-// Resume continues the answer of a request that was sent to the target before,
-// from the token at offset on. It always opens a new connection, since the
-// reason to resume is that an old one failed. Its errors never say "not run":
-// they speak of the request, not of the attempt to resume.
+// Resume continues the answer of a request that was sent to the target earlier, starting
+// with the token at offset. It always opens a new connection, because a resumption
+// follows the failure of an old one. Its errors never have the verdict "not run": the
+// verdict is on the request, not on the attempt to resume.
 func (c *Client) Resume(ctx context.Context, target Target, requestID string, offset int, sink Sink) *verdict.Error {
 	path := enginehttp.PathStreams + url.PathEscape(requestID) +
 		"?" + enginehttp.QueryOffset + "=" + strconv.Itoa(offset)
@@ -71,7 +71,7 @@
 	return err
 }
 
-// streamAnswer sends the request and relays the events of the answer.
+// streamAnswer sends the request and passes the events of the answer to the sink.
 func (x *exchange) streamAnswer(req *fasthttp.Request, offset int, sink Sink) *verdict.Error {
 	if err := x.send(req, x.client.cfg.FirstByteTimeout); err != nil {
 		return err
@@ -87,17 +87,17 @@
 	events := eventReaders.Get().(*eventReader)
 	events.reset(x.resp.BodyStream())
 	if err := x.relayEvents(events, offset, sink); err != nil {
-		// The reader is not used again: its decoder keeps the error.
+		// The reader is not returned to the pool: its decoder keeps the error.
 		return err
 	}
 	x.endStream(events)
 	return nil
 }
 
-// errTokenOrder means that the engine left out a token.
+// errTokenOrder is returned if the engine skipped a token.
 var errTokenOrder = errors.New("token out of order")
 
-// relayEvents passes events to the sink until the last one.
+// relayEvents passes events to the sink, up to and including the last one.
 func (x *exchange) relayEvents(events *eventReader, offset int, sink Sink) *verdict.Error {
 	var event engineapi.TokenEvent
 	for {
@@ -113,8 +113,8 @@
 		if event.Offset > offset {
 			return x.fail(errors.Wrapf(errTokenOrder, "got %d, want %d", event.Offset, offset), "read token")
 		}
-		// A resumed stream may begin before the offset asked for; the sink
-		// must not see a token twice.
+		// A resumed stream may begin before the requested offset. Tokens that the sink
+		// has already received are skipped.
 		if event.Offset < offset {
 			continue
 		}
@@ -129,8 +129,8 @@
 	}
 }
 
-// endStream reads the end of the body, so that the connection can be used
-// again. The answer is complete whatever happens here.
+// endStream reads the end of the body to make the connection reusable. An error here does
+// not matter, since the answer is already complete.
 func (x *exchange) endStream(events *eventReader) {
 	x.conn.setReadTimeout(bodyEndTimeout)
 	if _, err := events.lines.Discard(1); !errors.Is(err, io.EOF) {
--- a/internal/upstream/timeout_test.go
+++ b/internal/upstream/timeout_test.go
@@ -16,8 +16,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// newPipeClient returns a client whose connections are pipes in the bubble's time, and
-// serves the first request on each with the function.
+// newPipeClient returns a client whose connections are pipes, for use in a synctest
+// bubble. serve handles the first request on each connection.
 func newPipeClient(t *testing.T, cfg upstream.Config, serve func(serverEnd net.Conn)) *upstream.Client {
 	var serving sync.WaitGroup
 	t.Cleanup(serving.Wait)
@@ -38,8 +38,9 @@
 
 var pipeTarget = upstream.Target{Address: "pipe", Server: "s0", Engine: "e0"}
 
-// The engine accepts and sends one token, then its connection goes silent.
-// TCP would not tell for minutes; the client must give up within the gap.
+// The engine accepts the request and sends one token, then its connection becomes
+// unresponsive. TCP would report no error for minutes; the client must fail within
+// TokenGapTimeout.
 func TestUnresponsiveStreamIsDetectedWithinTheTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newPipeClient(t, upstream.Config{TokenGapTimeout: 2 * time.Second}, func(serverEnd net.Conn) {
@@ -49,12 +50,12 @@
 		err := client.Generate(background, pipeTarget, generate("a", 3), newCollector())
 		checkVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamSilent)
 		if took := time.Since(start); took > 2*time.Second || took < time.Second {
-			t.Errorf("noticed after %v, want at most 2s", took)
+			t.Errorf("detected after %v, want at most 2s", took)
 		}
 	})
 }
 
-// The engine never answers a request that was written: it may have run.
+// The engine never answers a request that was written, so it may have run.
 func TestNoAnswerMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newPipeClient(t, upstream.Config{FirstByteTimeout: 3 * time.Second}, func(net.Conn) {})
@@ -62,13 +63,13 @@
 		err := client.Generate(background, pipeTarget, generate("a", 3), newCollector())
 		checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamSilent)
 		if took := time.Since(start); took != 3*time.Second {
-			t.Errorf("noticed after %v, want 3s", took)
+			t.Errorf("detected after %v, want 3s", took)
 		}
 	})
 }
 
-// The request waits in the engine's queue for a minute. The engine sends
-// comments meanwhile, which are signs of life: the stream is not silent.
+// The request waits in the engine's queue for a minute. The engine sends comments in the
+// meantime, which must keep the stream alive.
 func TestCommentsKeepAWaitingStreamAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newPipeClient(t, upstream.Config{TokenGapTimeout: 2 * time.Second}, func(serverEnd net.Conn) {
@@ -85,7 +86,7 @@
 	})
 }
 
-// The other end takes no bytes: the write must not hang for good.
+// The other end accepts no bytes; the write must not block forever.
 func TestBlockedWriteTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := upstream.New(upstream.Config{Dial: func(context.Context, string) (net.Conn, error) {
@@ -97,8 +98,8 @@
 	})
 }
 
-// A service sends its header, then a byte now and then for ever. The limit is
-// on the whole answer, so the call ends.
+// A service sends its header and then single bytes without end. The timeout applies to
+// the whole answer, so the call must end.
 func TestSlowServiceAnswerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := newPipeClient(t, upstream.Config{ServiceTimeout: 5 * time.Second}, func(serverEnd net.Conn) {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict tells whether a request may have run. Every error that
-// leaves an upstream call or refuses a caller carries a Verdict.
+// Package verdict defines verdicts, which state whether a request may have run. Every
+// error of an upstream call and every refusal sent to a caller carries one.
 package verdict
 
 import (
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Verdict says what is known about the execution of a request.
+// Verdict states whether an upstream executed a request. Larger values outweigh smaller
+// ones.
 type Verdict uint8
 
 const (
-	// NotRun means that no upstream started the request: nothing was ever
-	// written to one, or the upstream itself refused before starting.
+	// NotRun means that no upstream started the request: either no byte was written to
+	// one, or the upstream itself refused it before starting.
 	NotRun Verdict = iota
-	// MayHaveRun means that bytes of the request may have left for an upstream.
+	// MayHaveRun means that bytes of the request may have been sent to an upstream.
 	MayHaveRun
-	// Ran means that an upstream is known to have started the request.
+	// Ran means that an upstream has started the request.
 	Ran
 )
 
-// Text forms of the verdicts, as callers and accounting records see them.
+// Text forms of the verdicts, as sent to callers and written to accounting records.
 const (
 	TextNotRun     = "not_run"
 	TextMayHaveRun = "may_have_run"
@@ -39,9 +40,8 @@
 	}
 }
 
-// Worst returns the verdict that promises less about a request of which two
-// attempts are known: one that ran outweighs one that may have, and that one
-// outweighs one that did not.
+// Worst returns the verdict on a request with two attempts. Ran outweighs MayHaveRun,
+// which outweighs NotRun.
 func Worst(a, b Verdict) Verdict {
 	return max(a, b)
 }
@@ -49,7 +49,7 @@
 // Reason is the machine-readable cause of a refusal or failure.
 type Reason string
 
-// Reasons, as they appear in refusals and accounting records.
+// Reasons, as sent to callers and written to accounting records.
 const (
 	ReasonBadRequest      Reason = "bad_request"
 	ReasonTooLarge        Reason = "too_large"
@@ -80,17 +80,18 @@
 	ReasonInternal        Reason = "internal"
 )
 
-// Error is a failure with its verdict.
+// Error is a failure or refusal with its verdict.
 type Error struct {
-	// Verdict says whether the request may have run.
+	// Verdict states whether the request may have run.
 	Verdict Verdict
 	// Reason is the machine-readable cause.
 	Reason Reason
-	// Message explains the failure to a person.
+	// Message is a human-readable explanation.
 	Message string
-	// RetryAfter is when to come back; zero when it does not help.
+	// RetryAfter is the time after which the caller may retry; zero if a retry would not
+	// help.
 	RetryAfter time.Duration
-	// Cause is the error beneath, or nil.
+	// Cause is the underlying error, or nil.
 	Cause error
 }
 
@@ -99,12 +100,12 @@
 	return &Error{Verdict: v, Reason: reason, Message: message}
 }
 
-// Wrap returns an Error with a cause.
+// Wrap returns an Error with a cause, whose text becomes the message.
 func Wrap(v Verdict, reason Reason, cause error) *Error {
 	return &Error{Verdict: v, Reason: reason, Message: cause.Error(), Cause: cause}
 }
 
-// After returns a copy of e with RetryAfter set.
+// After returns a copy of e with RetryAfter set to d.
 func (e *Error) After(d time.Duration) *Error {
 	out := *e
 	out.RetryAfter = d
