--- a/internal/placement/cache.go
+++ b/internal/placement/cache.go
@@ -7,64 +7,64 @@
 	"basilrudder/internal/monotime"
 )
 
-// partCache is what an engine is believed to keep of prompts: the parts of the
-// requests sent to it, the least recently used of which yield first.
+// partCache is the estimated prefix cache of an engine: the parts of the prompts sent to
+// it, with LRU eviction.
 type partCache struct {
 	tokens int
-	order  *list.List // of kept, most recently used first
+	order  *list.List // of *cachedPart, most recently used first
 	byID   map[string]*list.Element
 }
 
-// kept is a part that an engine keeps.
-type kept struct {
+// cachedPart is a part of a prompt in the cache of an engine.
+type cachedPart struct {
 	Part
-	// from is when it has been read and others may fetch it.
-	from monotime.Instant
+	// readyAt is when the part has been read and other engines may fetch it.
+	readyAt monotime.Instant
 }
 
 func newPartCache() partCache {
 	return partCache{order: list.New(), byID: make(map[string]*list.Element)}
 }
 
-// add notes a use of parts, which are read by an instant, and makes room within
-// capacity tokens. The last part belongs to one request or session and is kept
-// too: a session may come back.
-func (c *partCache) add(parts []Part, from monotime.Instant, capacity int) {
+// add records a use of parts that will have been read at readyAt, and evicts the least
+// recently used parts beyond capacity tokens (0 for no limit). The last part belongs to
+// one request or session and is cached too, as the session may send another request.
+func (c *partCache) add(parts []Part, readyAt monotime.Instant, capacity int) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		part := parts[i]
 		if at := c.byID[part.ID]; at != nil {
 			c.order.MoveToFront(at)
 			continue
 		}
-		c.byID[part.ID] = c.order.PushFront(&kept{Part: part, from: from})
+		c.byID[part.ID] = c.order.PushFront(&cachedPart{Part: part, readyAt: readyAt})
 		c.tokens += part.Tokens
 	}
 	for capacity > 0 && c.tokens > capacity && c.order.Len() > 0 {
 		oldest := c.order.Back()
-		part := c.order.Remove(oldest).(*kept)
+		part := c.order.Remove(oldest).(*cachedPart)
 		delete(c.byID, part.ID)
 		c.tokens -= part.Tokens
 	}
 }
 
-// ready notes that parts have been read by now.
+// ready records that parts have been read by now.
 func (c *partCache) ready(parts []Part, now monotime.Instant) {
 	for _, part := range parts {
 		if at := c.byID[part.ID]; at != nil {
-			if k := at.Value.(*kept); now < k.from {
-				k.from = now
+			if k := at.Value.(*cachedPart); now < k.readyAt {
+				k.readyAt = now
 			}
 		}
 	}
 }
 
-// fetchable returns how many tokens at the start of a prompt another engine
-// could fetch now.
-func (c *partCache) fetchable(parts []Part, now monotime.Instant) int {
+// fetchableTokens returns the length of the prompt's start that another engine could
+// fetch now.
+func (c *partCache) fetchableTokens(parts []Part, now monotime.Instant) int {
 	tokens := 0
 	for _, part := range parts {
 		at := c.byID[part.ID]
-		if at == nil || now < at.Value.(*kept).from {
+		if at == nil || now < at.Value.(*cachedPart).readyAt {
 			break
 		}
 		tokens += part.Tokens
@@ -72,9 +72,9 @@
 	return tokens
 }
 
-// cached returns how many tokens of a prompt need not be read: those of the
-// parts at its start that are all kept.
-func (c *partCache) cached(parts []Part) int {
+// cachedTokens returns the number of tokens of a prompt that need not be read: those of
+// the leading parts that are all cached.
+func (c *partCache) cachedTokens(parts []Part) int {
 	tokens := 0
 	for _, part := range parts {
 		if !c.has(part.ID) {
@@ -89,11 +89,11 @@
 	return c.byID[id] != nil
 }
 
-// newest returns the parts used last, at most so many, the newest at the end.
-func (c *partCache) newest(most int) []Part {
-	out := make([]Part, 0, min(most, c.order.Len()))
-	for at := c.order.Front(); at != nil && len(out) < most; at = at.Next() {
-		out = append(out, at.Value.(*kept).Part)
+// newest returns at most limit of the most recently used parts, the newest last.
+func (c *partCache) newest(limit int) []Part {
+	out := make([]Part, 0, min(limit, c.order.Len()))
+	for at := c.order.Front(); at != nil && len(out) < limit; at = at.Next() {
+		out = append(out, at.Value.(*cachedPart).Part)
 	}
 	slices.Reverse(out)
 	return out
--- a/internal/placement/fetch.go
+++ b/internal/placement/fetch.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// leastFetch is the fewest tokens worth a fetch: reading that many takes
-	// 16 ms, not much more than fetching them.
-	leastFetch = 1000
-	// fetchSetup is the time of a fetch beside the transfer, from the data sheet
-	// of the engines, with a margin for transfers that queue.
+	// minFetchTokens is the minimum number of tokens to fetch: reading that many takes 16
+	// ms, not much more than fetching them.
+	minFetchTokens = 1000
+	// fetchSetup is the fixed time of a fetch besides the transfer, from the data sheet
+	// of the engines, with a margin for transfers that queue. If it is too short,
+	// requests miss their goal waiting for fetches.
 	fetchSetup = 5 * time.Millisecond
-	// farFactor is how much longer a transfer between data centres takes.
-	farFactor     = 2
-	bitsPerByte   = 8
-	bitsPerSPerMb = 1e6
+	// crossDataCentreFactor is how many times longer a transfer between data centres
+	// takes.
+	crossDataCentreFactor = 2
+	bitsPerByte           = 8
+	bitsPerSPerMb         = 1e6
 )
 
-// source is the server that keeps most of the start of a prompt.
+// source is the server that caches the longest start of a prompt.
 type source struct {
 	server *server
 	tokens int
 }
 
-// bestSource finds it among the servers that can be reached.
+// bestSource returns the best source among reachable servers.
 func bestSource(reachable []*server, work *Work, now monotime.Instant) source {
 	var best source
 	if len(work.Parts) < 2 {
@@ -35,41 +37,41 @@
 	// The last part is the request's own; no other engine has it.
 	shared := work.Parts[:len(work.Parts)-1]
 	for _, s := range reachable {
-		if tokens := s.cache.fetchable(shared, now); tokens > best.tokens {
+		if tokens := s.cache.fetchableTokens(shared, now); tokens > best.tokens {
 			best = source{server: s, tokens: tokens}
 		}
 	}
 	return best
 }
 
-// plan is one way for an engine to come by a prompt.
+// plan is a way for an engine to obtain a prompt.
 type plan struct {
-	// unread is the number of tokens that it reads itself.
+	// unread is the number of tokens that the engine reads itself.
 	unread int
 	// from is the server that it fetches the start from; empty for none.
 	from string
 	// delay is the time until it can begin to read.
 	delay time.Duration
-	// cost of waste and transfers.
+	// cost of rereads and transfers.
 	cost float64
 }
 
-// fetch returns the plan to fetch what a source keeps beyond own tokens; false
-// when that is not worth it.
+// fetch returns the plan to fetch what a source caches beyond own tokens; false if that
+// is not possible or not worthwhile.
 func (s *server) fetch(speed *pace.Pace, work *Work, from source, own int) (plan, bool) {
 	tokens := from.tokens - own
-	if from.server == nil || from.server == s || s.tokenBytes == 0 || s.linkMbps <= 0 || tokens < leastFetch {
+	if from.server == nil || from.server == s || s.tokenBytes == 0 || s.linkMbps <= 0 || tokens < minFetchTokens {
 		return plan{}, false
 	}
 	bytes := float64(tokens) * float64(s.tokenBytes)
 	seconds := bytes * bitsPerByte / (s.linkMbps * bitsPerSPerMb)
 	if s.dataCentre != from.server.dataCentre {
-		seconds *= farFactor
+		seconds *= crossDataCentreFactor
 	}
 	return plan{
 		unread: max(0, work.Prompt-from.tokens),
 		from:   from.server.id,
 		delay:  fetchSetup + time.Duration(seconds*float64(time.Second)),
-		cost:   fetchShare * s.kind.waste(speed, tokens),
+		cost:   fetchWeight * s.kind.wasteCost(speed, tokens),
 	}, true
 }
--- a/internal/placement/learn.go
+++ b/internal/placement/learn.go
@@ -10,87 +10,94 @@
 )
 
 const (
-	// stretchMin is how long a stream is watched for one sample. News of what runs
-	// beside it come late by tens of milliseconds, which shifts what was read from
-	// one stretch to the next.
-	stretchMin = 250 * time.Millisecond
-	// stretchEvents is the fewest events of a shorter stretch that counts.
-	stretchEvents = 2
-	// slowShare is the weight of the newest sample in how slow a server is.
-	slowShare = 0.1
-	// usualAge is how long the median over the servers of a service is used again.
-	usualAge = 200 * time.Millisecond
-	// slowMost bounds what one sample says: more is a stall on the way.
-	slowMost = 20.0
-	// slowNoise is how far the log of that ratio strays on servers that are as fast
-	// as all: what was read beside a stream is known late. Less than that is ignored,
-	// and what is beyond counts by its excess.
-	slowNoise = 0.35
-	// slowMemory is how long a server that gets no requests is still taken to be
-	// slow. It then gets some, and shows whether it is.
-	slowMemory = 10 * time.Second
+	// minInterval is how long a stream is watched for one sample. Reports of other
+	// requests on the engine arrive tens of milliseconds late and shift reading from one
+	// interval to the next; a shorter interval would be distorted by it.
+	minInterval = 250 * time.Millisecond
+	// minIntervalEvents is the minimum number of events of a shorter interval that still
+	// gives a sample.
+	minIntervalEvents = 2
+	// slownessWeight is the weight of the latest sample in the slowness of a server. A
+	// larger one takes single stalls for a slow server, a smaller one detects a slow
+	// server later.
+	slownessWeight = 0.1
+	// medianMaxAge is how long the median slowness of the servers of a service is reused.
+	// Computing it goes through all servers.
+	medianMaxAge = 200 * time.Millisecond
+	// maxSlowSample bounds the ratio of one sample to the expected time, both ways: more
+	// is a stall in the network.
+	maxSlowSample = 20.0
+	// slownessDeadband is how far the log of that ratio strays on servers of equal speed,
+	// because reading beside a stream is reported late. A smaller deviation is ignored,
+	// and a larger one counts by its excess.
+	slownessDeadband = 0.35
+	// slownessFadeTime is the time constant with which the slowness of a server without
+	// samples fades. The server then gets requests again, which show whether it is still
+	// slow.
+	slownessFadeTime = 10 * time.Second
 )
 
-// engineKind is what is known of the model engines of a service together.
+// engineKind tracks the engines of one service together.
 type engineKind struct {
 	model *pace.Model
-	// usual is the median over its servers of how slow they are, as of usualAt: what
-	// a server is compared with. A mean over samples would not do, since streams of
-	// slow servers last longer and give more of them.
-	usual   float64
-	usualAt monotime.Instant
-	// meanReading is the mean time that a prompt takes to be read, of those of which
-	// some was to be read.
-	meanReading time.Duration
-}
-
-// progress sums up what an engine did, so that the difference of two instants says
-// what ran and was read in between.
+	// medianSlowness is the median slowness of its servers as of medianAt, with which
+	// each server is compared. A mean over samples would be biased, since streams on slow
+	// servers last longer and give more samples.
+	medianSlowness float64
+	medianAt       monotime.Instant
+	// meanReadTime is the mean time to read a prompt, over prompts that were not entirely
+	// cached.
+	meanReadTime time.Duration
+}
+
+// progress sums up the work of an engine. The difference between two instants is the work
+// done in between.
 type progress struct {
 	runTime      float64 // running requests times seconds
 	read, pairsM float64 // tokens and millions of pairs, see pace.Pairs
 }
 
-// stretch is a part of a stream that is being watched.
-type stretch struct {
+// interval is a part of a stream from which a sample is taken.
+type interval struct {
 	events        int
 	from, to      monotime.Instant
 	before, after progress
-	// begun is the number of requests that had begun on the engine at its start.
+	// begun is the number of requests that had begun on the engine at the start of the
+	// interval.
 	begun int
 }
 
-// watch is what is being watched of a stream: any stretch of it, which shows how
-// slow its engine is, and one in which the engine read no prompt, which shows how
-// long its steps are.
+// watch holds the current intervals of a stream: any shows how slow its engine is, and
+// noReading, in which the engine reads no prompt, shows how long its steps are.
 type watch struct {
-	any, calm stretch
+	any, noReading interval
 }
 
-// tick brings the sums of an engine up to an instant.
-func (s *server) tick(now monotime.Instant) {
-	if now > s.ticked {
-		s.done.runTime += float64(len(s.runs)) * now.Sub(s.ticked).Seconds()
-		s.ticked = now
+// advance brings the progress of an engine up to an instant.
+func (s *server) advance(now monotime.Instant) {
+	if now > s.advancedAt {
+		s.done.runTime += float64(len(s.runs)) * now.Sub(s.advancedAt).Seconds()
+		s.advancedAt = now
 	}
 }
 
-// slowness is how many times longer an engine takes than most of its service.
+// slowness returns the ratio of an engine's times to the median of its service, less the
+// deadband, fading with the age of the last sample.
 func (s *server) slowness(now monotime.Instant) float64 {
 	if s.slowAt == 0 {
 		return 1
 	}
-	off := math.Log(s.slow / s.kind.usual)
-	clear := math.Copysign(max(0, math.Abs(off)-slowNoise), off)
-	return math.Exp(clear * fadeOver(now.Sub(s.slowAt), slowMemory))
+	deviation := math.Log(s.slow / s.kind.medianSlowness)
+	excess := math.Copysign(max(0, math.Abs(deviation)-slownessDeadband), deviation)
+	return math.Exp(excess * decay(now.Sub(s.slowAt), slownessFadeTime))
 }
 
-// pace is how fast an engine is expected to work.
+// pace returns the expected pace of an engine.
 func (s *server) pace(now monotime.Instant) pace.Pace {
 	return s.kind.model.Pace().Slower(s.slowness(now))
 }
 
-// Events notes that so many events of a stream came.
+// Events records that count events of a stream arrived.
 func (b *Board) Events(id RunID, count int, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,41 +106,41 @@
 		return
 	}
 	s := r.server
-	s.workedAt = now
-	s.tick(now)
+	s.lastEventAt = now
+	s.advance(now)
 	if r.watch.any.add(s, count, now) {
-		s.noteSlowness(&r.watch.any)
-		b.updateUsual(s.kind, now)
-		r.watch.any = s.stretch(now)
+		s.recordSlowness(&r.watch.any)
+		b.updateMedian(s.kind, now)
+		r.watch.any = s.newInterval(now)
 	}
-	calm := &r.watch.calm
+	noReading := &r.watch.noReading
 	switch {
-	case len(s.queue.runs) > 0 || calm.begun != s.begun:
-		s.learnSteps(calm)
-		r.watch.calm = s.stretch(now)
-	case calm.add(s, count, now):
-		s.learnSteps(calm)
-		r.watch.calm = s.stretch(now)
+	case len(s.queue.runs) > 0 || noReading.begun != s.begun:
+		s.observeSteps(noReading)
+		r.watch.noReading = s.newInterval(now)
+	case noReading.add(s, count, now):
+		s.observeSteps(noReading)
+		r.watch.noReading = s.newInterval(now)
 	}
 }
 
-// stretch returns one that starts now.
-func (s *server) stretch(now monotime.Instant) stretch {
-	return stretch{from: now, before: s.done, begun: s.begun}
+// newInterval returns an interval that starts now.
+func (s *server) newInterval(now monotime.Instant) interval {
+	return interval{from: now, before: s.done, begun: s.begun}
 }
 
-// add notes events of a stretch and reports whether it is long enough.
-func (w *stretch) add(s *server, count int, now monotime.Instant) bool {
+// add adds events to an interval and reports whether it is long enough for a sample.
+func (w *interval) add(s *server, count int, now monotime.Instant) bool {
 	if w.from == 0 {
-		*w = s.stretch(now)
+		*w = s.newInterval(now)
 		return false
 	}
 	w.events += count
 	w.to, w.after = now, s.done
-	return now.Sub(w.from) >= stretchMin
+	return now.Sub(w.from) >= minInterval
 }
 
-func (w *stretch) sample(s *server) pace.Sample {
+func (w *interval) sample(s *server) pace.Sample {
 	took := w.to.Sub(w.from)
 	return pace.Sample{
 		Steps: w.events * max(1, s.eventTokens), Took: took,
@@ -143,46 +150,49 @@
 	}
 }
 
-// learnSteps teaches the model of a service what a stretch without reading showed.
-func (s *server) learnSteps(w *stretch) {
-	if w.events >= stretchEvents && w.to > w.from {
+// observeSteps passes an interval without reading to the model of the service.
+func (s *server) observeSteps(w *interval) {
+	if w.events >= minIntervalEvents && w.to > w.from {
 		s.kind.model.ObserveSteps(w.sample(s), s.slowness(w.to))
 	}
 }
 
-// noteSlowness compares how long a stretch took with what the model expects.
-func (s *server) noteSlowness(w *stretch) {
+// recordSlowness updates the slowness of a server by the ratio of the time of an interval
+// to the one that the model expects.
+func (s *server) recordSlowness(w *interval) {
 	expected := s.kind.model.Expected(w.sample(s))
 	if w.to <= w.from || expected <= 0 {
 		return
 	}
-	ratio := math.Log(min(max(float64(w.to.Sub(w.from))/float64(expected), 1/slowMost), slowMost))
-	s.slow = math.Exp((1-slowShare)*math.Log(s.slow) + slowShare*ratio)
+	ratio := math.Log(min(max(float64(w.to.Sub(w.from))/float64(expected), 1/maxSlowSample), maxSlowSample))
+	s.slow = math.Exp((1-slownessWeight)*math.Log(s.slow) + slownessWeight*ratio)
 	s.slowAt = w.to
 }
 
-// updateUsual takes the median anew when it is old.
-func (b *Board) updateUsual(kind *engineKind, now monotime.Instant) {
-	if kind.usualAt != 0 && now.Sub(kind.usualAt) < usualAge {
+// updateMedian recomputes the median slowness of a service when it is older than
+// medianMaxAge.
+func (b *Board) updateMedian(kind *engineKind, now monotime.Instant) {
+	if kind.medianAt != 0 && now.Sub(kind.medianAt) < medianMaxAge {
 		return
 	}
 	var of []float64
 	for _, s := range b.servers {
-		if s.kind == kind && s.slowAt != 0 && now.Sub(s.slowAt) < slowMemory {
+		if s.kind == kind && s.slowAt != 0 && now.Sub(s.slowAt) < slownessFadeTime {
 			of = append(of, s.slow)
 		}
 	}
 	if len(of) > 0 {
 		slices.Sort(of)
-		kind.usual, kind.usualAt = of[len(of)/2], now
+		kind.medianSlowness, kind.medianAt = of[len(of)/2], now
 	}
 }
 
-// learnFirst teaches the model how long the first event of r took, if no prompt that
-// is known of waited to be read when it was sent, and none came until then. That the
-// model expects all prompts before to have been read does not do: while it takes
-// engines for too fast, it would learn from requests that waited.
-func (s *server) learnFirst(r *run, now monotime.Instant) {
+// observeFirst passes the time to the first event of r to the model, if no prompt waited
+// to be read when r was sent, as far as reported, and no request was sent until the
+// event. It would not do to rely on the model's prediction that earlier prompts have been
+// read: while the model takes engines for too fast, it would learn from requests that had
+// waited.
+func (s *server) observeFirst(r *run, now monotime.Instant) {
 	if r.work.Prompt == 0 || !r.alone || s.begun != r.order {
 		return
 	}
@@ -190,7 +200,7 @@
 	s.kind.model.ObserveFirst(first, s.slowness(now))
 }
 
-// Paces returns how fast the engines of each service are, as far as it was learned.
+// Paces returns the learned pace of the engines of each service that has samples.
 func (b *Board) Paces() map[string]pace.Pace {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -203,45 +213,44 @@
 	return out
 }
 
-// Learned is the number of samples of the service of which the fewest are known, of
-// those that have any.
-func (b *Board) Learned() int {
+// MinPaceSamples returns the lowest number of samples of any service that has samples.
+func (b *Board) MinPaceSamples() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	least := 0
+	fewest := 0
 	for _, e := range b.kinds {
-		if n := e.model.Samples(); n > 0 && (least == 0 || n < least) {
-			least = n
+		if n := e.model.Samples(); n > 0 && (fewest == 0 || n < fewest) {
+			fewest = n
 		}
 	}
-	return least
+	return fewest
 }
 
-// Evidence returns what this instance has seen of the engines of each service.
-func (b *Board) Evidence() map[string]pace.Evidence {
+// PaceStatistics returns the statistics of the samples of this instance, by service.
+func (b *Board) PaceStatistics() map[string]pace.Statistics {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make(map[string]pace.Evidence)
+	out := make(map[string]pace.Statistics)
 	for service, e := range b.kinds {
-		if told := e.model.Evidence(); told.StepSamples+told.FirstSamples > 0 {
-			out[service] = told
+		if statistics := e.model.Statistics(); statistics.StepSamples+statistics.FirstSamples > 0 {
+			out[service] = statistics
 		}
 	}
 	return out
 }
 
-// Hear takes what another instance has seen of the engines of a service, and reports
-// whether it can be used.
-func (b *Board) Hear(instance, service string, told pace.Evidence) bool {
+// MergePaceStatistics applies the statistics of another instance on the engines of a
+// service, and reports whether they are valid.
+func (b *Board) MergePaceStatistics(instance, service string, statistics pace.Statistics) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.kindOf(service).model.Hear(instance, told)
+	return b.kindOf(service).model.Merge(instance, statistics)
 }
 
 func (b *Board) kindOf(service string) *engineKind {
 	e := b.kinds[service]
 	if e == nil {
-		e = &engineKind{model: pace.NewModel(b.prior), usual: 1, meanReading: meanAtFirst}
+		e = &engineKind{model: pace.NewModel(b.prior), medianSlowness: 1, meanReadTime: initialMeanReadTime}
 		b.kinds[service] = e
 	}
 	return e
