--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -196,7 +196,7 @@
 		if problem == nil {
 			return
 		}
-		f.worst = verdict.Worse(f.worst, problem.Verdict)
+		f.worst = verdict.Worst(f.worst, problem.Verdict)
 		f.logFailedSend(problem)
 		if f.expired() {
 			f.answerExpired()
