--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -294,8 +294,8 @@
 	d.instance.OnLinkDown(monotime.Now(), id)
 }
 
-// Want implements instance.Effects.
-func (d *Daemon) Want(targets []membership.Target) {
+// SetLinkTargets implements instance.Effects.
+func (d *Daemon) SetLinkTargets(targets []membership.Target) {
 	out := make([]peer.Target, 0, len(targets))
 	for _, t := range targets {
 		out = append(out, peer.Target{ID: t.ID, Address: t.Address})
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -71,7 +71,7 @@
 
 // Status returns what the instance believes.
 func (d *Daemon) Status(now monotime.Instant) Status {
-	view := d.instance.Belief(now).View
+	view := d.instance.Status(now).View
 	return Status{
 		Instance:    d.self.Instance,
 		Incarnation: d.self.Token,
@@ -90,7 +90,7 @@
 }
 
 func (d *Daemon) configStatus(now monotime.Instant) ConfigStatus {
-	belief := d.instance.Belief(now)
+	belief := d.instance.Status(now)
 	status := ConfigStatus{
 		ConfirmedAgeS: ageSeconds(belief.ConfirmedAge),
 		PlatformAgeS:  ageSeconds(belief.PlatformAge),
@@ -104,7 +104,7 @@
 }
 
 func (d *Daemon) memberCounts(now monotime.Instant) MemberCounts {
-	belief := d.instance.Belief(now)
+	belief := d.instance.Status(now)
 	return MemberCounts{
 		Version:      belief.View.Version,
 		Known:        belief.View.Known,
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -21,11 +21,11 @@
 	// unconfirmedTTL bounds answers from a view that no peer has confirmed
 	// since the process started or woke: it may name instances long gone.
 	unconfirmedTTL = 5 * time.Second
-	// elsewhere is the number of instances of other data centres in an answer,
+	// remoteInstances is the number of instances of other data centres in an answer,
 	// for the callers to reach when theirs is lost with all its instances.
-	elsewhere = 1
-	// leastWeight keeps a loaded instance in the answers of some customers.
-	leastWeight = 0.05
+	remoteInstances = 1
+	// minWeight keeps a loaded instance in the answers of some customers.
+	minWeight = 0.05
 )
 
 // Query is what an answer depends on.
@@ -54,12 +54,12 @@
 		TTLS:     int(ttl / time.Second),
 		Revision: int(q.Catalog.Revision),
 	}
-	for _, m := range q.choose() {
-		named := callerapi.DirectoryInstance{ID: m.ID, Address: m.CallerAddress, DataCentre: m.DataCentre}
+	for _, m := range q.selectMembers() {
+		instance := callerapi.DirectoryInstance{ID: m.ID, Address: m.CallerAddress, DataCentre: m.DataCentre}
 		if q.Prefix != nil {
-			named.IDPrefix = q.Prefix(m, ttl)
+			instance.IDPrefix = q.Prefix(m, ttl)
 		}
-		out.Instances = append(out.Instances, named)
+		out.Instances = append(out.Instances, instance)
 	}
 	return out
 }
@@ -75,24 +75,24 @@
 // ranked is a member with its place for the customer.
 type ranked struct {
 	*membership.Member
-	suspect bool
-	away    time.Duration
-	score   float64
+	suspect  bool
+	distance time.Duration
+	score    float64
 }
 
-// choose picks the members: the best of this data centre, then the best of the
+// selectMembers picks the members: the best of this data centre, then the best of the
 // nearest other one, then whoever is left.
-func (q Query) choose() []membership.Member {
+func (q Query) selectMembers() []membership.Member {
 	size := q.Catalog.Rules.DirectorySize
-	near, rest := q.rank(q.View.Live, size)
-	if len(near)+len(rest) == 0 {
+	local, others := q.rank(q.View.Live, size)
+	if len(local)+len(others) == 0 {
 		// Everybody leaves, and they all still serve.
-		near, rest = q.rank(q.View.Leaving, size)
+		local, others = q.rank(q.View.Leaving, size)
 	}
-	head := min(len(near), max(1, size-elsewhere))
-	picked := slices.Concat(near[:head], rest, near[head:])
+	localCount := min(len(local), max(1, size-remoteInstances))
+	candidates := slices.Concat(local[:localCount], others, local[localCount:])
 	out := make([]membership.Member, 0, size)
-	for _, r := range picked[:min(size, len(picked))] {
+	for _, r := range candidates[:min(size, len(candidates))] {
 		out = append(out, *r.Member)
 	}
 	return out
@@ -101,29 +101,29 @@
 // rank returns the best members of this data centre and the best others, up to
 // size of each: those under suspicion last, near ones first, then by the
 // customer's weighted rendezvous hash.
-func (q Query) rank(members []membership.Member, size int) (near, rest []ranked) {
+func (q Query) rank(members []membership.Member, size int) (local, others []ranked) {
 	customer := xxhash.Sum64String(q.Customer.Name)
-	away := make(map[string]time.Duration, len(q.Catalog.DataCentres))
+	distances := make(map[string]time.Duration, len(q.Catalog.DataCentres))
 	for i := range members {
 		m := &members[i]
-		d, known := away[m.DataCentre]
-		if !known {
-			d = q.away(m.DataCentre)
-			away[m.DataCentre] = d
+		d, cached := distances[m.DataCentre]
+		if !cached {
+			d = q.distance(m.DataCentre)
+			distances[m.DataCentre] = d
 		}
 		r := ranked{
-			Member:  m,
-			suspect: m.State == membership.Suspect,
-			away:    d,
-			score:   q.score(customer, m.ID),
+			Member:   m,
+			suspect:  m.State == membership.Suspect,
+			distance: d,
+			score:    q.score(customer, m.ID),
 		}
 		if d == 0 && !r.suspect {
-			near = insertBest(near, r, size)
+			local = insertBest(local, r, size)
 		} else {
-			rest = insertBest(rest, r, size)
+			others = insertBest(others, r, size)
 		}
 	}
-	return near, rest
+	return local, others
 }
 
 // insertBest keeps list sorted and no longer than size.
@@ -143,7 +143,7 @@
 		}
 		return -1
 	}
-	if c := cmp.Compare(a.away, b.away); c != 0 {
+	if c := cmp.Compare(a.distance, b.distance); c != 0 {
 		return c
 	}
 	if c := cmp.Compare(b.score, a.score); c != 0 {
@@ -152,8 +152,8 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// away orders data centres by latency; another one is never as near as this.
-func (q Query) away(dataCentre string) time.Duration {
+// distance orders data centres by latency; another one is never as near as this.
+func (q Query) distance(dataCentre string) time.Duration {
 	if dataCentre == q.DataCentre {
 		return 0
 	}
@@ -166,7 +166,7 @@
 func (q Query) score(customer uint64, id string) float64 {
 	weight := 1.0
 	if q.Load != nil {
-		weight = max(leastWeight, 1/max(q.Load(id), leastWeight))
+		weight = max(minWeight, 1/max(q.Load(id), minWeight))
 	}
 	return weight / -math.Log(uniform(customer, xxhash.Sum64String(id)))
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -27,7 +27,7 @@
 	return Query{Catalog: catalog.Compile(7, inv), View: view, DataCentre: "dc0"}
 }
 
-func (q Query) of(customer int) Query {
+func (q Query) forCustomer(customer int) Query {
 	q.Customer = &catalog.Customer{Name: fmt.Sprintf("customer-%d", customer)}
 	return q
 }
@@ -40,9 +40,9 @@
 	return out
 }
 
-func TestNearInstancesFirstAndOneElsewhere(t *testing.T) {
+func TestLocalInstancesFirstAndOneRemote(t *testing.T) {
 	for customer := range 100 {
-		got := Answer(testQuery(21, 7).of(customer)).Instances
+		got := Answer(testQuery(21, 7).forCustomer(customer)).Instances
 		if len(got) != 3 || got[0].DataCentre != "dc0" || got[1].DataCentre != "dc0" {
 			t.Fatalf("customer %d: %+v", customer, got)
 		}
@@ -52,35 +52,35 @@
 	}
 }
 
-func TestLeavingInstanceDropsOutAtOnce(t *testing.T) {
+func TestLeavingInstanceIsNotListed(t *testing.T) {
 	// An instance gets SIGTERM and says that it leaves. The next answer to any
 	// caller must not name it, and answers that did not name it must not change.
 	q := testQuery(21, 3)
 	after := q
-	leaver := q.View.Live[6]
-	after.View = &membership.View{Confirmed: true, Leaving: []membership.Member{leaver}}
+	leaving := q.View.Live[6]
+	after.View = &membership.View{Confirmed: true, Leaving: []membership.Member{leaving}}
 	after.View.Live = append(append(after.View.Live, q.View.Live[:6]...), q.View.Live[7:]...)
 	for customer := range 500 {
-		before, now := q.of(customer).ids(), after.of(customer).ids()
-		named := false
+		before, now := q.forCustomer(customer).ids(), after.forCustomer(customer).ids()
+		listed := false
 		for _, id := range before {
-			named = named || id == leaver.ID
+			listed = listed || id == leaving.ID
 		}
-		if !named && fmt.Sprint(before) != fmt.Sprint(now) {
+		if !listed && fmt.Sprint(before) != fmt.Sprint(now) {
 			t.Errorf("customer %d: %v became %v", customer, before, now)
 		}
 		for _, id := range now {
-			if id == leaver.ID {
+			if id == leaving.ID {
 				t.Errorf("customer %d is sent to a leaving instance", customer)
 			}
 		}
 	}
 }
 
-func TestLastResorts(t *testing.T) {
+func TestSuspectAndLeavingMembersAreUsedLast(t *testing.T) {
 	// Few instances are left: one under suspicion is better than none, and so
 	// is a leaving one. An unconfirmed view gives a short-lived answer.
-	q := testQuery(2, 1).of(1)
+	q := testQuery(2, 1).forCustomer(1)
 	q.View.Live[0].State = membership.Suspect
 	if got := q.ids(); len(got) != 2 || got[1] != "i000" {
 		t.Errorf("got %v, want the suspect last", got)
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestLoadedInstanceGetsFewer(t *testing.T) {
+func TestLoadedInstanceGetsFewerCustomers(t *testing.T) {
 	// An instance is twice as loaded as the others. It must lose about half of
 	// its customers, and nobody who did not use it may be moved.
 	q := testQuery(20, 1)
@@ -109,7 +109,7 @@
 	}
 	before, after := 0, 0
 	for customer := range 20000 {
-		old, now := q.of(customer).ids()[0], loaded.of(customer).ids()[0]
+		old, now := q.forCustomer(customer).ids()[0], loaded.forCustomer(customer).ids()[0]
 		if old == "i007" {
 			before++
 		}
@@ -130,48 +130,48 @@
 	return slices.DeleteFunc(slices.Clone(ids), func(id string) bool { return slices.Contains(drop, id) })
 }
 
-func TestSpread(t *testing.T) {
-	const leaver = "i000"
+func TestDepartedInstanceMovesOnlyItsOwnListings(t *testing.T) {
+	const leaving = "i000"
 	const sample = 10
 	for _, size := range []struct{ instances, dataCentres, customers int }{{8, 3, 10}, {8, 3, 1000}, {360, 7, 27000}} {
 		q := testQuery(size.instances, size.dataCentres)
 		fewer := q
 		fewer.View = &membership.View{Confirmed: true, Live: q.View.Live[1:]}
-		named := map[string]int{}
+		listings := map[string]int{}
 		moved, total := 0, 0
 		for customer := range size.customers {
 			// Customers ask in the data centre that they are near to.
 			dc := fmt.Sprintf("dc%d", customer%size.dataCentres)
 			q.DataCentre, fewer.DataCentre = dc, dc
-			before := q.of(customer).ids()
+			before := q.forCustomer(customer).ids()
 			total += len(before)
 			for _, id := range before {
-				named[id]++
+				listings[id]++
 			}
 			// Only the names of the instance that left may move.
-			if slices.Contains(before, leaver) {
-				after := fewer.of(customer).ids()
+			if slices.Contains(before, leaving) {
+				after := fewer.forCustomer(customer).ids()
 				moved += len(without(before, after))
 			} else if customer%sample == 0 {
-				moved += len(without(before, fewer.of(customer).ids()))
+				moved += len(without(before, fewer.forCustomer(customer).ids()))
 			}
 		}
-		most := 0
-		for _, n := range named {
-			most = max(most, n)
+		maxListings := 0
+		for _, n := range listings {
+			maxListings = max(maxListings, n)
 		}
 		mean := float64(total) / float64(size.instances)
 		t.Logf("%d customers on %d instances in %d data centres: mean %.1f customers an instance, max/mean %.2f; one instance gone moves %.2f%% of the names (its share is %.2f%%)",
-			size.customers, size.instances, size.dataCentres, mean, float64(most)/mean,
-			100*float64(moved)/float64(total), 100*float64(named[leaver])/float64(total))
-		if moved != named[leaver] {
-			t.Errorf("%d names moved, %d named the instance that left", moved, named[leaver])
+			size.customers, size.instances, size.dataCentres, mean, float64(maxListings)/mean,
+			100*float64(moved)/float64(total), 100*float64(listings[leaving])/float64(total))
+		if moved != listings[leaving] {
+			t.Errorf("%d names moved, %d named the instance that left", moved, listings[leaving])
 		}
 	}
 }
 
 func BenchmarkAnswer(b *testing.B) {
-	q := testQuery(360, 7).of(1)
+	q := testQuery(360, 7).forCustomer(1)
 	for b.Loop() {
 		Answer(q)
 	}
--- a/internal/instance/fleet_test.go
+++ b/internal/instance/fleet_test.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	hop        = 2 * time.Millisecond
-	answerIn   = 200 * time.Millisecond
-	peerPort   = "127.0.0.1:1"
-	addressEnd = ".peer:1"
-	noticed    = 3 * time.Second
-	platformT  = 5 * time.Millisecond
+	linkDelay        = 2 * time.Millisecond
+	engineDelay      = 200 * time.Millisecond
+	peerPort         = "127.0.0.1:1"
+	addressSuffix    = ".peer:1"
+	propagationLimit = 3 * time.Second
+	platformDelay    = 5 * time.Millisecond
 )
 
 var errUnreachable = errors.New("unreachable")
@@ -41,52 +41,52 @@
 // the network: it carries envelopes, and drops what crosses a cut.
 type fleet struct {
 	vtime.Loop
-	t        *testing.T
-	procs    []*process
-	starts   int
-	revision uint64
-	// served is the revision that the platform tells; a stale one tells an older.
-	served map[uint64][]byte
-	chunks map[string][]byte
-	tells  uint64
-	down   bool
-	// cut tells whether two places cannot reach each other; "" is the platform.
-	cut func(a, b string) bool
+	t              *testing.T
+	procs          []*process
+	starts         int
+	latestRevision uint64
+	// manifests is the revision that the platform tells; a stale one tells an older.
+	manifests      map[uint64][]byte
+	chunks         map[string][]byte
+	servedRevision uint64
+	platformDown   bool
+	// partitioned tells whether two places cannot reach each other; "" is the platform.
+	partitioned func(a, b string) bool
 	// runs counts starts at engines by request id.
 	runs map[string]int
 	// startedAt tells when a server last got new work.
-	startedAt map[string]monotime.Instant
-	answers   map[string]*verdict.Error
-	ended     map[string]bool
-	upstream  func(a node.Attempt) *verdict.Error
+	startedAt   map[string]monotime.Instant
+	errs        map[string]*verdict.Error
+	ended       map[string]bool
+	engineError func(a node.Attempt) *verdict.Error
 }
 
 type process struct {
-	f      *fleet
-	id     string
-	dc     string
-	inst   *Instance
-	self   reqid.Incarnation
-	began  monotime.Instant
-	links  map[string]bool
-	wanted []membership.Target
-	dead   bool
-	asleep monotime.Instant
-	missed []func()
-	inform uint64
+	f                 *fleet
+	id                string
+	dc                string
+	inst              *Instance
+	self              reqid.Incarnation
+	bootedAt          monotime.Instant
+	links             map[string]bool
+	linkTargets       []membership.Target
+	dead              bool
+	pausedUntil       monotime.Instant
+	deferred          []func()
+	installedRevision uint64
 }
 
 func newFleet(t *testing.T, count int) *fleet {
 	f := &fleet{
-		t:         t,
-		served:    make(map[uint64][]byte),
-		chunks:    make(map[string][]byte),
-		cut:       func(string, string) bool { return false },
-		runs:      make(map[string]int),
-		startedAt: make(map[string]monotime.Instant),
-		answers:   make(map[string]*verdict.Error),
-		ended:     make(map[string]bool),
-		upstream:  func(node.Attempt) *verdict.Error { return nil },
+		t:           t,
+		manifests:   make(map[uint64][]byte),
+		chunks:      make(map[string][]byte),
+		partitioned: func(string, string) bool { return false },
+		runs:        make(map[string]int),
+		startedAt:   make(map[string]monotime.Instant),
+		errs:        make(map[string]*verdict.Error),
+		ended:       make(map[string]bool),
+		engineError: func(node.Attempt) *verdict.Error { return nil },
 	}
 	f.Run(time.Second)
 	f.publish("")
@@ -102,7 +102,7 @@
 
 // publish puts a revision out in which the named server is withdrawn.
 func (f *fleet) publish(withdrawn string) {
-	f.revision++
+	f.latestRevision++
 	text := `
 [[data_centres]]
 name = "dc0"
@@ -133,12 +133,12 @@
 			"[[servers.engines]]\nname = \"e\"\nmodels = [\"m\"]\nslots = 8\n", name, i%2, 9000+i, name == withdrawn)
 	}
 	sum := sha256.Sum256([]byte(text))
-	key := fmt.Sprintf("inventory-%d.toml", f.revision)
+	key := fmt.Sprintf("inventory-%d.toml", f.latestRevision)
 	f.chunks[key] = []byte(text)
-	manifest, _ := json.Marshal(platformapi.Manifest{Revision: int(f.revision), Chunks: []platformapi.Chunk{
+	manifest, _ := json.Marshal(platformapi.Manifest{Revision: int(f.latestRevision), Chunks: []platformapi.Chunk{
 		{Key: key, SHA256: hex.EncodeToString(sum[:]), Bytes: len(text)}}})
-	f.served[f.revision] = manifest
-	f.tells = f.revision
+	f.manifests[f.latestRevision] = manifest
+	f.servedRevision = f.latestRevision
 }
 
 func (f *fleet) list() *platformapi.InstanceList {
@@ -146,7 +146,7 @@
 	for _, p := range f.procs {
 		if !p.dead {
 			list.Instances = append(list.Instances, platformapi.Instance{ID: p.id, DataCentre: p.dc,
-				CallerAddress: peerPort, PeerAddress: p.id + addressEnd, State: platformapi.InstanceStateLive})
+				CallerAddress: peerPort, PeerAddress: p.id + addressSuffix, State: platformapi.InstanceStateLive})
 		}
 	}
 	return list
@@ -154,26 +154,26 @@
 
 func (p *process) boot() {
 	p.f.starts++
-	p.dead, p.missed, p.asleep = false, nil, 0
-	p.began = p.f.Now()
+	p.dead, p.deferred, p.pausedUntil = false, nil, 0
+	p.bootedAt = p.f.Now()
 	p.links = make(map[string]bool)
 	p.self = reqid.NewIncarnation(p.id, time.UnixMilli(int64(p.f.Now()/1e6)), uint32(p.f.starts))
 	p.inst = New(p.clock(), Config{
 		Node: node.Config{Self: p.self, DataCentre: p.dc, Policy: sched.Default(), Seed: uint64(p.f.starts)},
 		Self: membership.Member{ID: p.id, Incarnation: p.self.Token, DataCentre: p.dc,
-			CallerAddress: peerPort, PeerAddress: p.id + addressEnd, Epoch: uint64(p.f.Now() / 1e9)},
-		Seeds: []string{"i0" + addressEnd, "i1" + addressEnd},
+			CallerAddress: peerPort, PeerAddress: p.id + addressSuffix, Epoch: uint64(p.f.Now() / 1e9)},
+		Seeds: []string{"i0" + addressSuffix, "i1" + addressSuffix},
 	}, &fleetEffects{p})
 	p.tick(p.self)
 }
 
-func (p *process) clock() monotime.Instant { return p.f.Now() - p.began + 1 }
+func (p *process) clock() monotime.Instant { return p.f.Now() - p.bootedAt + 1 }
 
 func (p *process) deliver(self reqid.Incarnation, do func()) {
 	switch {
 	case p.dead || p.self != self:
-	case p.f.Now() < p.asleep:
-		p.missed = append(p.missed, do)
+	case p.f.Now() < p.pausedUntil:
+		p.deferred = append(p.deferred, do)
 	default:
 		do()
 	}
@@ -183,19 +183,19 @@
 	if p.dead || p.self != self {
 		return
 	}
-	if p.f.Now() >= p.asleep {
+	if p.f.Now() >= p.pausedUntil {
 		p.inst.Tick(p.clock())
-		p.tendLinks()
+		p.updateLinks()
 	}
 	p.f.After(TickInterval, func() { p.tick(self) })
 }
 
 func (p *process) pause(d time.Duration) {
-	p.asleep = p.f.Now().Add(d)
+	p.pausedUntil = p.f.Now().Add(d)
 	self := p.self
 	p.f.After(d, func() {
-		missed := p.missed
-		p.missed = nil
+		missed := p.deferred
+		p.deferred = nil
 		for _, do := range missed {
 			p.deliver(self, do)
 		}
@@ -216,19 +216,19 @@
 	p.deliver(p.self, func() { p.inst.OnLinkDown(p.clock(), id) })
 }
 
-// tendLinks opens wanted links that can be opened and drops those that are cut.
-func (p *process) tendLinks() {
-	for _, id := range p.linked() {
-		if p.f.cut(p.id, id) {
+// updateLinks opens wanted links that can be opened and drops those that are cut.
+func (p *process) updateLinks() {
+	for _, id := range p.linkedPeers() {
+		if p.f.partitioned(p.id, id) {
 			p.unlink(id)
 		}
 	}
-	for _, target := range p.wanted {
-		p.open(strings.TrimSuffix(target.Address, addressEnd))
+	for _, target := range p.linkTargets {
+		p.open(strings.TrimSuffix(target.Address, addressSuffix))
 	}
 }
 
-func (p *process) linked() []string {
+func (p *process) linkedPeers() []string {
 	var out []string
 	for id := range p.links {
 		out = append(out, id)
@@ -239,13 +239,13 @@
 
 func (p *process) open(id string) bool {
 	q := p.f.proc(id)
-	if q == nil || q == p || q.dead || q.inst == nil || p.f.cut(p.id, id) || p.f.Now() < q.asleep {
+	if q == nil || q == p || q.dead || q.inst == nil || p.f.partitioned(p.id, id) || p.f.Now() < q.pausedUntil {
 		return p.links[id]
 	}
 	if !p.links[id] {
 		p.links[id], q.links[p.id] = true, true
-		p.f.After(hop, func() { p.deliver(p.self, func() { p.inst.OnLinkUp(p.clock(), id) }) })
-		p.f.After(hop, func() { q.deliver(q.self, func() { q.inst.OnLinkUp(q.clock(), p.id) }) })
+		p.f.After(linkDelay, func() { p.deliver(p.self, func() { p.inst.OnLinkUp(p.clock(), id) }) })
+		p.f.After(linkDelay, func() { q.deliver(q.self, func() { q.inst.OnLinkUp(q.clock(), p.id) }) })
 	}
 	return true
 }
@@ -264,7 +264,7 @@
 	prefix, _ := p.self.Prefix(time.UnixMilli(int64(f.Now()/1e6)), node.IDLifetime)
 	f.starts++
 	id := fmt.Sprintf("%sr%d", prefix, f.starts)
-	p.deliver(p.self, func() { f.answerOf(id, p.submit(id)) })
+	p.deliver(p.self, func() { f.recordAnswer(id, p.submit(id)) })
 	return id
 }
 
@@ -278,10 +278,10 @@
 	return err
 }
 
-func (f *fleet) answerOf(id string, err *verdict.Error) {
+func (f *fleet) recordAnswer(id string, err *verdict.Error) {
 	if err != nil {
 		f.ended[id] = true
-		f.answers[id] = err
+		f.errs[id] = err
 	}
 }
 
@@ -292,12 +292,12 @@
 	p := e.p
 	q := p.f.proc(to)
 	if !p.open(to) {
-		p.f.After(hop, func() { p.unlink(to) })
+		p.f.After(linkDelay, func() { p.unlink(to) })
 		return
 	}
 	self := q.self
-	p.f.After(hop, func() {
-		if !p.f.cut(p.id, to) {
+	p.f.After(linkDelay, func() {
+		if !p.f.partitioned(p.id, to) {
 			q.deliver(self, func() { q.inst.OnEnvelope(q.clock(), p.id, env) })
 		}
 	})
@@ -309,8 +309,8 @@
 		f.runs[a.RequestID]++
 		f.startedAt[a.Engine.Server.Spec.Name] = f.Now()
 	}
-	err := f.upstream(a)
-	f.After(answerIn, func() {
+	err := f.engineError(a)
+	f.After(engineDelay, func() {
 		p.deliver(self, func() {
 			a.Progress.Token(p.clock())
 			p.inst.Node().AttemptEnded(p.clock(), a.Seq, a.Number, err)
@@ -323,8 +323,8 @@
 func (e *fleetEffects) Finish(id string, err *verdict.Error) {
 	f, p, self := e.p.f, e.p, e.p.self
 	f.ended[id] = true
-	f.answers[id] = err
-	f.After(hop, func() {
+	f.errs[id] = err
+	f.After(linkDelay, func() {
 		p.deliver(self, func() { p.inst.Node().Delivered(p.clock(), id) })
 	})
 }
@@ -335,15 +335,15 @@
 		e.p.f.t.Logf("%s: %+v", e.p.id, event)
 	}
 }
-func (e *fleetEffects) Want(t []membership.Target)     { e.p.wanted = t }
-func (e *fleetEffects) Installed(cat *catalog.Catalog) { e.p.inform = cat.Revision }
+func (e *fleetEffects) SetLinkTargets(t []membership.Target) { e.p.linkTargets = t }
+func (e *fleetEffects) Installed(cat *catalog.Catalog)       { e.p.installedRevision = cat.Revision }
 
-// ask carries a call to the platform.
-func (e *fleetEffects) ask(wait time.Duration, answer func(now monotime.Instant, err error)) {
+// callPlatform carries a call to the platform.
+func (e *fleetEffects) callPlatform(wait time.Duration, answer func(now monotime.Instant, err error)) {
 	p, self := e.p, e.p.self
-	p.f.After(wait+platformT, func() {
+	p.f.After(wait+platformDelay, func() {
 		var err error
-		if p.f.down || p.f.cut(p.id, "") {
+		if p.f.platformDown || p.f.partitioned(p.id, "") {
 			err = errUnreachable
 		}
 		p.deliver(self, func() { answer(p.clock(), err) })
@@ -352,7 +352,7 @@
 
 func (e *fleetEffects) Watch(call confsync.Call, revision uint64, instances int, wait time.Duration) {
 	f := e.p.f
-	news := f.tells > revision || f.starts > instances
+	changed := f.servedRevision > revision || f.starts > instances
 	deadline := f.Now().Add(wait)
 	self := e.p.self
 	var poll func()
@@ -360,11 +360,11 @@
 		if e.p.dead || e.p.self != self {
 			return
 		}
-		news = f.tells > revision || f.starts > instances
-		if news || f.Now() >= deadline || f.down || f.cut(e.p.id, "") {
-			e.ask(0, func(now monotime.Instant, err error) {
-				answer := &platformapi.WatchAnswer{Revision: int(f.tells), InstancesVersion: f.starts}
-				if !news {
+		changed = f.servedRevision > revision || f.starts > instances
+		if changed || f.Now() >= deadline || f.platformDown || f.partitioned(e.p.id, "") {
+			e.callPlatform(0, func(now monotime.Instant, err error) {
+				answer := &platformapi.WatchAnswer{Revision: int(f.servedRevision), InstancesVersion: f.starts}
+				if !changed {
 					answer = nil
 				}
 				e.p.inst.OnWatch(now, call, answer, err)
@@ -377,15 +377,15 @@
 }
 
 func (e *fleetEffects) FetchManifest(call confsync.Call) {
-	data := e.p.f.served[e.p.f.tells]
-	e.ask(0, func(now monotime.Instant, err error) { e.p.inst.OnManifest(now, call, data, err) })
+	data := e.p.f.manifests[e.p.f.servedRevision]
+	e.callPlatform(0, func(now monotime.Instant, err error) { e.p.inst.OnManifest(now, call, data, err) })
 }
 
 func (e *fleetEffects) FetchChunk(call confsync.Call, key string) {
-	e.ask(0, func(now monotime.Instant, err error) { e.p.inst.OnChunk(now, call, e.p.f.chunks[key], err) })
+	e.callPlatform(0, func(now monotime.Instant, err error) { e.p.inst.OnChunk(now, call, e.p.f.chunks[key], err) })
 }
 
 func (e *fleetEffects) FetchInstances(call confsync.Call) {
 	list := e.p.f.list()
-	e.ask(0, func(now monotime.Instant, err error) { e.p.inst.OnInstances(now, call, list, err) })
+	e.callPlatform(0, func(now monotime.Instant, err error) { e.p.inst.OnInstances(now, call, list, err) })
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -40,8 +40,8 @@
 	Report(event confsync.Event)
 	// Installed tells that a configuration is in force.
 	Installed(cat *catalog.Catalog)
-	// Want tells which peers to keep links to.
-	Want(targets []membership.Target)
+	// SetLinkTargets tells which peers to keep links to.
+	SetLinkTargets(targets []membership.Target)
 }
 
 // Config configures an Instance.
@@ -59,15 +59,15 @@
 	eff  Effects
 	node *node.Node
 
-	mu      sync.Mutex
-	parser  inventory.Parser
-	members *membership.Core
-	conf    *confsync.Core
-	version uint64
+	mu          sync.Mutex
+	parser      inventory.Parser
+	members     *membership.Core
+	conf        *confsync.Core
+	viewVersion uint64
 	// lastConfirmed outlasts pauses, in which the core forgets its confirmation.
-	lastConfirmed monotime.Instant
-	synced        bool
-	paused        bool
+	lastConfirmed  monotime.Instant
+	viewPropagated bool
+	wasPaused      bool
 }
 
 // New returns an instance that knows nothing yet.
@@ -93,42 +93,42 @@
 // Tick does what is due; call it every TickInterval.
 func (i *Instance) Tick(now monotime.Instant) {
 	i.node.Tick(now)
-	i.update(now, func() {
-		i.noticePause(now)
+	i.apply(now, func() {
+		i.checkPause(now)
 		i.members.Tick(now, peerEffects{i})
 		i.conf.Tick(now, i.confEffects(now))
 	})
 }
 
-// noticePause asks for a confirmation at once when the node holds dispatch back.
-func (i *Instance) noticePause(now monotime.Instant) {
+// checkPause asks for a confirmation at once when the node holds dispatch back.
+func (i *Instance) checkPause(now monotime.Instant) {
 	since, paused := i.node.Paused()
-	if paused && !i.paused {
+	if paused && !i.wasPaused {
 		i.conf.OnPaused(now, now.Sub(since), i.confEffects(now))
 	}
-	i.paused = paused
+	i.wasPaused = paused
 }
 
-// update runs do and then passes on what it changed.
-func (i *Instance) update(now monotime.Instant, do func()) {
+// apply runs do and then passes on what it changed.
+func (i *Instance) apply(now monotime.Instant, do func()) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	do()
 	i.members.SetRevision(i.conf.Revision())
-	i.passView(now)
-	i.eff.Want(i.members.Wanted())
+	i.propagateView(now)
+	i.eff.SetLinkTargets(i.members.Wanted())
 	_, age := i.conf.Confirmed(now)
 	if age != confsync.NeverConfirmed {
 		i.node.Confirm(now, now.Add(-age))
 		i.lastConfirmed = now.Add(-age)
 	}
-	i.node.SetCutOff(i.cutOff(now))
+	i.node.SetCutOff(i.isolated(now))
 }
 
-// cutOff reports whether the instance has been without a confirmation for longer
+// isolated reports whether the instance has been without a confirmation for longer
 // than the rules allow. A fleet of one has nobody to be cut off from: for it the
 // platform's silence alone says nothing.
-func (i *Instance) cutOff(now monotime.Instant) bool {
+func (i *Instance) isolated(now monotime.Instant) bool {
 	cat := i.node.Catalog()
 	view := i.node.View()
 	if cat == nil || view == nil || view.Known <= 1 {
@@ -138,13 +138,13 @@
 	return now.Sub(i.lastConfirmed) > limit
 }
 
-func (i *Instance) passView(now monotime.Instant) {
+func (i *Instance) propagateView(now monotime.Instant) {
 	view := i.members.View()
-	if i.synced && view.Version == i.version {
+	if i.viewPropagated && view.Version == i.viewVersion {
 		return
 	}
-	i.synced = true
-	i.version = view.Version
+	i.viewPropagated = true
+	i.viewVersion = view.Version
 	i.node.SetView(now, view)
 	live := make([]confsync.Member, 0, len(view.Live))
 	for _, m := range view.Live {
@@ -156,19 +156,19 @@
 // OnLinkUp tells that a link to a peer is open.
 func (i *Instance) OnLinkUp(now monotime.Instant, id string) {
 	i.node.LinkUp(now, id)
-	i.update(now, func() { i.members.OnLinkUp(now, id, peerEffects{i}) })
+	i.apply(now, func() { i.members.OnLinkUp(now, id, peerEffects{i}) })
 }
 
 // OnLinkDown tells that a link to a peer broke or cannot be opened.
 func (i *Instance) OnLinkDown(now monotime.Instant, id string) {
 	i.node.LinkDown(now, id)
-	i.update(now, func() { i.members.OnLinkDown(now, id) })
+	i.apply(now, func() { i.members.OnLinkDown(now, id) })
 }
 
 // OnEnvelope takes a message of a peer.
 func (i *Instance) OnEnvelope(now monotime.Instant, from string, env *wire.Envelope) {
 	if hasCoordination(env) {
-		i.update(now, func() { i.coordinate(now, from, env) })
+		i.apply(now, func() { i.handleCoordination(now, from, env) })
 	}
 	i.node.OnEnvelope(now, from, env)
 }
@@ -178,9 +178,9 @@
 		env.ConfigOffer != nil || env.ConfigWant != nil || env.ConfigPart != nil
 }
 
-// coordinate handles the parts in the order that the links promise: a table
+// handleCoordination handles the parts in the order that the links promise: a table
 // that was sent together with a ping is read before the ping confirms it.
-func (i *Instance) coordinate(now monotime.Instant, from string, env *wire.Envelope) {
+func (i *Instance) handleCoordination(now monotime.Instant, from string, env *wire.Envelope) {
 	if len(env.Members) > 0 {
 		i.members.OnMembers(now, from, env.Members, peerEffects{i})
 	}
@@ -206,22 +206,22 @@
 
 // OnWatch answers Effects.Watch.
 func (i *Instance) OnWatch(now monotime.Instant, call confsync.Call, answer *platformapi.WatchAnswer, err error) {
-	i.update(now, func() { i.conf.OnWatch(now, call, answer, err, i.confEffects(now)) })
+	i.apply(now, func() { i.conf.OnWatch(now, call, answer, err, i.confEffects(now)) })
 }
 
 // OnManifest answers Effects.FetchManifest.
 func (i *Instance) OnManifest(now monotime.Instant, call confsync.Call, data []byte, err error) {
-	i.update(now, func() { i.conf.OnManifest(now, call, data, err, i.confEffects(now)) })
+	i.apply(now, func() { i.conf.OnManifest(now, call, data, err, i.confEffects(now)) })
 }
 
 // OnChunk answers Effects.FetchChunk.
 func (i *Instance) OnChunk(now monotime.Instant, call confsync.Call, data []byte, err error) {
-	i.update(now, func() { i.conf.OnChunk(now, call, data, err, i.confEffects(now)) })
+	i.apply(now, func() { i.conf.OnChunk(now, call, data, err, i.confEffects(now)) })
 }
 
 // OnInstances answers Effects.FetchInstances.
 func (i *Instance) OnInstances(now monotime.Instant, call confsync.Call, list *platformapi.InstanceList, err error) {
-	i.update(now, func() {
+	i.apply(now, func() {
 		version := 0
 		if err == nil {
 			version = list.Version
@@ -245,16 +245,16 @@
 // Leave announces that the instance takes no new work from now on; it goes on
 // serving whoever still comes.
 func (i *Instance) Leave(now monotime.Instant) {
-	i.update(now, func() { i.members.Leave(now, peerEffects{i}) })
+	i.apply(now, func() { i.members.Leave(now, peerEffects{i}) })
 }
 
 // Goodbye announces that the process ends now.
 func (i *Instance) Goodbye(now monotime.Instant) {
-	i.update(now, func() { i.members.Goodbye(now, peerEffects{i}) })
+	i.apply(now, func() { i.members.Goodbye(now, peerEffects{i}) })
 }
 
-// Belief is what an instance knows besides its requests.
-type Belief struct {
+// Status is what an instance knows besides its requests.
+type Status struct {
 	// View of the membership.
 	View *membership.View
 	// Members counts the events of the membership.
@@ -269,12 +269,12 @@
 	PlatformAge time.Duration
 }
 
-// Belief returns what the instance knows.
-func (i *Instance) Belief(now monotime.Instant) Belief {
+// Status returns what the instance knows.
+func (i *Instance) Status(now monotime.Instant) Status {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	_, age := i.conf.Confirmed(now)
-	return Belief{
+	return Status{
 		View:         i.members.View(),
 		Members:      i.members.Stats(),
 		Conf:         i.conf.Stats(),
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -8,21 +8,21 @@
 	"basilrudder/internal/verdict"
 )
 
-// settle gives a new fleet time to find itself.
-const settle = 10 * time.Second
+// convergenceTime gives a new fleet time to find itself.
+const convergenceTime = 10 * time.Second
 
-func (f *fleet) wantRevision(p *process, want uint64) {
+func (f *fleet) checkRevision(p *process, want uint64) {
 	f.t.Helper()
-	if p.inform != want {
-		f.t.Errorf("%s has revision %d in force, want %d", p.id, p.inform, want)
+	if p.installedRevision != want {
+		f.t.Errorf("%s has revision %d in force, want %d", p.id, p.installedRevision, want)
 	}
 }
 
-func (f *fleet) wantAnswers(ids []string) {
+func (f *fleet) checkAnswers(ids []string) {
 	f.t.Helper()
 	for _, id := range ids {
-		if !f.ended[id] || f.answers[id] != nil {
-			f.t.Errorf("%s: ended %v, error %v", id, f.ended[id], f.answers[id])
+		if !f.ended[id] || f.errs[id] != nil {
+			f.t.Errorf("%s: ended %v, error %v", id, f.ended[id], f.errs[id])
 		}
 		if f.runs[id] != 1 {
 			f.t.Errorf("%s ran %d times", id, f.runs[id])
@@ -30,19 +30,19 @@
 	}
 }
 
-func TestFleetServesAndTakesChangesWithinThreeSeconds(t *testing.T) {
+func TestFleetInstallsChangeWithinThreeSeconds(t *testing.T) {
 	f := newFleet(t, 6)
-	f.Run(settle)
+	f.Run(convergenceTime)
 	var ids []string
 	for _, p := range f.procs {
 		ids = append(ids, f.send(p))
 	}
 	f.Run(time.Second)
-	f.wantAnswers(ids)
+	f.checkAnswers(ids)
 	f.publish("s0")
-	f.Run(noticed)
+	f.Run(propagationLimit)
 	for _, p := range f.procs {
-		f.wantRevision(p, 2)
+		f.checkRevision(p, 2)
 	}
 }
 
@@ -50,14 +50,14 @@
 // instance sleeps while a server is withdrawn, and wakes cut off from the
 // platform with its peers still there. It must ask them before it dispatches:
 // the old configuration in its memory still names the server.
-func TestPausedInstanceWakesInAPartition(t *testing.T) {
+func TestPausedInstanceConfirmsBeforeDispatch(t *testing.T) {
 	f := newFleet(t, 4)
-	f.Run(settle)
+	f.Run(convergenceTime)
 	p := f.procs[0]
 	p.pause(6 * time.Second)
 	f.Run(time.Second)
 	f.publish("s0")
-	f.cut = func(a, b string) bool { return a == p.id && b == "" }
+	f.partitioned = func(a, b string) bool { return a == p.id && b == "" }
 	published := f.Now()
 	f.Run(5*time.Second - time.Millisecond)
 	var ids []string
@@ -65,9 +65,9 @@
 		ids = append(ids, f.send(p))
 	}
 	f.Run(5 * time.Second)
-	f.wantRevision(p, 2)
-	f.wantAnswers(ids)
-	if late := f.startedAt["s0"]; late > published.Add(noticed) {
+	f.checkRevision(p, 2)
+	f.checkAnswers(ids)
+	if late := f.startedAt["s0"]; late > published.Add(propagationLimit) {
 		t.Errorf("the withdrawn server got work %v after it was withdrawn", late.Sub(published))
 	}
 }
@@ -75,36 +75,36 @@
 // What operators see: nothing goes back. The platform serves an old revision
 // while all instances but one are replaced. The new processes hear the old
 // revision from the platform and the newer one from the instance that stayed.
-func TestStalePlatformAndReplacementOfAllButOne(t *testing.T) {
+func TestStalePlatformDoesNotRevertRevision(t *testing.T) {
 	f := newFleet(t, 4)
-	f.Run(settle)
+	f.Run(convergenceTime)
 	f.publish("s0")
-	f.Run(noticed)
-	f.tells = 1
+	f.Run(propagationLimit)
+	f.servedRevision = 1
 	for _, p := range f.procs[1:] {
 		p.kill()
 		f.Run(500 * time.Millisecond)
 		p.boot()
 		f.Run(5 * time.Second)
 	}
-	f.Run(settle)
+	f.Run(convergenceTime)
 	for _, p := range f.procs {
-		f.wantRevision(p, 2)
+		f.checkRevision(p, 2)
 	}
 	var ids []string
 	for _, p := range f.procs {
 		ids = append(ids, f.send(p))
 	}
 	f.Run(2 * time.Second)
-	f.wantAnswers(ids)
+	f.checkAnswers(ids)
 }
 
 // What the caller sees: its request is answered although the instance that was
 // scheduling it died. In a burst every instance waits for slots of every owner;
 // one owner is killed; the others ask the next owner as soon as the link breaks.
-func TestOwnerDiesInABurst(t *testing.T) {
+func TestRequestsSurviveOwnerCrash(t *testing.T) {
 	f := newFleet(t, 6)
-	f.Run(settle)
+	f.Run(convergenceTime)
 	victim := f.procs[0]
 	var ids []string
 	for round := range 10 {
@@ -117,7 +117,7 @@
 		f.Run(20 * time.Millisecond)
 	}
 	f.Run(500 * time.Millisecond)
-	f.wantAnswers(ids)
+	f.checkAnswers(ids)
 }
 
 // What the caller sees: "may have run", never a second run. Its instance dies
@@ -126,14 +126,14 @@
 // names, so neither may start it.
 func TestRetryElsewhereAfterACrashDoesNotRunTwice(t *testing.T) {
 	f := newFleet(t, 4)
-	f.Run(settle)
+	f.Run(convergenceTime)
 	p := f.procs[0]
 	id := f.send(p)
 	f.Run(50 * time.Millisecond)
 	p.kill()
 	f.Run(200 * time.Millisecond)
 	p.boot()
-	f.Run(settle)
+	f.Run(convergenceTime)
 	for _, other := range f.procs {
 		err := other.submit(id)
 		if err == nil || err.Verdict != verdict.MayHaveRun {
@@ -149,11 +149,11 @@
 // What the caller sees: the whole answer, during a shutdown. The engine's
 // connection goes silent while the instance drains; the node resumes the same
 // run at the same engine, and the drain waits for it.
-func TestSilentEngineConnectionDuringDrain(t *testing.T) {
+func TestDrainWaitsForResumption(t *testing.T) {
 	f := newFleet(t, 4)
-	f.Run(settle)
+	f.Run(convergenceTime)
 	p := f.procs[0]
-	f.upstream = func(a node.Attempt) *verdict.Error {
+	f.engineError = func(a node.Attempt) *verdict.Error {
 		if a.Resume {
 			return nil
 		}
@@ -168,7 +168,7 @@
 		t.Error("drained with a request in flight")
 	}
 	f.Run(2 * time.Second)
-	f.wantAnswers([]string{id})
+	f.checkAnswers([]string{id})
 	if !p.inst.Node().Drained() {
 		t.Error("not drained after its last request")
 	}
@@ -179,9 +179,9 @@
 // itself. Afterwards both have the revision that was published meanwhile.
 func TestPartitionServesOnBothSides(t *testing.T) {
 	f := newFleet(t, 6)
-	f.Run(settle)
+	f.Run(convergenceTime)
 	side := func(id string) bool { p := f.proc(id); return p != nil && p.dc == "dc1" }
-	f.cut = func(a, b string) bool { return side(a) != side(b) }
+	f.partitioned = func(a, b string) bool { return side(a) != side(b) }
 	f.Run(time.Minute)
 	f.publish("s3")
 	var ids []string
@@ -192,37 +192,37 @@
 		f.Run(100 * time.Millisecond)
 	}
 	f.Run(3 * time.Second)
-	f.wantAnswers(ids)
-	f.cut = func(string, string) bool { return false }
+	f.checkAnswers(ids)
+	f.partitioned = func(string, string) bool { return false }
 	f.Run(20 * time.Second)
 	for _, p := range f.procs {
-		f.wantRevision(p, 2)
+		f.checkRevision(p, 2)
 	}
 }
 
 // What the caller sees: a refusal that sends it elsewhere. An instance loses
 // every peer and the platform; it goes on with what it knows for as long as the
 // rules say, then takes no new request, and takes them again once it is heard.
-func TestAnInstanceCutOffStopsAfterItsTime(t *testing.T) {
+func TestIsolatedInstanceRefusesAfterServeLimit(t *testing.T) {
 	f := newFleet(t, 4)
-	f.Run(settle)
+	f.Run(convergenceTime)
 	p := f.procs[0]
-	f.cut = func(a, b string) bool { return a == p.id || b == p.id }
+	f.partitioned = func(a, b string) bool { return a == p.id || b == p.id }
 	f.Run(4 * time.Minute)
 	during := f.send(p)
 	f.Run(time.Second)
-	f.wantAnswers([]string{during})
+	f.checkAnswers([]string{during})
 	f.Run(2 * time.Minute)
 	after := f.send(p)
 	f.Run(time.Second)
-	if err := f.answers[after]; err == nil || err.Reason != verdict.ReasonIsolated || err.Verdict != verdict.NotRun {
+	if err := f.errs[after]; err == nil || err.Reason != verdict.ReasonIsolated || err.Verdict != verdict.NotRun {
 		t.Errorf("after six minutes alone: %v", err)
 	}
-	f.cut = func(string, string) bool { return false }
+	f.partitioned = func(string, string) bool { return false }
 	f.Run(time.Minute)
 	again := f.send(p)
 	f.Run(time.Second)
-	f.wantAnswers([]string{again})
+	f.checkAnswers([]string{again})
 }
 
 // What the caller sees: nothing. The platform is down, and all instances but one
@@ -230,8 +230,8 @@
 // seeds and learns the configuration and the fleet from its peers alone.
 func TestPlatformDownWhileInstancesAreReplaced(t *testing.T) {
 	f := newFleet(t, 4)
-	f.Run(settle)
-	f.down = true
+	f.Run(convergenceTime)
+	f.platformDown = true
 	f.Run(5 * time.Minute)
 	for _, p := range f.procs[1:] {
 		p.kill()
@@ -244,5 +244,5 @@
 		ids = append(ids, f.send(p))
 	}
 	f.Run(2 * time.Second)
-	f.wantAnswers(ids)
+	f.checkAnswers(ids)
 }
--- a/internal/limits/fleet_test.go
+++ b/internal/limits/fleet_test.go
@@ -19,52 +19,52 @@
 // fleet is a few instances that admit one customer's requests in virtual time.
 type fleet struct {
 	vtime.Loop
-	t         *testing.T
-	rng       *rand.Rand
-	customer  *catalog.Customer
-	instances []*instance
-	admitted  int
-	refused   int
-	tokens    int
-	messages  int
-	longest   time.Duration
-	// cut says that two instances do not reach each other.
-	cut func(a, b int) bool
+	t           *testing.T
+	rng         *rand.Rand
+	customer    *catalog.Customer
+	instances   []*instance
+	admitted    int
+	refused     int
+	tokens      int
+	messages    int
+	longestWait time.Duration
+	// partitioned says that two instances do not reach each other.
+	partitioned func(a, b int) bool
 }
 
 type instance struct {
-	f       *fleet
-	index   int
-	home    *Home
-	local   *Local
-	dead    bool
-	homeIs  int // whom this instance takes for the customer's home
-	waiting []*waiter
+	f         *fleet
+	index     int
+	home      *Home
+	local     *Local
+	dead      bool
+	homeIndex int // whom this instance takes for the customer's home
+	waiting   []*waiter
 }
 
 type waiter struct{ since monotime.Instant }
 
 func newFleet(t *testing.T, n int, customer *catalog.Customer) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(1, 2)), customer: customer, cut: func(int, int) bool { return false }}
+	f := &fleet{t: t, rng: rand.New(rand.NewPCG(1, 2)), customer: customer, partitioned: func(int, int) bool { return false }}
 	f.Run(time.Second)
 	for i := range n {
 		in := &instance{f: f, index: i, home: NewHome(f.Now()), local: NewLocal()}
 		f.instances = append(f.instances, in)
 		in.tick()
 	}
-	f.views(0, n, n)
+	f.setMembership(0, n, n)
 	return f
 }
 
-// views tells the running instances who is home and how many are reached.
-func (f *fleet) views(home, live, known int, only ...int) {
+// setMembership tells the running instances who is home and how many are reached.
+func (f *fleet) setMembership(home, live, total int, only ...int) {
 	for _, in := range f.instances {
 		if len(only) > 0 && !contains(only, in.index) {
 			continue
 		}
-		in.homeIs = home
-		in.home.SetMembers(f.Now(), live, known, func(uint64) bool { return home == in.index })
-		in.local.SetKnown(known)
+		in.homeIndex = home
+		in.home.SetMembers(f.Now(), live, total, func(uint64) bool { return home == in.index })
+		in.local.SetMemberCount(total)
 	}
 }
 
@@ -87,26 +87,26 @@
 	in.f.After(testTick, in.tick)
 }
 
-func (in *instance) homeOf(*catalog.Customer) string { return string(rune('0' + in.homeIs)) }
+func (in *instance) homeOf(*catalog.Customer) string { return string(rune('0' + in.homeIndex)) }
 
 func (in *instance) send(to string, ask wire.PermitAsk) {
 	f := in.f
 	peer := f.instances[to[0]-'0']
 	if peer == in {
-		if give, ok := in.home.Ask(f.Now(), in.name(), f.customer, ask); ok {
+		if give, ok := in.home.OnAsk(f.Now(), in.name(), f.customer, ask); ok {
 			in.local.OnGive(f.Now(), in.name(), give)
 		}
 		return
 	}
 	f.messages++
-	if f.cut(in.index, peer.index) {
+	if f.partitioned(in.index, peer.index) {
 		return
 	}
 	f.After(testDelay, func() {
 		if peer.dead {
 			return
 		}
-		give, ok := peer.home.Ask(f.Now(), in.name(), f.customer, ask)
+		give, ok := peer.home.OnAsk(f.Now(), in.name(), f.customer, ask)
 		if !ok {
 			return
 		}
@@ -124,21 +124,21 @@
 
 // flush sends due asks and judges who waits.
 func (in *instance) flush() {
-	in.local.Asks(in.f.Now(), in.homeOf, in.send)
+	in.local.SendAsks(in.f.Now(), in.homeOf, in.send)
 	waiting := in.waiting
 	in.waiting = nil
 	for _, w := range waiting {
-		verdict, after := in.local.Again(in.f.Now(), in.f.customer)
-		in.settle(w, verdict, after)
+		decision, after := in.local.Recheck(in.f.Now(), in.f.customer)
+		in.recordDecision(w, decision, after)
 	}
 }
 
-func (in *instance) settle(w *waiter, verdict Verdict, after time.Duration) {
+func (in *instance) recordDecision(w *waiter, decision Decision, after time.Duration) {
 	f := in.f
-	switch verdict {
+	switch decision {
 	case Admitted:
 		f.admitted++
-		f.longest = max(f.longest, f.Now().Sub(w.since))
+		f.longestWait = max(f.longestWait, f.Now().Sub(w.since))
 	case Refused:
 		f.refused++
 		if after <= 0 {
@@ -154,31 +154,31 @@
 		return
 	}
 	w := &waiter{in.f.Now()}
-	verdict, after := in.local.Admit(in.f.Now(), in.f.customer)
-	in.settle(w, verdict, after)
+	decision, after := in.local.Admit(in.f.Now(), in.f.customer)
+	in.recordDecision(w, decision, after)
 	in.flush()
 }
 
-// load sends requests at a rate, spread unevenly over some instances.
-func (f *fleet) load(perSecond float64, instances ...int) {
-	gap := time.Duration(f.rng.ExpFloat64() / perSecond * float64(time.Second))
-	f.After(gap, func() {
+// sendRequests sends requests at a rate, spread unevenly over some instances.
+func (f *fleet) sendRequests(perSecond float64, instances ...int) {
+	interval := time.Duration(f.rng.ExpFloat64() / perSecond * float64(time.Second))
+	f.After(interval, func() {
 		i := min(f.rng.IntN(len(instances)), f.rng.IntN(len(instances)))
 		f.instances[instances[i]].request()
-		f.load(perSecond, instances...)
+		f.sendRequests(perSecond, instances...)
 	})
 }
 
-// stream makes an instance generate tokens for the customer while admitted.
-func (f *fleet) stream(i, tokens int) {
+// generateTokens makes an instance generate tokens for the customer while admitted.
+func (f *fleet) generateTokens(i, tokens int) {
 	in := f.instances[i]
 	now := f.Now()
-	verdict, _ := in.local.Admit(now, f.customer)
+	decision, _ := in.local.Admit(now, f.customer)
 	in.flush()
-	if verdict == Waiting {
-		verdict, _ = in.local.Again(now, f.customer)
+	if decision == Waiting {
+		decision, _ = in.local.Recheck(now, f.customer)
 	}
-	if verdict != Admitted {
+	if decision != Admitted {
 		f.refused++
 		return
 	}
--- a/internal/limits/home.go
+++ b/internal/limits/home.go
@@ -14,28 +14,28 @@
 
 // Home issues the permits of the customers that fall to this member.
 type Home struct {
-	accounts map[uint64]*issued
-	share    float64
-	since    monotime.Instant
-	swept    monotime.Instant
+	accounts  map[uint64]*homeAccount
+	share     float64
+	changedAt monotime.Instant
+	sweptAt   monotime.Instant
 }
 
-// issued is the state of one customer at its home.
-type issued struct {
+// homeAccount is the state of one customer at its home.
+type homeAccount struct {
 	requests bucket
 	tokens   bucket
-	used     monotime.Instant
+	askedAt  monotime.Instant
 	holders  []holder
 }
 
 type holder struct {
-	id    string
-	asked monotime.Instant
+	id      string
+	askedAt monotime.Instant
 }
 
 // NewHome returns a home that issues nothing yet.
 func NewHome(now monotime.Instant) *Home {
-	return &Home{accounts: make(map[uint64]*issued), share: 1, since: now}
+	return &Home{accounts: make(map[uint64]*homeAccount), share: 1, changedAt: now}
 }
 
 // SetMembers tells how many of the known members this part of the fleet
@@ -43,11 +43,11 @@
 // is to be called whenever the membership changes. Buckets of customers that
 // fall to another member are dropped: should they come back, a bucket that
 // filled up meanwhile would give out a burst that the other home already gave.
-func (h *Home) SetMembers(now monotime.Instant, live, known int, owns func(customer uint64) bool) {
-	h.since = now
+func (h *Home) SetMembers(now monotime.Instant, live, total int, owns func(customer uint64) bool) {
+	h.changedAt = now
 	h.share = 1
-	if known > 0 {
-		h.share = min(1, float64(live)/float64(known))
+	if total > 0 {
+		h.share = min(1, float64(live)/float64(total))
 	}
 	for hash := range h.accounts {
 		if !owns(hash) {
@@ -56,11 +56,11 @@
 	}
 }
 
-// Ask answers a holder. The answer is to be sent only if ok.
-func (h *Home) Ask(now monotime.Instant, from string, c *catalog.Customer, ask wire.PermitAsk) (give wire.PermitGive, ok bool) {
+// OnAsk answers a holder. The answer is to be sent only if ok.
+func (h *Home) OnAsk(now monotime.Instant, from string, c *catalog.Customer, ask wire.PermitAsk) (give wire.PermitGive, ok bool) {
 	a := h.account(now, c)
-	a.used = now
-	active := a.active(now, from)
+	a.askedAt = now
+	active := a.recordHolder(now, from)
 	give = wire.PermitGive{Customer: ask.Customer, LeaseMS: int(Lease / time.Millisecond)}
 	var wait time.Duration
 	if rate := c.RequestsPerSecond * h.share; rate > 0 {
@@ -89,13 +89,13 @@
 // issue takes up to want from the bucket, leaving other active holders theirs.
 // It issues no less than a quantum, unless less is wanted: a customer far above
 // its rate would otherwise cost two messages for each permit.
-func (b *bucket) issue(want, active int, quantum float64) int {
-	least := min(float64(want), quantum)
-	if want <= 0 || b.level < least {
+func (b *bucket) issue(requested, active int, quantum float64) int {
+	minimum := min(float64(requested), quantum)
+	if requested <= 0 || b.level < minimum {
 		return 0
 	}
-	n := math.Floor(max(least, b.level/float64(active)))
-	n = min(float64(want), n)
+	n := math.Floor(max(minimum, b.level/float64(active)))
+	n = min(float64(requested), n)
 	b.level -= n
 	return int(n)
 }
@@ -103,14 +103,14 @@
 // account returns the customer's buckets, refilled. A bucket that is new here
 // starts with what it would hold if an earlier home had emptied it just before
 // the membership last changed.
-func (h *Home) account(now monotime.Instant, c *catalog.Customer) *issued {
+func (h *Home) account(now monotime.Instant, c *catalog.Customer) *homeAccount {
 	requests, tokens := c.RequestsPerSecond*h.share, c.TokensPerSecond*h.share
 	a := h.accounts[c.Hash]
 	if a == nil {
-		fill := max(startFill, now.Sub(h.since)).Seconds()
-		a = &issued{
-			requests: bucket{level: max(1, requests*fill), at: now},
-			tokens:   bucket{level: max(1, tokens*fill), at: now},
+		elapsed := max(initialFill, now.Sub(h.changedAt)).Seconds()
+		a = &homeAccount{
+			requests: bucket{level: max(1, requests*elapsed), updatedAt: now},
+			tokens:   bucket{level: max(1, tokens*elapsed), updatedAt: now},
 		}
 		h.accounts[c.Hash] = a
 	}
@@ -119,20 +119,20 @@
 	return a
 }
 
-// active notes the holder and returns how many asked lately.
-func (a *issued) active(now monotime.Instant, from string) int {
+// recordHolder notes the holder and returns how many asked lately.
+func (a *homeAccount) recordHolder(now monotime.Instant, from string) int {
 	kept := a.holders[:0]
-	found := false
+	listed := false
 	for _, x := range a.holders {
 		if x.id == from {
-			x.asked = now
-			found = true
+			x.askedAt = now
+			listed = true
 		}
-		if now.Sub(x.asked) < holderMemory {
+		if now.Sub(x.askedAt) < holderTTL {
 			kept = append(kept, x)
 		}
 	}
-	if !found && len(kept) < maxHolders {
+	if !listed && len(kept) < maxHolders {
 		kept = append(kept, holder{from, now})
 	}
 	a.holders = kept
@@ -141,13 +141,13 @@
 
 // Tick forgets customers that were idle for long. Call it now and then.
 func (h *Home) Tick(now monotime.Instant) {
-	if now.Sub(h.swept) < forgetAfter {
+	if now.Sub(h.sweptAt) < idleTTL {
 		return
 	}
-	h.swept = now
+	h.sweptAt = now
 	for hash, a := range h.accounts {
 		// A debt is forgotten after maxDebt, when it would be repaid anyway.
-		if now.Sub(a.used) >= max(forgetAfter, maxDebt) {
+		if now.Sub(a.askedAt) >= max(idleTTL, maxDebt) {
 			delete(h.accounts, hash)
 		}
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -33,22 +33,22 @@
 const (
 	// Lease is how long a permit may be used.
 	Lease = 5 * time.Second
-	// AnswerLimit is how long an ask may stay without an answer before the
+	// AnswerTimeout is how long an ask may stay without an answer before the
 	// holder counts its home as unreachable.
-	AnswerLimit = 300 * time.Millisecond
+	AnswerTimeout = 300 * time.Millisecond
 
-	// startFill is the time of the rate that a new home starts with.
-	startFill = time.Second
-	// askAhead is the time of recent use that an ask covers.
-	askAhead = 2 * time.Second
+	// initialFill is the time of the rate that a new home starts with.
+	initialFill = time.Second
+	// prefetchPeriod is the time of recent use that an ask covers.
+	prefetchPeriod = 2 * time.Second
 	// lowWater is the time of recent use below which the holder asks again.
 	lowWater = 500 * time.Millisecond
-	// useMemory is the time constant of the estimate of recent use.
-	useMemory = 2 * time.Second
-	// holderMemory is how long a holder counts as active after an ask.
-	holderMemory = 5 * time.Second
-	// forgetAfter is how long an idle account or bucket is kept.
-	forgetAfter = time.Minute
+	// usageTimeConstant is the time constant of the estimate of recent use.
+	usageTimeConstant = 2 * time.Second
+	// holderTTL is how long a holder counts as active after an ask.
+	holderTTL = 5 * time.Second
+	// idleTTL is how long an idle account or bucket is kept.
+	idleTTL = time.Minute
 	// issueQuantum is the time of a rate that is worth issuing.
 	issueQuantum = 100 * time.Millisecond
 	// sweepInterval is the time between looks at all accounts.
@@ -70,34 +70,34 @@
 // bucket is a token bucket whose level may go below zero. x/time/rate allows
 // neither debts nor returns, which permits in blocks need.
 type bucket struct {
-	level float64
-	at    monotime.Instant
+	level     float64
+	updatedAt monotime.Instant
 }
 
 // refill brings the level up to now.
 func (b *bucket) refill(now monotime.Instant, perSecond, capacity float64) {
-	b.level = min(capacity, b.level+perSecond*now.Sub(b.at).Seconds())
-	b.at = now
+	b.level = min(capacity, b.level+perSecond*now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = now
 }
 
 // wait returns the time until the level reaches want.
-func (b *bucket) wait(want, perSecond float64) time.Duration {
+func (b *bucket) wait(target, perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return maxDebt
 	}
-	missing := max(0, want-b.level)
+	missing := max(0, target-b.level)
 	return min(maxDebt, time.Duration(math.Ceil(missing/perSecond*1e9)))
 }
 
 // meter estimates recent use per second.
 type meter struct {
-	sum float64
-	at  monotime.Instant
+	sum       float64
+	updatedAt monotime.Instant
 }
 
 func (m *meter) decay(now monotime.Instant) {
-	m.sum *= math.Exp(-now.Sub(m.at).Seconds() / useMemory.Seconds())
-	m.at = now
+	m.sum *= math.Exp(-now.Sub(m.updatedAt).Seconds() / usageTimeConstant.Seconds())
+	m.updatedAt = now
 }
 
 func (m *meter) add(now monotime.Instant, n float64) {
@@ -107,5 +107,5 @@
 
 func (m *meter) perSecond(now monotime.Instant) float64 {
 	m.decay(now)
-	return m.sum / useMemory.Seconds()
+	return m.sum / usageTimeConstant.Seconds()
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -11,118 +11,118 @@
 	return &catalog.Customer{Name: "c", Hash: 7, RequestsPerSecond: perSecond, Burst: burst}
 }
 
-// withinBound fails when more was admitted than the stated bound.
-func (f *fleet) withinBound(t *testing.T, admitted int, over time.Duration, extra float64) {
+// checkBound fails when more was admitted than the stated bound.
+func (f *fleet) checkBound(t *testing.T, admitted int, over time.Duration, extra float64) {
 	t.Helper()
 	c := f.customer
 	bound := c.RequestsPerSecond*(over+Lease).Seconds() + burst(c, c.RequestsPerSecond) + extra
 	t.Logf("admitted %d in %v, rate allows %.0f, bound %.0f; refused %d, %d messages, longest wait %v",
-		admitted, over, c.RequestsPerSecond*over.Seconds(), bound, f.refused, f.messages, f.longest)
+		admitted, over, c.RequestsPerSecond*over.Seconds(), bound, f.refused, f.messages, f.longestWait)
 	if float64(admitted) > bound {
 		t.Errorf("admitted %d, bound %.0f", admitted, bound)
 	}
 }
 
-func TestRateHoldsOverTheFleet(t *testing.T) {
+func TestFleetAdmitsAtTheRate(t *testing.T) {
 	// A customer sends three times its rate to five instances, unevenly. The
 	// fleet as a whole must admit its rate, no more than the bound and not
 	// much less.
 	for _, rate := range []float64{1, 20, 200} {
 		f := newFleet(t, 5, requestLimit(rate, 2*time.Second))
-		f.load(3*rate, 0, 1, 2, 3, 4)
+		f.sendRequests(3*rate, 0, 1, 2, 3, 4)
 		f.Run(time.Minute)
-		f.withinBound(t, f.admitted, time.Minute, 0)
+		f.checkBound(t, f.admitted, time.Minute, 0)
 		if float64(f.admitted) < 0.9*rate*60 {
 			t.Errorf("admitted %d of %.0f", f.admitted, rate*60)
 		}
 	}
 }
 
-func TestWithinTheRateNobodyIsRefused(t *testing.T) {
+func TestRequestsBelowTheRateAreAdmitted(t *testing.T) {
 	// A customer stays at 70% of its rate. Permits lie at several instances,
 	// some expire unused and come back; next to nobody may be refused.
 	f := newFleet(t, 5, requestLimit(20, 2*time.Second))
-	f.load(14, 0, 1, 2, 3, 4)
+	f.sendRequests(14, 0, 1, 2, 3, 4)
 	f.Run(5 * time.Minute)
-	f.withinBound(t, f.admitted, 5*time.Minute, 0)
+	f.checkBound(t, f.admitted, 5*time.Minute, 0)
 	if share := float64(f.refused) / float64(f.admitted+f.refused); share > 0.01 {
 		t.Errorf("%.1f%% refused", 100*share)
 	}
 }
 
-func TestHomeCrashes(t *testing.T) {
+func TestHolderFallsBackWhenHomeCrashes(t *testing.T) {
 	// The customer's home dies. Until the membership says so its holders get no
 	// answer; they go on with a share of their own, and nobody waits longer
 	// than AnswerLimit. Then another member becomes home, with a fresh bucket.
 	f := newFleet(t, 5, requestLimit(50, 2*time.Second))
-	f.load(150, 1, 2, 3)
+	f.sendRequests(150, 1, 2, 3)
 	f.Run(20 * time.Second)
 	f.instances[0].dead = true
 	before := f.admitted
 	f.Run(4 * time.Second)
-	gap := f.admitted - before
-	f.views(1, 4, 5)
+	withoutHome := f.admitted - before
+	f.setMembership(1, 4, 5)
 	f.Run(36 * time.Second)
-	f.withinBound(t, f.admitted, time.Minute, 50+1)
-	t.Logf("admitted %d in the 4 s without a home", gap)
-	if gap == 0 {
+	f.checkBound(t, f.admitted, time.Minute, 50+1)
+	t.Logf("admitted %d in the 4 s without a home", withoutHome)
+	if withoutHome == 0 {
 		t.Error("a lost home refused everybody")
 	}
-	if f.longest > AnswerLimit+2*testTick {
-		t.Errorf("somebody waited %v", f.longest)
+	if f.longestWait > AnswerTimeout+2*testTick {
+		t.Errorf("somebody waited %v", f.longestWait)
 	}
 }
 
-func TestInstancesComeAndGo(t *testing.T) {
+func TestHomeChangesStayWithinBound(t *testing.T) {
 	// Every 5 s the membership changes and the customer's home moves. Each move
 	// may cost one second of the rate and not more.
 	f := newFleet(t, 5, requestLimit(50, 2*time.Second))
-	f.load(150, 0, 1, 2, 3, 4)
+	f.sendRequests(150, 0, 1, 2, 3, 4)
 	const moves = 12
 	for i := range moves {
 		f.Run(5 * time.Second)
-		f.views(i%5, 5, 5)
+		f.setMembership(i%5, 5, 5)
 	}
-	f.withinBound(t, f.admitted, moves*5*time.Second, moves*(50+1))
+	f.checkBound(t, f.admitted, moves*5*time.Second, moves*(50+1))
 	if f.admitted < 50*60*8/10 {
 		t.Errorf("admitted %d of %d", f.admitted, 50*60)
 	}
 }
 
-func TestPartition(t *testing.T) {
+func TestPartitionStaysWithinBound(t *testing.T) {
 	// Two of five instances are cut off for 40 s. Each part has a home that
 	// issues its share of the rate, so that together they stay at the limit;
 	// only until the views change two homes may issue too much.
 	f := newFleet(t, 5, requestLimit(50, 2*time.Second))
-	f.load(150, 0, 1, 2)
-	f.load(150, 3, 4)
+	f.sendRequests(150, 0, 1, 2)
+	f.sendRequests(150, 3, 4)
 	f.Run(10 * time.Second)
-	far := func(i int) bool { return i >= 3 }
-	f.cut = func(a, b int) bool { return far(a) != far(b) }
+	isolated := func(i int) bool { return i >= 3 }
+	f.partitioned = func(a, b int) bool { return isolated(a) != isolated(b) }
 	f.Run(6 * time.Second)
-	f.views(0, 3, 5, 0, 1, 2)
-	f.views(3, 2, 5, 3, 4)
+	f.setMembership(0, 3, 5, 0, 1, 2)
+	f.setMembership(3, 2, 5, 3, 4)
 	before := f.admitted
 	f.Run(34 * time.Second)
-	parted := f.admitted - before
-	f.cut = func(int, int) bool { return false }
-	f.views(0, 5, 5)
+	duringPartition := f.admitted - before
+	f.partitioned = func(int, int) bool { return false }
+	f.setMembership(0, 5, 5)
 	f.Run(10 * time.Second)
-	f.withinBound(t, parted, 34*time.Second, 100+51)
-	f.withinBound(t, f.admitted, time.Minute, 100+51+50*6)
-	if parted < 50*34*8/10 {
-		t.Errorf("admitted %d of %d while parted", parted, 50*34)
+	f.checkBound(t, duringPartition, 34*time.Second, 100+51)
+	f.checkBound(t, f.admitted, time.Minute, 100+51+50*6)
+	if duringPartition < 50*34*8/10 {
+		t.Errorf("admitted %d of %d while parted", duringPartition, 50*34)
 	}
 }
 
-func TestTokensAreHeldOverTime(t *testing.T) {
+func TestTokenOverdraftIsRepaid(t *testing.T) {
 	// Answers of unknown length use up the token rate. What runs overdraws when
 	// permits end; the debt is repaid, so that a minute later the fleet is at
 	// its rate and not above it.
 	c := &catalog.Customer{Name: "c", Hash: 7, TokensPerSecond: 1000, Burst: 2 * time.Second}
 	f := newFleet(t, 3, c)
 	for i := range 1200 {
-		f.After(time.Duration(i)*100*time.Millisecond, func() { f.stream(i%3, 200) })
+		f.After(time.Duration(i)*100*time.Millisecond, func() { f.generateTokens(i%3, 200) })
 	}
 	f.Run(2 * time.Minute)
 	allowed := 1000 * 120
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestPauseDoesNotSpendOldPermits(t *testing.T) {
+func TestPausedHolderDoesNotUseExpiredPermits(t *testing.T) {
 	// A holder is stopped with permits in hand and wakes after their lease. The
 	// home may have issued others since; the old ones must not count.
 	f := newFleet(t, 2, requestLimit(10, time.Second))
@@ -142,14 +142,14 @@
 	f.Run(20 * time.Millisecond)
 	in.local.accounts[7].requests = 5
 	f.Run(Lease + testTick)
-	if verdict, _ := in.local.Admit(f.Now(), f.customer); verdict != Waiting {
-		t.Errorf("verdict %v with permits whose lease is over", verdict)
+	if decision, _ := in.local.Admit(f.Now(), f.customer); decision != Waiting {
+		t.Errorf("verdict %v with permits whose lease is over", decision)
 	}
 }
 
-func TestUnlimitedCustomersCostNothing(t *testing.T) {
+func TestUnlimitedCustomersNeedNoPermits(t *testing.T) {
 	f := newFleet(t, 2, &catalog.Customer{Name: "c", Hash: 7})
-	f.load(100, 0, 1)
+	f.sendRequests(100, 0, 1)
 	f.Run(10 * time.Second)
 	if f.refused != 0 || f.messages != 0 || f.instances[0].local.Len() != 0 {
 		t.Errorf("%d refused, %d messages, %d accounts", f.refused, f.messages, f.instances[0].local.Len())
--- a/internal/limits/local.go
+++ b/internal/limits/local.go
@@ -11,12 +11,12 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Verdict is what a holder says of a request.
-type Verdict uint8
+// Decision is what a holder says of a request.
+type Decision uint8
 
 const (
 	// Admitted requests have their permit.
-	Admitted Verdict = iota
+	Admitted Decision = iota
 	// Waiting requests are to be asked about again when permits come, or at
 	// the latest after AnswerLimit.
 	Waiting
@@ -26,76 +26,76 @@
 
 // Local spends the permits that this instance holds.
 type Local struct {
-	accounts map[uint64]*account
-	due      []*account
-	known    int
-	swept    monotime.Instant
+	accounts    map[uint64]*localAccount
+	due         []*localAccount
+	memberCount int
+	sweptAt     monotime.Instant
 }
 
-// account is what this instance holds for one customer.
-type account struct {
+// localAccount is what this instance holds for one customer.
+type localAccount struct {
 	customer *catalog.Customer
 	requests int     // below zero when overdrawn
 	tokens   float64 // below zero when overdrawn
-	until    monotime.Instant
-	giver    string
+	leaseEnd monotime.Instant
+	issuer   string
 
-	asked   monotime.Instant // last ask, 0 when none is open
-	silent  monotime.Instant // first ask since the last answer
-	wanted  bool             // an ask is due
-	waiters int
-	blocked monotime.Instant // the home said to wait
-	alone   bool             // the home has not answered
+	askedAt         monotime.Instant // last ask, 0 when none is open
+	unansweredSince monotime.Instant // first ask since the last answer
+	askDue          bool             // an ask is due
+	waiters         int
+	blockedUntil    monotime.Instant // the home said to wait
+	fallback        bool             // the home has not answered
 
 	returnedRequests int
 	returnedTokens   float64
 
-	requestUse, tokenUse   meter
-	ownRequests, ownTokens bucket // while alone
-	seen                   monotime.Instant
+	requestUse, tokenUse             meter
+	fallbackRequests, fallbackTokens bucket // while alone
+	usedAt                           monotime.Instant
 }
 
 // NewLocal returns a holder without permits.
 func NewLocal() *Local {
-	return &Local{accounts: make(map[uint64]*account), known: 1}
+	return &Local{accounts: make(map[uint64]*localAccount), memberCount: 1}
 }
 
-// SetKnown tells how many instances may share a limit while homes are out of
+// SetMemberCount tells how many instances may share a limit while homes are out of
 // reach.
-func (l *Local) SetKnown(known int) {
-	l.known = max(1, known)
+func (l *Local) SetMemberCount(total int) {
+	l.memberCount = max(1, total)
 }
 
 // Admit judges a new request of the customer. For Refused it returns when to
 // come back.
-func (l *Local) Admit(now monotime.Instant, c *catalog.Customer) (Verdict, time.Duration) {
+func (l *Local) Admit(now monotime.Instant, c *catalog.Customer) (Decision, time.Duration) {
 	if !Limited(c) {
 		return Admitted, 0
 	}
 	a := l.account(now, c)
 	a.requestUse.add(now, 1)
-	verdict, after := l.judge(now, a)
-	if verdict == Waiting {
+	decision, after := l.decide(now, a)
+	if decision == Waiting {
 		a.waiters++
 	}
-	return verdict, after
+	return decision, after
 }
 
-// Again judges a request that was told to wait.
-func (l *Local) Again(now monotime.Instant, c *catalog.Customer) (Verdict, time.Duration) {
+// Recheck judges a request that was told to wait.
+func (l *Local) Recheck(now monotime.Instant, c *catalog.Customer) (Decision, time.Duration) {
 	if !Limited(c) {
 		return Admitted, 0
 	}
 	a := l.account(now, c)
-	verdict, after := l.judge(now, a)
-	if verdict != Waiting {
+	decision, after := l.decide(now, a)
+	if decision != Waiting {
 		a.waiters = max(0, a.waiters-1)
 	}
-	return verdict, after
+	return decision, after
 }
 
-// Forget tells that a request that was told to wait is gone.
-func (l *Local) Forget(c *catalog.Customer) {
+// CancelWait tells that a request that was told to wait is gone.
+func (l *Local) CancelWait(c *catalog.Customer) {
 	if a := l.accounts[c.Hash]; a != nil {
 		a.waiters = max(0, a.waiters-1)
 	}
@@ -108,32 +108,32 @@
 	}
 	a := l.account(now, c)
 	a.tokenUse.add(now, float64(tokens))
-	if a.alone {
-		a.refillOwn(now, l.known)
-		a.ownTokens.level -= float64(tokens)
+	if a.fallback {
+		a.refillFallback(now, l.memberCount)
+		a.fallbackTokens.level -= float64(tokens)
 		return
 	}
 	a.tokens -= float64(tokens)
 	if a.tokens < a.tokenUse.perSecond(now)*lowWater.Seconds() {
-		l.want(a)
+		l.scheduleAsk(a)
 	}
 }
 
-func (l *Local) account(now monotime.Instant, c *catalog.Customer) *account {
+func (l *Local) account(now monotime.Instant, c *catalog.Customer) *localAccount {
 	a := l.accounts[c.Hash]
 	if a == nil {
-		a = &account{}
+		a = &localAccount{}
 		l.accounts[c.Hash] = a
 	}
 	a.customer = c
-	a.seen = now
+	a.usedAt = now
 	a.expire(now)
 	return a
 }
 
 // expire puts permits whose lease is over aside for return.
-func (a *account) expire(now monotime.Instant) {
-	if now < a.until {
+func (a *localAccount) expire(now monotime.Instant) {
+	if now < a.leaseEnd {
 		return
 	}
 	if a.requests > 0 {
@@ -146,122 +146,122 @@
 	}
 }
 
-func (l *Local) judge(now monotime.Instant, a *account) (Verdict, time.Duration) {
+func (l *Local) decide(now monotime.Instant, a *localAccount) (Decision, time.Duration) {
 	c := a.customer
 	hasRequest := c.RequestsPerSecond <= 0 || a.requests > 0
 	hasTokens := c.TokensPerSecond <= 0 || a.tokens > 0
 	switch {
 	case hasRequest && hasTokens:
-		a.spend()
-		if a.runsLow(now) {
-			l.want(a)
+		a.spendRequest()
+		if a.shouldPrefetch(now) {
+			l.scheduleAsk(a)
 		}
 		return Admitted, 0
-	case now < a.blocked:
-		return Refused, a.blocked.Sub(now)
-	case a.asked != 0 && now.Sub(a.silent) >= AnswerLimit:
-		a.goAlone(now, l.known)
+	case now < a.blockedUntil:
+		return Refused, a.blockedUntil.Sub(now)
+	case a.askedAt != 0 && now.Sub(a.unansweredSince) >= AnswerTimeout:
+		a.enterFallback(now, l.memberCount)
 	}
-	if a.alone {
-		l.want(a)
-		return a.judgeAlone(now, l.known)
+	if a.fallback {
+		l.scheduleAsk(a)
+		return a.decideFallback(now, l.memberCount)
 	}
-	l.want(a)
+	l.scheduleAsk(a)
 	return Waiting, 0
 }
 
-func (a *account) spend() {
+func (a *localAccount) spendRequest() {
 	if a.customer.RequestsPerSecond > 0 {
 		a.requests--
 	}
 }
 
-// runsLow reports whether to ask ahead: soon used up, and used so often that
+// shouldPrefetch reports whether to ask ahead: soon used up, and used so often that
 // the next permit would not expire unused.
-func (a *account) runsLow(now monotime.Instant) bool {
+func (a *localAccount) shouldPrefetch(now monotime.Instant) bool {
 	if a.customer.RequestsPerSecond <= 0 {
 		return false
 	}
-	use := a.requestUse.perSecond(now)
-	return use*Lease.Seconds() >= 2 && float64(a.requests) <= use*lowWater.Seconds()
+	rate := a.requestUse.perSecond(now)
+	return rate*Lease.Seconds() >= 2 && float64(a.requests) <= rate*lowWater.Seconds()
 }
 
-// goAlone starts to admit this instance's own share: no home answers, and to
+// enterFallback starts to admit this instance's own share: no home answers, and to
 // refuse everybody until one does would turn a lost member into an outage.
-func (a *account) goAlone(now monotime.Instant, known int) {
-	if a.alone {
+func (a *localAccount) enterFallback(now monotime.Instant, memberCount int) {
+	if a.fallback {
 		return
 	}
-	a.alone = true
-	a.ownRequests = bucket{level: a.ownBurst(a.customer.RequestsPerSecond, known), at: now}
-	a.ownTokens = bucket{level: a.ownBurst(a.customer.TokensPerSecond, known), at: now}
+	a.fallback = true
+	a.fallbackRequests = bucket{level: a.fallbackBurst(a.customer.RequestsPerSecond, memberCount), updatedAt: now}
+	a.fallbackTokens = bucket{level: a.fallbackBurst(a.customer.TokensPerSecond, memberCount), updatedAt: now}
 }
 
-func (a *account) ownBurst(perSecond float64, known int) float64 {
-	return max(1, burst(a.customer, perSecond)/float64(known))
+func (a *localAccount) fallbackBurst(perSecond float64, memberCount int) float64 {
+	return max(1, burst(a.customer, perSecond)/float64(memberCount))
 }
 
-func (a *account) refillOwn(now monotime.Instant, known int) {
-	c, n := a.customer, float64(known)
-	a.ownRequests.refill(now, c.RequestsPerSecond/n, a.ownBurst(c.RequestsPerSecond, known))
-	a.ownTokens.refill(now, c.TokensPerSecond/n, a.ownBurst(c.TokensPerSecond, known))
+func (a *localAccount) refillFallback(now monotime.Instant, memberCount int) {
+	c, n := a.customer, float64(memberCount)
+	a.fallbackRequests.refill(now, c.RequestsPerSecond/n, a.fallbackBurst(c.RequestsPerSecond, memberCount))
+	a.fallbackTokens.refill(now, c.TokensPerSecond/n, a.fallbackBurst(c.TokensPerSecond, memberCount))
 }
 
-func (a *account) judgeAlone(now monotime.Instant, known int) (Verdict, time.Duration) {
-	a.refillOwn(now, known)
-	c, n := a.customer, float64(known)
-	if c.RequestsPerSecond > 0 && a.ownRequests.level < 1 {
-		return Refused, a.ownRequests.wait(1, c.RequestsPerSecond/n)
+func (a *localAccount) decideFallback(now monotime.Instant, memberCount int) (Decision, time.Duration) {
+	a.refillFallback(now, memberCount)
+	c, n := a.customer, float64(memberCount)
+	if c.RequestsPerSecond > 0 && a.fallbackRequests.level < 1 {
+		return Refused, a.fallbackRequests.wait(1, c.RequestsPerSecond/n)
 	}
-	if c.TokensPerSecond > 0 && a.ownTokens.level <= 0 {
-		return Refused, a.ownTokens.wait(1, c.TokensPerSecond/n)
+	if c.TokensPerSecond > 0 && a.fallbackTokens.level <= 0 {
+		return Refused, a.fallbackTokens.wait(1, c.TokensPerSecond/n)
 	}
-	a.ownRequests.level--
+	a.fallbackRequests.level--
 	return Admitted, 0
 }
 
-func (l *Local) want(a *account) {
-	if !a.wanted {
-		a.wanted = true
+func (l *Local) scheduleAsk(a *localAccount) {
+	if !a.askDue {
+		a.askDue = true
 		l.due = append(l.due, a)
 	}
 }
 
-// Asks hands the asks that are due to send. home names the member that is the
+// SendAsks hands the asks that are due to send. home names the member that is the
 // customer's home now. send may call OnGive before it returns.
-func (l *Local) Asks(now monotime.Instant, home func(*catalog.Customer) string, send func(to string, ask wire.PermitAsk)) {
+func (l *Local) SendAsks(now monotime.Instant, home func(*catalog.Customer) string, send func(to string, ask wire.PermitAsk)) {
 	if len(l.due) == 0 {
 		return
 	}
 	due := l.due
 	l.due = nil
 	for _, a := range due {
-		a.wanted = false
-		open := a.asked != 0 && now.Sub(a.asked) < AnswerLimit
-		if open || now < a.blocked {
+		a.askDue = false
+		pending := a.askedAt != 0 && now.Sub(a.askedAt) < AnswerTimeout
+		if pending || now < a.blockedUntil {
 			continue
 		}
 		to := home(a.customer)
-		send(to, a.ask(now, to))
+		send(to, a.buildAsk(now, to))
 	}
 }
 
-// ask builds the message and marks it as open.
-func (a *account) ask(now monotime.Instant, to string) wire.PermitAsk {
+// buildAsk builds the message and marks it as open.
+func (a *localAccount) buildAsk(now monotime.Instant, to string) wire.PermitAsk {
 	c := a.customer
-	if a.asked == 0 {
-		a.silent = now
+	if a.askedAt == 0 {
+		a.unansweredSince = now
 	}
-	a.asked = now
+	a.askedAt = now
 	ask := wire.PermitAsk{Customer: int(c.Hash)}
 	if c.RequestsPerSecond > 0 {
-		ahead := math.Ceil(a.requestUse.perSecond(now)*askAhead.Seconds()) - float64(a.requests)
+		ahead := math.Ceil(a.requestUse.perSecond(now)*prefetchPeriod.Seconds()) - float64(a.requests)
 		ask.Requests = max(1, a.waiters, int(ahead))
 	}
 	if c.TokensPerSecond > 0 {
-		least := c.TokensPerSecond * issueQuantum.Seconds()
-		ahead := a.tokenUse.perSecond(now)*askAhead.Seconds() - max(0, a.tokens)
-		ask.Tokens = int(math.Ceil(max(1, least, ahead)))
+		minimum := c.TokensPerSecond * issueQuantum.Seconds()
+		ahead := a.tokenUse.perSecond(now)*prefetchPeriod.Seconds() - max(0, a.tokens)
+		ask.Tokens = int(math.Ceil(max(1, minimum, ahead)))
 		if a.tokens < 0 {
 			ask.Overdraft = int(math.Ceil(-a.tokens))
 			a.tokens = 0
@@ -273,8 +273,8 @@
 
 // addReturns gives unused permits back, to the member that issued them only:
 // any other one never took them from its bucket.
-func (a *account) addReturns(ask *wire.PermitAsk, to string) {
-	if to == a.giver {
+func (a *localAccount) addReturns(ask *wire.PermitAsk, to string) {
+	if to == a.issuer {
 		ask.ReturnedRequests = a.returnedRequests
 		ask.ReturnedTokens = int(a.returnedTokens)
 	}
@@ -284,54 +284,54 @@
 // OnGive takes permits.
 func (l *Local) OnGive(now monotime.Instant, from string, give wire.PermitGive) {
 	a := l.accounts[uint64(give.Customer)]
-	if a == nil || a.asked == 0 {
+	if a == nil || a.askedAt == 0 {
 		return
 	}
 	a.expire(now)
-	if a.giver != from {
+	if a.issuer != from {
 		// Permits of an earlier home stay usable until their lease is over,
 		// but cannot be returned any more.
 		a.returnedRequests, a.returnedTokens = 0, 0
 	}
-	a.asked = 0
-	a.alone = false
-	a.giver = from
+	a.askedAt = 0
+	a.fallback = false
+	a.issuer = from
 	a.requests += max(0, give.Requests)
 	a.tokens += float64(max(0, give.Tokens))
 	if give.Requests > 0 || give.Tokens > 0 {
 		// What was left, at most lowWater of recent use, lives on with it.
-		a.until = now.Add(time.Duration(give.LeaseMS) * time.Millisecond)
+		a.leaseEnd = now.Add(time.Duration(give.LeaseMS) * time.Millisecond)
 	}
-	a.blocked = 0
+	a.blockedUntil = 0
 	if give.WaitMS > 0 {
-		a.blocked = now.Add(time.Duration(give.WaitMS) * time.Millisecond)
+		a.blockedUntil = now.Add(time.Duration(give.WaitMS) * time.Millisecond)
 	}
-	if a.waiters > a.requests && a.blocked == 0 {
-		l.want(a)
+	if a.waiters > a.requests && a.blockedUntil == 0 {
+		l.scheduleAsk(a)
 	}
 }
 
 // Tick returns unused permits whose lease is over and forgets idle customers.
 func (l *Local) Tick(now monotime.Instant, home func(*catalog.Customer) string, send func(to string, ask wire.PermitAsk)) {
-	if now.Sub(l.swept) < sweepInterval {
+	if now.Sub(l.sweptAt) < sweepInterval {
 		return
 	}
-	l.swept = now
-	var returning []*account
+	l.sweptAt = now
+	var returning []*localAccount
 	for hash, a := range l.accounts {
 		a.expire(now)
 		if a.returnedRequests > 0 || a.returnedTokens >= 1 {
 			returning = append(returning, a)
 		}
-		if now.Sub(a.seen) >= forgetAfter && a.waiters == 0 {
+		if now.Sub(a.usedAt) >= idleTTL && a.waiters == 0 {
 			delete(l.accounts, hash)
 		}
 	}
-	slices.SortFunc(returning, func(a, b *account) int { return cmp.Compare(a.customer.Hash, b.customer.Hash) })
+	slices.SortFunc(returning, func(a, b *localAccount) int { return cmp.Compare(a.customer.Hash, b.customer.Hash) })
 	for _, a := range returning {
 		to := home(a.customer)
 		ask := wire.PermitAsk{Customer: int(a.customer.Hash)}
-		if a.addReturns(&ask, to); to == a.giver {
+		if a.addReturns(&ask, to); to == a.issuer {
 			send(to, ask)
 		}
 	}
--- a/internal/limits/overdraw.go
+++ b/internal/limits/overdraw.go
@@ -12,8 +12,8 @@
 // would have its top-tier requests turned away.
 func (l *Local) Overdraw(now monotime.Instant, c *catalog.Customer) bool {
 	a := l.account(now, c)
-	if a.alone {
-		return a.overdrawOwn()
+	if a.fallback {
+		return a.overdrawFallback()
 	}
 	if c.TokensPerSecond > 0 && a.tokens <= -burst(c, c.TokensPerSecond) {
 		return false
@@ -24,19 +24,19 @@
 		}
 		a.requests--
 	}
-	l.want(a)
+	l.scheduleAsk(a)
 	return true
 }
 
-// overdrawOwn is Overdraw for an instance whose home does not answer.
-func (a *account) overdrawOwn() bool {
+// overdrawFallback is Overdraw for an instance whose home does not answer.
+func (a *localAccount) overdrawFallback() bool {
 	c := a.customer
-	if c.TokensPerSecond > 0 && a.ownTokens.level <= -burst(c, c.TokensPerSecond) {
+	if c.TokensPerSecond > 0 && a.fallbackTokens.level <= -burst(c, c.TokensPerSecond) {
 		return false
 	}
-	if c.RequestsPerSecond > 0 && a.ownRequests.level <= -burst(c, c.RequestsPerSecond) {
+	if c.RequestsPerSecond > 0 && a.fallbackRequests.level <= -burst(c, c.RequestsPerSecond) {
 		return false
 	}
-	a.ownRequests.level--
+	a.fallbackRequests.level--
 	return true
 }
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -32,12 +32,12 @@
 const topTier = 0
 
 // permit judges a new request before it is admitted.
-func (n *Node) permit(now monotime.Instant, in Request) (limits.Verdict, *verdict.Error) {
+func (n *Node) permit(now monotime.Instant, in Request) (limits.Decision, *verdict.Error) {
 	v, after := n.permits.local.Admit(now, in.Customer)
 	if v == limits.Waiting {
 		// The home may be this node, which answers at once.
 		n.askPermits(now)
-		v, after = n.permits.local.Again(now, in.Customer)
+		v, after = n.permits.local.Recheck(now, in.Customer)
 	}
 	v = n.overdraw(now, v, in)
 	return v, rateError(v, after)
@@ -45,7 +45,7 @@
 
 // overdraw admits a request of the top tier that its customer's lower work left
 // no permit for.
-func (n *Node) overdraw(now monotime.Instant, v limits.Verdict, in Request) limits.Verdict {
+func (n *Node) overdraw(now monotime.Instant, v limits.Decision, in Request) limits.Decision {
 	if v != limits.Refused || in.Class.TierFor(in.Customer) != topTier {
 		return v
 	}
@@ -55,7 +55,7 @@
 	return limits.Admitted
 }
 
-func rateError(v limits.Verdict, after time.Duration) *verdict.Error {
+func rateError(v limits.Decision, after time.Duration) *verdict.Error {
 	if v != limits.Refused {
 		return nil
 	}
@@ -70,7 +70,7 @@
 }
 
 // judgeWaiting asks again for the requests that wait for a permit. Each waits
-// for AnswerLimit at most: then this node goes on without the home.
+// for AnswerTimeout at most: then this node goes on without the home.
 func (n *Node) judgeWaiting(now monotime.Instant) {
 	if len(n.permits.waiting) == 0 {
 		return
@@ -79,10 +79,10 @@
 	n.permits.waiting = nil
 	for _, r := range waiting {
 		if !r.unpermitted || r.state != stateWaiting {
-			n.permits.local.Forget(r.Customer)
+			n.permits.local.CancelWait(r.Customer)
 			continue
 		}
-		v, after := n.permits.local.Again(now, r.Customer)
+		v, after := n.permits.local.Recheck(now, r.Customer)
 		v = n.overdraw(now, v, r.Request)
 		switch v {
 		case limits.Waiting:
@@ -100,7 +100,7 @@
 
 // askPermits sends the asks that are due.
 func (n *Node) askPermits(now monotime.Instant) {
-	n.permits.local.Asks(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendAsk(now, to, ask) })
+	n.permits.local.SendAsks(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendAsk(now, to, ask) })
 }
 
 // homeOf returns the member that keeps the customer's limits. It follows the
@@ -138,7 +138,7 @@
 	if customer == nil {
 		return wire.PermitGive{}, false
 	}
-	return n.permits.home.Ask(now, from, customer, ask)
+	return n.permits.home.OnAsk(now, from, customer, ask)
 }
 
 func (n *Node) onPermitGives(now monotime.Instant, from string, gives []wire.PermitGive) {
@@ -175,7 +175,7 @@
 // setPermitMembers follows the membership.
 func (n *Node) setPermitMembers(now monotime.Instant, view *membership.View) {
 	live, known := ShareOf(view)
-	n.permits.local.SetKnown(known)
+	n.permits.local.SetMemberCount(known)
 	n.permits.home.SetMembers(now, live, known, func(customer uint64) bool {
 		return route.Home(customer, n.members) == n.self()
 	})
