--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,7 +1,7 @@
-// Package directory decides which instances the callers of a customer should
-// use. An answer depends on the customer, so that its limits, its place in the
-// queues and its request table touch few instances, and on where the answering
-// instance stands and how loaded the instances are. The package is pure.
+// Package directory selects the instances that the callers of a customer should use. An
+// answer depends on the customer, so that its limits, its places in queues and its
+// request table involve few instances. It also depends on the data centre of the
+// answering instance and on the load of the instances. The package does no I/O.
 package directory
 
 import (
@@ -18,36 +18,41 @@
 )
 
 const (
-	// unconfirmedTTL bounds answers from a view that no peer has confirmed
-	// since the process started or woke: it may name instances long gone.
+	// unconfirmedTTL bounds the TTL of answers from a view that no peer has confirmed
+	// since the process started or resumed from a pause. Such a view may list instances
+	// that are long gone, and callers use them for that long.
 	unconfirmedTTL = 5 * time.Second
-	// remoteInstances is the number of instances of other data centres in an answer,
-	// for the callers to reach when theirs is lost with all its instances.
+	// remoteInstances is the number of instances of other data centres in an answer. With
+	// 0, callers have no address left when their data centre is lost with all its
+	// instances; each further one takes the place of a local instance.
 	remoteInstances = 1
-	// minWeight keeps a loaded instance in the answers of some customers.
+	// minWeight is the smallest weight of a loaded instance. It keeps the instance in the
+	// answers of some customers; with 0 it would get none. As the smallest load it also
+	// bounds the weight, at 20.
 	minWeight = 0.05
 )
 
-// Query is what an answer depends on.
+// Query holds the inputs of an answer.
 type Query struct {
-	// Catalog in force.
+	// Catalog is the configuration in force.
 	Catalog *catalog.Catalog
-	// View of the fleet.
+	// View is the membership view.
 	View *membership.View
-	// Customer whose callers ask.
+	// Customer is the one whose callers ask.
 	Customer *catalog.Customer
-	// DataCentre the answering instance stands in: callers ask one that is near.
+	// DataCentre is where the answering instance is located. Callers ask an instance near
+	// them.
 	DataCentre string
-	// Load of an instance: 1 for a usual one, 2 for one that should get half as
-	// many customers. Nil means 1 for all.
+	// Load returns the relative load of an instance: 1 is usual, and an instance with 2
+	// gets half as many customers. Nil means 1 for all.
 	Load func(id string) float64
-	// Prefix returns the prefix of request ids bound to a member for answers
-	// that live for ttl; nil for none.
+	// Prefix returns the prefix of request ids bound to a member, for answers with the
+	// TTL ttl. Nil means no prefixes.
 	Prefix func(m membership.Member, ttl time.Duration) string
 }
 
-// Answer names the instances to use, best first. Leaving members are not named;
-// members under suspicion only when there are too few others.
+// Answer lists the instances to use, best first. Members that are leaving are listed only
+// when no others are left, suspect members only when there are too few others.
 func Answer(q Query) callerapi.Directory {
 	ttl := q.ttl()
 	out := callerapi.Directory{
@@ -72,7 +77,7 @@
 	return ttl
 }
 
-// ranked is a member with its place for the customer.
+// ranked is a member with its rank for the customer.
 type ranked struct {
 	*membership.Member
 	suspect  bool
@@ -80,13 +85,13 @@
 	score    float64
 }
 
-// selectMembers picks the members: the best of this data centre, then the best of the
-// nearest other one, then whoever is left.
+// selectMembers returns the best members of this data centre, then the others, nearest
+// first, then further ones of this data centre, up to the directory's size.
 func (q Query) selectMembers() []membership.Member {
 	size := q.Catalog.Rules.DirectorySize
 	local, others := q.rank(q.View.Live, size)
 	if len(local)+len(others) == 0 {
-		// Everybody leaves, and they all still serve.
+		// All members are leaving, and they still serve.
 		local, others = q.rank(q.View.Leaving, size)
 	}
 	localCount := min(len(local), max(1, size-remoteInstances))
@@ -98,9 +103,9 @@
 	return out
 }
 
-// rank returns the best members of this data centre and the best others, up to
-// size of each: those under suspicion last, near ones first, then by the
-// customer's weighted rendezvous hash.
+// rank returns the best members of this data centre and the best other ones, up to size
+// of each. Suspect members count as others. Members are ordered by suspicion, then by
+// distance, then by the customer's weighted rendezvous hash.
 func (q Query) rank(members []membership.Member, size int) (local, others []ranked) {
 	customer := xxhash.Sum64String(q.Customer.Name)
 	distances := make(map[string]time.Duration, len(q.Catalog.DataCentres))
@@ -126,7 +131,7 @@
 	return local, others
 }
 
-// insertBest keeps list sorted and no longer than size.
+// insertBest inserts r into the sorted list, which is cut to the best size entries.
 func insertBest(list []ranked, r ranked, size int) []ranked {
 	if len(list) == size && (size == 0 || compareRanked(list[size-1], r) < 0) {
 		return list
@@ -152,7 +157,8 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// distance orders data centres by latency; another one is never as near as this.
+// distance returns the one-way latency to a data centre, by which they are ordered: 0 for
+// this one, and at least 1 ns for any other.
 func (q Query) distance(dataCentre string) time.Duration {
 	if dataCentre == q.DataCentre {
 		return 0
@@ -160,9 +166,9 @@
 	return max(1, q.Catalog.OneWay(q.DataCentre, dataCentre))
 }
 
-// score is the weighted rendezvous hash of the customer with a member. When a
-// weight changes or a member comes or goes, only customers that it gains or
-// loses change their answers.
+// score is the weighted rendezvous hash of the customer and a member. When a weight
+// changes or a member joins or leaves, only the answers of customers that this member
+// gains or loses change.
 func (q Query) score(customer uint64, id string) float64 {
 	weight := 1.0
 	if q.Load != nil {
@@ -171,9 +177,12 @@
 	return weight / -math.Log(uniform(customer, xxhash.Sum64String(id)))
 }
 
-// uniform mixes two hashes into the open interval from 0 to 1. Hashing the
-// joined names would need a buffer for each pair.
+// uniform maps two hashes to the open interval (0, 1), with the multipliers of
+// MurmurHash3's finalizer. Hashing the joined names instead would need a buffer for each
+// pair.
 func uniform(a, b uint64) float64 {
+	// The precision of a float64: with more bits a result may round to 1, whose logarithm
+	// is 0.
 	const bits = 53
 	x := a ^ b*0x9e3779b97f4a7c15
 	x ^= x >> 33
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -53,8 +53,8 @@
 }
 
 func TestLeavingInstanceIsNotListed(t *testing.T) {
-	// An instance gets SIGTERM and says that it leaves. The next answer to any
-	// caller must not name it, and answers that did not name it must not change.
+	// An instance gets SIGTERM and announces that it leaves. The next answers must not
+	// list it, and answers that did not list it must not change.
 	q := testQuery(21, 3)
 	after := q
 	leaving := q.View.Live[6]
@@ -78,8 +78,8 @@
 }
 
 func TestSuspectAndLeavingMembersAreUsedLast(t *testing.T) {
-	// Few instances are left: one under suspicion is better than none, and so
-	// is a leaving one. An unconfirmed view gives a short-lived answer.
+	// Few instances are left: a suspect one is better than none, and so is a leaving one.
+	// An answer from an unconfirmed view has a short TTL.
 	q := testQuery(2, 1).forCustomer(1)
 	q.View.Live[0].State = membership.Suspect
 	if got := q.ids(); len(got) != 2 || got[1] != "i000" {
@@ -97,8 +97,8 @@
 }
 
 func TestLoadedInstanceGetsFewerCustomers(t *testing.T) {
-	// An instance is twice as loaded as the others. It must lose about half of
-	// its customers, and nobody who did not use it may be moved.
+	// An instance has twice the load of the others. It must lose about half of its
+	// customers, and no customer of another instance may move.
 	q := testQuery(20, 1)
 	loaded := q
 	loaded.Load = func(id string) float64 {
@@ -140,7 +140,7 @@
 		listings := map[string]int{}
 		moved, total := 0, 0
 		for customer := range size.customers {
-			// Customers ask in the data centre that they are near to.
+			// Customers ask an instance in a data centre near them.
 			dc := fmt.Sprintf("dc%d", customer%size.dataCentres)
 			q.DataCentre, fewer.DataCentre = dc, dc
 			before := q.forCustomer(customer).ids()
@@ -148,7 +148,7 @@
 			for _, id := range before {
 				listings[id]++
 			}
-			// Only the names of the instance that left may move.
+			// Only listings of the instance that left may move.
 			if slices.Contains(before, leaving) {
 				after := fewer.forCustomer(customer).ids()
 				moved += len(without(before, after))
@@ -165,7 +165,7 @@
 			size.customers, size.instances, size.dataCentres, mean, float64(maxListings)/mean,
 			100*float64(moved)/float64(total), 100*float64(listings[leaving])/float64(total))
 		if moved != listings[leaving] {
-			t.Errorf("%d names moved, %d named the instance that left", moved, listings[leaving])
+			t.Errorf("%d listings moved, %d were of the instance that left", moved, listings[leaving])
 		}
 	}
 }
--- a/internal/instance/fleet_test.go
+++ b/internal/instance/fleet_test.go
@@ -31,36 +31,39 @@
 	engineDelay      = 200 * time.Millisecond
 	peerPort         = "127.0.0.1:1"
 	addressSuffix    = ".peer:1"
-	propagationLimit = 3 * time.Second
+	propagationLimit = 3 * time.Second // until a published change is in force everywhere
 	platformDelay    = 5 * time.Millisecond
 )
 
 var errUnreachable = errors.New("unreachable")
 
-// fleet is a few instances, the platform, and engines, in virtual time. It is
-// the network: it carries envelopes, and drops what crosses a cut.
+// fleet simulates instances, the platform and engines in virtual time. It is also the
+// network: it delivers envelopes and drops those between partitioned places.
 type fleet struct {
 	vtime.Loop
 	t              *testing.T
 	procs          []*process
 	starts         int
 	latestRevision uint64
-	// manifests is the revision that the platform tells; a stale one tells an older.
-	manifests      map[uint64][]byte
-	chunks         map[string][]byte
+	// manifests holds the manifest of each published revision.
+	manifests map[uint64][]byte
+	chunks    map[string][]byte
+	// servedRevision is the revision that the platform serves; a stale platform serves an
+	// older one than latestRevision.
 	servedRevision uint64
 	platformDown   bool
-	// partitioned tells whether two places cannot reach each other; "" is the platform.
+	// partitioned reports whether two places cannot reach each other; "" is the platform.
 	partitioned func(a, b string) bool
 	// runs counts starts at engines by request id.
 	runs map[string]int
-	// startedAt tells when a server last got new work.
+	// startedAt is the time at which each server last got new work.
 	startedAt   map[string]monotime.Instant
 	errs        map[string]*verdict.Error
 	ended       map[string]bool
 	engineError func(a node.Attempt) *verdict.Error
 }
 
+// process is one run of an instance and its links to peers.
 type process struct {
 	f                 *fleet
 	id                string
@@ -100,7 +103,7 @@
 	return f
 }
 
-// publish puts a revision out in which the named server is withdrawn.
+// publish publishes a revision in which the named server is withdrawn.
 func (f *fleet) publish(withdrawn string) {
 	f.latestRevision++
 	text := `
@@ -216,7 +219,8 @@
 	p.deliver(p.self, func() { p.inst.OnLinkDown(p.clock(), id) })
 }
 
-// updateLinks opens wanted links that can be opened and drops those that are cut.
+// updateLinks closes links that are partitioned and opens the link targets that are
+// reachable.
 func (p *process) updateLinks() {
 	for _, id := range p.linkedPeers() {
 		if p.f.partitioned(p.id, id) {
@@ -259,7 +263,7 @@
 	return nil
 }
 
-// send makes a caller send a request to a process and returns its id.
+// send submits a caller's request to a process and returns its id.
 func (f *fleet) send(p *process) string {
 	prefix, _ := p.self.Prefix(time.UnixMilli(int64(f.Now()/1e6)), node.IDLifetime)
 	f.starts++
@@ -285,7 +289,7 @@
 	}
 }
 
-// fleetEffects is what a process does to the fleet.
+// fleetEffects implements Effects in the simulated fleet.
 type fleetEffects struct{ p *process }
 
 func (e *fleetEffects) Send(to string, env *wire.Envelope) {
@@ -338,7 +342,7 @@
 func (e *fleetEffects) SetLinkTargets(t []membership.Target) { e.p.linkTargets = t }
 func (e *fleetEffects) Installed(cat *catalog.Catalog)       { e.p.installedRevision = cat.Revision }
 
-// callPlatform carries a call to the platform.
+// callPlatform delivers the result of a platform call, or errUnreachable.
 func (e *fleetEffects) callPlatform(wait time.Duration, answer func(now monotime.Instant, err error)) {
 	p, self := e.p, e.p.self
 	p.f.After(wait+platformDelay, func() {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,6 +1,6 @@
-// Package instance joins what one instance decides: membership, configuration
-// and the requests of its node. It does no I/O and reads no clock; the daemon
-// and the failure tests drive it.
+// Package instance combines the decision logic of one instance: membership, configuration
+// and the requests of its node. It does no I/O and reads no clock; the daemon and the
+// simulated-fleet tests drive it.
 package instance
 
 import (
@@ -17,30 +17,33 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// TickInterval is how often Tick is to be called.
+// TickInterval is the interval at which Tick is to be called.
 const TickInterval = node.TickInterval
 
-// pauseAfter is the gap between ticks after which the configuration must be
-// confirmed; it is that of the node, which holds dispatch back meanwhile.
+// pauseAfter is the gap between ticks after which the configuration must be confirmed
+// again. It equals the node's limit, after which the node holds dispatch back until the
+// confirmation: a smaller one would drop the confirmation after gaps at which the node
+// goes on dispatching.
 const pauseAfter = time.Second
 
-// Effects are what an instance does to the outside. They must not block and
-// must not call back into the instance.
+// Effects are the actions of an instance on its environment. They must not block and must
+// not call back into the instance.
 type Effects interface {
 	node.Effects
-	// Watch waits up to wait for news at the platform; OnWatch answers.
+	// Watch waits up to wait for a change at the platform. The result is passed to
+	// OnWatch.
 	Watch(call confsync.Call, revision uint64, instances int, wait time.Duration)
-	// FetchManifest reads the manifest; OnManifest answers.
+	// FetchManifest reads the manifest. The result is passed to OnManifest.
 	FetchManifest(call confsync.Call)
-	// FetchChunk reads one value; OnChunk answers.
+	// FetchChunk reads one value. The result is passed to OnChunk.
 	FetchChunk(call confsync.Call, key string)
-	// FetchInstances reads the instance list; OnInstances answers.
+	// FetchInstances reads the instance list. The result is passed to OnInstances.
 	FetchInstances(call confsync.Call)
-	// Report tells operators of an event of the configuration.
+	// Report reports an event of the configuration to operators.
 	Report(event confsync.Event)
-	// Installed tells that a configuration is in force.
+	// Installed is called when a configuration has come into force.
 	Installed(cat *catalog.Catalog)
-	// SetLinkTargets tells which peers to keep links to.
+	// SetLinkTargets sets the peers to keep links to.
 	SetLinkTargets(targets []membership.Target)
 }
 
@@ -48,13 +51,13 @@
 type Config struct {
 	// Node is the configuration of the node.
 	Node node.Config
-	// Self is the member that the instance is.
+	// Self is the member that represents this instance.
 	Self membership.Member
-	// Seeds are peer addresses to start from when the platform is down.
+	// Seeds are the peer addresses to contact first when the platform is down.
 	Seeds []string
 }
 
-// Instance is one instance without its I/O. It is safe for concurrent use.
+// Instance is the state of one instance, without I/O. It is safe for concurrent use.
 type Instance struct {
 	eff  Effects
 	node *node.Node
@@ -64,13 +67,13 @@
 	members     *membership.Core
 	conf        *confsync.Core
 	viewVersion uint64
-	// lastConfirmed outlasts pauses, in which the core forgets its confirmation.
+	// lastConfirmed is kept over pauses, in which conf drops its confirmation.
 	lastConfirmed  monotime.Instant
 	viewPropagated bool
 	wasPaused      bool
 }
 
-// New returns an instance that knows nothing yet.
+// New returns an instance without a configuration and without peers.
 func New(now monotime.Instant, cfg Config, eff Effects) *Instance {
 	return &Instance{
 		eff:     eff,
@@ -85,12 +88,12 @@
 	}
 }
 
-// Node returns the node, whose requests do not take the instance's lock.
+// Node returns the node. Its requests do not take the instance's lock.
 func (i *Instance) Node() *node.Node {
 	return i.node
 }
 
-// Tick does what is due; call it every TickInterval.
+// Tick performs periodic work. It is to be called every TickInterval.
 func (i *Instance) Tick(now monotime.Instant) {
 	i.node.Tick(now)
 	i.apply(now, func() {
@@ -100,7 +103,8 @@
 	})
 }
 
-// checkPause asks for a confirmation at once when the node holds dispatch back.
+// checkPause requests a confirmation of the configuration as soon as the node holds
+// dispatch back.
 func (i *Instance) checkPause(now monotime.Instant) {
 	since, paused := i.node.Paused()
 	if paused && !i.wasPaused {
@@ -109,7 +113,7 @@
 	i.wasPaused = paused
 }
 
-// apply runs do and then passes on what it changed.
+// apply runs do under the lock and propagates the resulting changes.
 func (i *Instance) apply(now monotime.Instant, do func()) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -125,9 +129,9 @@
 	i.node.SetCutOff(i.isolated(now))
 }
 
-// isolated reports whether the instance has been without a confirmation for longer
-// than the rules allow. A fleet of one has nobody to be cut off from: for it the
-// platform's silence alone says nothing.
+// isolated reports whether the instance has been without a confirmation for longer than
+// the rules allow. A fleet of one instance is never isolated: it has no peers, and an
+// unresponsive platform alone does not show that the instance is cut off.
 func (i *Instance) isolated(now monotime.Instant) bool {
 	cat := i.node.Catalog()
 	view := i.node.View()
@@ -138,6 +142,7 @@
 	return now.Sub(i.lastConfirmed) > limit
 }
 
+// propagateView passes a changed membership view to the node and the configuration.
 func (i *Instance) propagateView(now monotime.Instant) {
 	view := i.members.View()
 	if i.viewPropagated && view.Version == i.viewVersion {
@@ -153,19 +158,19 @@
 	i.conf.Members(now, live, i.members.Neighbours(), i.confEffects(now))
 }
 
-// OnLinkUp tells that a link to a peer is open.
+// OnLinkUp handles a link to a peer that has opened.
 func (i *Instance) OnLinkUp(now monotime.Instant, id string) {
 	i.node.LinkUp(now, id)
 	i.apply(now, func() { i.members.OnLinkUp(now, id, peerEffects{i}) })
 }
 
-// OnLinkDown tells that a link to a peer broke or cannot be opened.
+// OnLinkDown handles a link to a peer that has broken or cannot be opened.
 func (i *Instance) OnLinkDown(now monotime.Instant, id string) {
 	i.node.LinkDown(now, id)
 	i.apply(now, func() { i.members.OnLinkDown(now, id) })
 }
 
-// OnEnvelope takes a message of a peer.
+// OnEnvelope handles a message from a peer.
 func (i *Instance) OnEnvelope(now monotime.Instant, from string, env *wire.Envelope) {
 	if hasCoordination(env) {
 		i.apply(now, func() { i.handleCoordination(now, from, env) })
@@ -178,8 +183,8 @@
 		env.ConfigOffer != nil || env.ConfigWant != nil || env.ConfigPart != nil
 }
 
-// handleCoordination handles the parts in the order that the links promise: a table
-// that was sent together with a ping is read before the ping confirms it.
+// handleCoordination handles the parts in the order that links guarantee: a member table
+// sent together with a ping is applied before the ping confirms it.
 func (i *Instance) handleCoordination(now monotime.Instant, from string, env *wire.Envelope) {
 	if len(env.Members) > 0 {
 		i.members.OnMembers(now, from, env.Members, peerEffects{i})
@@ -204,22 +209,22 @@
 	}
 }
 
-// OnWatch answers Effects.Watch.
+// OnWatch handles the result of Effects.Watch.
 func (i *Instance) OnWatch(now monotime.Instant, call confsync.Call, answer *platformapi.WatchAnswer, err error) {
 	i.apply(now, func() { i.conf.OnWatch(now, call, answer, err, i.confEffects(now)) })
 }
 
-// OnManifest answers Effects.FetchManifest.
+// OnManifest handles the result of Effects.FetchManifest.
 func (i *Instance) OnManifest(now monotime.Instant, call confsync.Call, data []byte, err error) {
 	i.apply(now, func() { i.conf.OnManifest(now, call, data, err, i.confEffects(now)) })
 }
 
-// OnChunk answers Effects.FetchChunk.
+// OnChunk handles the result of Effects.FetchChunk.
 func (i *Instance) OnChunk(now monotime.Instant, call confsync.Call, data []byte, err error) {
 	i.apply(now, func() { i.conf.OnChunk(now, call, data, err, i.confEffects(now)) })
 }
 
-// OnInstances answers Effects.FetchInstances.
+// OnInstances handles the result of Effects.FetchInstances.
 func (i *Instance) OnInstances(now monotime.Instant, call confsync.Call, list *platformapi.InstanceList, err error) {
 	i.apply(now, func() {
 		version := 0
@@ -242,8 +247,8 @@
 	return out
 }
 
-// Leave announces that the instance takes no new work from now on; it goes on
-// serving whoever still comes.
+// Leave announces that the instance takes no new work from now on. It still serves
+// requests that arrive.
 func (i *Instance) Leave(now monotime.Instant) {
 	i.apply(now, func() { i.members.Leave(now, peerEffects{i}) })
 }
@@ -253,23 +258,25 @@
 	i.apply(now, func() { i.members.Goodbye(now, peerEffects{i}) })
 }
 
-// Status is what an instance knows besides its requests.
+// Status is the state of an instance apart from its requests.
 type Status struct {
 	// View of the membership.
 	View *membership.View
-	// Members counts the events of the membership.
+	// Members counts membership events.
 	Members membership.Stats
-	// Conf counts the events of the configuration.
+	// Conf counts configuration events.
 	Conf confsync.Stats
-	// Reader says whether the instance watches the platform.
+	// Reader reports whether the instance watches the platform.
 	Reader bool
-	// ConfirmedAge is the age of the last confirmation of the revision.
+	// ConfirmedAge is the time since the revision was last confirmed, or
+	// confsync.NeverConfirmed.
 	ConfirmedAge time.Duration
-	// PlatformAge is the age of the platform's last word, as far as known.
+	// PlatformAge is the time since the platform confirmed the revision to this instance
+	// or to one that it received this from, or confsync.NeverConfirmed.
 	PlatformAge time.Duration
 }
 
-// Status returns what the instance knows.
+// Status returns the current state.
 func (i *Instance) Status(now monotime.Instant) Status {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -284,7 +291,7 @@
 	}
 }
 
-// peerEffects gives the membership its way out.
+// peerEffects implements membership.Effects.
 type peerEffects struct{ *Instance }
 
 // SendPeer implements membership.Effects.
@@ -292,7 +299,7 @@
 	e.eff.Send(to, env)
 }
 
-// confEffects gives the configuration its way out.
+// confEffects implements confsync.Effects.
 type confEffects struct {
 	Effects
 	node   *node.Node
@@ -309,8 +316,8 @@
 	e.Send(to, env)
 }
 
-// Install implements confsync.Effects. The inventory is checked whole before
-// anything of it takes effect. Values that did not change are not read again.
+// Install implements confsync.Effects. The whole inventory is checked before any of it
+// takes effect. Unchanged values are not parsed again.
 func (e confEffects) Install(revision uint64, files []inventory.File) error {
 	inv, problems := e.parser.Parse(files)
 	if len(problems) > 0 {
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -8,7 +8,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// convergenceTime gives a new fleet time to find itself.
+// convergenceTime is the time that a new fleet needs until its membership and
+// configuration agree.
 const convergenceTime = 10 * time.Second
 
 func (f *fleet) checkRevision(p *process, want uint64) {
@@ -46,10 +47,10 @@
 	}
 }
 
-// What the caller sees: its request is served by a server in service. The
-// instance sleeps while a server is withdrawn, and wakes cut off from the
-// platform with its peers still there. It must ask them before it dispatches:
-// the old configuration in its memory still names the server.
+// An instance is paused while a server is withdrawn, and resumes cut off from the
+// platform but linked to its peers. Its old configuration still lists the server. It must
+// confirm the configuration with a peer before it dispatches, or requests go to the
+// withdrawn server.
 func TestPausedInstanceConfirmsBeforeDispatch(t *testing.T) {
 	f := newFleet(t, 4)
 	f.Run(convergenceTime)
@@ -72,9 +73,9 @@
 	}
 }
 
-// What operators see: nothing goes back. The platform serves an old revision
-// while all instances but one are replaced. The new processes hear the old
-// revision from the platform and the newer one from the instance that stayed.
+// The platform serves an old revision while all instances but one are replaced. The new
+// processes receive the old revision from the platform and the newer one from the
+// instance that stayed. No instance may go back to the old one.
 func TestStalePlatformDoesNotRevertRevision(t *testing.T) {
 	f := newFleet(t, 4)
 	f.Run(convergenceTime)
@@ -99,9 +100,9 @@
 	f.checkAnswers(ids)
 }
 
-// What the caller sees: its request is answered although the instance that was
-// scheduling it died. In a burst every instance waits for slots of every owner;
-// one owner is killed; the others ask the next owner as soon as the link breaks.
+// In a burst every instance waits for slots of every owner, and one owner is killed. The
+// others must ask the next owner as soon as the link breaks, so that every request is
+// answered.
 func TestRequestsSurviveOwnerCrash(t *testing.T) {
 	f := newFleet(t, 6)
 	f.Run(convergenceTime)
@@ -120,10 +121,9 @@
 	f.checkAnswers(ids)
 }
 
-// What the caller sees: "may have run", never a second run. Its instance dies
-// while the answer is on its way, and it sends the same id to another instance,
-// and to the new process of the first one. Neither is the process that the id
-// names, so neither may start it.
+// An instance dies while an answer is under way, and the caller sends the same request id
+// to the other instances and to the restarted one. None of them is the process that the
+// id names, so none may start it a second time: the verdict is MayHaveRun.
 func TestRetryElsewhereAfterACrashDoesNotRunTwice(t *testing.T) {
 	f := newFleet(t, 4)
 	f.Run(convergenceTime)
@@ -146,9 +146,9 @@
 	}
 }
 
-// What the caller sees: the whole answer, during a shutdown. The engine's
-// connection goes silent while the instance drains; the node resumes the same
-// run at the same engine, and the drain waits for it.
+// An engine's connection sends no bytes within the gap timeout while the instance drains.
+// The node must resume the same run at the same engine, and the drain must wait for it,
+// or the caller gets a partial answer.
 func TestDrainWaitsForResumption(t *testing.T) {
 	f := newFleet(t, 4)
 	f.Run(convergenceTime)
@@ -174,9 +174,9 @@
 	}
 }
 
-// What the caller sees: service goes on. Two data centres lose each other and
-// one of them the platform too, for a minute; each part schedules the servers
-// itself. Afterwards both have the revision that was published meanwhile.
+// Two data centres are partitioned for a minute, and one of them is cut off from the
+// platform too. Each part must schedule the servers itself and answer its requests.
+// Afterwards both must have the revision that was published meanwhile.
 func TestPartitionServesOnBothSides(t *testing.T) {
 	f := newFleet(t, 6)
 	f.Run(convergenceTime)
@@ -200,9 +200,9 @@
 	}
 }
 
-// What the caller sees: a refusal that sends it elsewhere. An instance loses
-// every peer and the platform; it goes on with what it knows for as long as the
-// rules say, then takes no new request, and takes them again once it is heard.
+// An instance loses every peer and the platform. It must serve with its last state for as
+// long as the rules allow, then refuse new requests so that callers go elsewhere, and
+// serve again once it is reachable.
 func TestIsolatedInstanceRefusesAfterServeLimit(t *testing.T) {
 	f := newFleet(t, 4)
 	f.Run(convergenceTime)
@@ -216,7 +216,7 @@
 	after := f.send(p)
 	f.Run(time.Second)
 	if err := f.errs[after]; err == nil || err.Reason != verdict.ReasonIsolated || err.Verdict != verdict.NotRun {
-		t.Errorf("after six minutes alone: %v", err)
+		t.Errorf("after six minutes of isolation: %v", err)
 	}
 	f.partitioned = func(string, string) bool { return false }
 	f.Run(time.Minute)
@@ -225,9 +225,9 @@
 	f.checkAnswers([]string{again})
 }
 
-// What the caller sees: nothing. The platform is down, and all instances but one
-// are replaced one by one meanwhile; each new process finds a peer through its
-// seeds and learns the configuration and the fleet from its peers alone.
+// The platform is down while all instances but one are replaced one by one. Each new
+// process must find a peer through its seeds and receive the configuration and the
+// membership from peers alone; no request may fail.
 func TestPlatformDownWhileInstancesAreReplaced(t *testing.T) {
 	f := newFleet(t, 4)
 	f.Run(convergenceTime)
--- a/internal/limits/fleet_test.go
+++ b/internal/limits/fleet_test.go
@@ -16,7 +16,7 @@
 	testTick  = 50 * time.Millisecond
 )
 
-// fleet is a few instances that admit one customer's requests in virtual time.
+// fleet simulates instances that admit one customer's requests in virtual time.
 type fleet struct {
 	vtime.Loop
 	t           *testing.T
@@ -28,7 +28,7 @@
 	tokens      int
 	messages    int
 	longestWait time.Duration
-	// partitioned says that two instances do not reach each other.
+	// partitioned reports whether two instances cannot reach each other.
 	partitioned func(a, b int) bool
 }
 
@@ -38,7 +38,7 @@
 	home      *Home
 	local     *Local
 	dead      bool
-	homeIndex int // whom this instance takes for the customer's home
+	homeIndex int // index of the customer's home in this instance's view
 	waiting   []*waiter
 }
 
@@ -56,7 +56,8 @@
 	return f
 }
 
-// setMembership tells the running instances who is home and how many are reached.
+// setMembership sets the home and the numbers of reached and of all members at the given
+// instances, or at all of them.
 func (f *fleet) setMembership(home, live, total int, only ...int) {
 	for _, in := range f.instances {
 		if len(only) > 0 && !contains(only, in.index) {
@@ -122,7 +123,7 @@
 
 func (in *instance) name() string { return string(rune('0' + in.index)) }
 
-// flush sends due asks and judges who waits.
+// flush sends due asks and rechecks waiting requests.
 func (in *instance) flush() {
 	in.local.SendAsks(in.f.Now(), in.homeOf, in.send)
 	waiting := in.waiting
@@ -142,7 +143,7 @@
 	case Refused:
 		f.refused++
 		if after <= 0 {
-			f.t.Error("a refusal without a time to come back")
+			f.t.Error("refused without a time to retry after")
 		}
 	case Waiting:
 		in.waiting = append(in.waiting, w)
@@ -159,7 +160,8 @@
 	in.flush()
 }
 
-// sendRequests sends requests at a rate, spread unevenly over some instances.
+// sendRequests sends requests at random intervals with a mean rate, unevenly over the
+// given instances.
 func (f *fleet) sendRequests(perSecond float64, instances ...int) {
 	interval := time.Duration(f.rng.ExpFloat64() / perSecond * float64(time.Second))
 	f.After(interval, func() {
@@ -169,7 +171,8 @@
 	})
 }
 
-// generateTokens makes an instance generate tokens for the customer while admitted.
+// generateTokens admits a request at an instance and charges its tokens at random times
+// within 2 s.
 func (f *fleet) generateTokens(i, tokens int) {
 	in := f.instances[i]
 	now := f.Now()
--- a/internal/limits/home.go
+++ b/internal/limits/home.go
@@ -9,14 +9,15 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// maxHolders bounds how many holders of one customer are told apart.
+// maxHolders bounds the holders that are counted for one customer. Further holders do not
+// reduce the part of the bucket that each may take; a larger value costs memory.
 const maxHolders = 16
 
-// Home issues the permits of the customers that fall to this member.
+// Home issues the permits of the customers whose home is this member.
 type Home struct {
 	accounts  map[uint64]*homeAccount
-	share     float64
-	changedAt monotime.Instant
+	share     float64          // part of each rate that is issued here
+	changedAt monotime.Instant // time of the last change of the membership
 	sweptAt   monotime.Instant
 }
 
@@ -28,21 +29,24 @@
 	holders  []holder
 }
 
+// holder is an instance that asked for permits of a customer.
 type holder struct {
 	id      string
 	askedAt monotime.Instant
 }
 
-// NewHome returns a home that issues nothing yet.
+// NewHome returns a home without accounts that issues the full rate until SetMembers is
+// called.
 func NewHome(now monotime.Instant) *Home {
 	return &Home{accounts: make(map[uint64]*homeAccount), share: 1, changedAt: now}
 }
 
-// SetMembers tells how many of the known members this part of the fleet
-// reaches, and whether a customer, named by its hash, falls to this member. It
-// is to be called whenever the membership changes. Buckets of customers that
-// fall to another member are dropped: should they come back, a bucket that
-// filled up meanwhile would give out a burst that the other home already gave.
+// SetMembers sets how many of all members this part of the fleet reaches, and drops the
+// accounts of customers whose home is another member. owns reports whether a customer,
+// named by its hash, has its home here. It must be called whenever the membership
+// changes. Keeping a dropped bucket would be wrong: it would fill up meanwhile and, if
+// the customer returned to this member, issue a burst that the other home has already
+// issued.
 func (h *Home) SetMembers(now monotime.Instant, live, total int, owns func(customer uint64) bool) {
 	h.changedAt = now
 	h.share = 1
@@ -56,7 +60,8 @@
 	}
 }
 
-// OnAsk answers a holder. The answer is to be sent only if ok.
+// OnAsk handles an ask of a holder. The answer is to be sent only if ok; an ask that only
+// returns permits gets none.
 func (h *Home) OnAsk(now monotime.Instant, from string, c *catalog.Customer, ask wire.PermitAsk) (give wire.PermitGive, ok bool) {
 	a := h.account(now, c)
 	a.askedAt = now
@@ -86,9 +91,9 @@
 	return give, ask.Requests > 0 || ask.Tokens > 0
 }
 
-// issue takes up to want from the bucket, leaving other active holders theirs.
-// It issues no less than a quantum, unless less is wanted: a customer far above
-// its rate would otherwise cost two messages for each permit.
+// issue takes up to requested from the bucket. Each of the active holders is left its
+// part. It issues at least a quantum, or all of a smaller request, or nothing: a customer
+// far above its rate would otherwise cost two messages for each permit.
 func (b *bucket) issue(requested, active int, quantum float64) int {
 	minimum := min(float64(requested), quantum)
 	if requested <= 0 || b.level < minimum {
@@ -100,9 +105,9 @@
 	return int(n)
 }
 
-// account returns the customer's buckets, refilled. A bucket that is new here
-// starts with what it would hold if an earlier home had emptied it just before
-// the membership last changed.
+// account returns the customer's buckets, refilled. A new bucket starts with what it
+// would hold if an earlier home had emptied it just before the last change of the
+// membership.
 func (h *Home) account(now monotime.Instant, c *catalog.Customer) *homeAccount {
 	requests, tokens := c.RequestsPerSecond*h.share, c.TokensPerSecond*h.share
 	a := h.accounts[c.Hash]
@@ -119,7 +124,7 @@
 	return a
 }
 
-// recordHolder notes the holder and returns how many asked lately.
+// recordHolder records an ask of a holder and returns the number of active holders.
 func (a *homeAccount) recordHolder(now monotime.Instant, from string) int {
 	kept := a.holders[:0]
 	listed := false
@@ -139,21 +144,21 @@
 	return max(1, len(kept))
 }
 
-// Tick forgets customers that were idle for long. Call it now and then.
+// Tick drops the accounts of idle customers. It is to be called regularly.
 func (h *Home) Tick(now monotime.Instant) {
 	if now.Sub(h.sweptAt) < idleTTL {
 		return
 	}
 	h.sweptAt = now
 	for hash, a := range h.accounts {
-		// A debt is forgotten after maxDebt, when it would be repaid anyway.
+		// Debt is dropped only after maxDebt, by which time it is repaid anyway.
 		if now.Sub(a.askedAt) >= max(idleTTL, maxDebt) {
 			delete(h.accounts, hash)
 		}
 	}
 }
 
-// Len returns the number of customers held.
+// Len returns the number of customers with an account.
 func (h *Home) Len() int {
 	return len(h.accounts)
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -11,7 +11,8 @@
 	return &catalog.Customer{Name: "c", Hash: 7, RequestsPerSecond: perSecond, Burst: burst}
 }
 
-// checkBound fails when more was admitted than the stated bound.
+// checkBound fails if more requests were admitted than the bound in the package comment
+// allows.
 func (f *fleet) checkBound(t *testing.T, admitted int, over time.Duration, extra float64) {
 	t.Helper()
 	c := f.customer
@@ -24,9 +25,8 @@
 }
 
 func TestFleetAdmitsAtTheRate(t *testing.T) {
-	// A customer sends three times its rate to five instances, unevenly. The
-	// fleet as a whole must admit its rate, no more than the bound and not
-	// much less.
+	// A customer sends three times its rate to five instances, unevenly. The fleet must
+	// admit no more than the bound and at least 90% of the rate.
 	for _, rate := range []float64{1, 20, 200} {
 		f := newFleet(t, 5, requestLimit(rate, 2*time.Second))
 		f.sendRequests(3*rate, 0, 1, 2, 3, 4)
@@ -39,8 +39,8 @@
 }
 
 func TestRequestsBelowTheRateAreAdmitted(t *testing.T) {
-	// A customer stays at 70% of its rate. Permits lie at several instances,
-	// some expire unused and come back; next to nobody may be refused.
+	// A customer sends 70% of its rate. Permits are spread over several instances, and
+	// some expire unused and are returned; at most 1% of the requests may be refused.
 	f := newFleet(t, 5, requestLimit(20, 2*time.Second))
 	f.sendRequests(14, 0, 1, 2, 3, 4)
 	f.Run(5 * time.Minute)
@@ -51,9 +51,10 @@
 }
 
 func TestHolderFallsBackWhenHomeCrashes(t *testing.T) {
-	// The customer's home dies. Until the membership says so its holders get no
-	// answer; they go on with a share of their own, and nobody waits longer
-	// than AnswerLimit. Then another member becomes home, with a fresh bucket.
+	// The customer's home crashes. Until the membership changes, holders get no answer.
+	// They must fall back to their own share of the rate, and no request may wait
+	// longer than AnswerTimeout and two ticks. Then another member becomes home with a
+	// new bucket.
 	f := newFleet(t, 5, requestLimit(50, 2*time.Second))
 	f.sendRequests(150, 1, 2, 3)
 	f.Run(20 * time.Second)
@@ -66,16 +67,16 @@
 	f.checkBound(t, f.admitted, time.Minute, 50+1)
 	t.Logf("admitted %d in the 4 s without a home", withoutHome)
 	if withoutHome == 0 {
-		t.Error("a lost home refused everybody")
+		t.Error("no request was admitted while the home was down")
 	}
 	if f.longestWait > AnswerTimeout+2*testTick {
-		t.Errorf("somebody waited %v", f.longestWait)
+		t.Errorf("a request waited %v", f.longestWait)
 	}
 }
 
 func TestHomeChangesStayWithinBound(t *testing.T) {
-	// Every 5 s the membership changes and the customer's home moves. Each move
-	// may cost one second of the rate and not more.
+	// The membership changes every 5 s and the customer's home moves each time. Each move
+	// may add at most one second of the rate, plus one request.
 	f := newFleet(t, 5, requestLimit(50, 2*time.Second))
 	f.sendRequests(150, 0, 1, 2, 3, 4)
 	const moves = 12
@@ -90,9 +91,9 @@
 }
 
 func TestPartitionStaysWithinBound(t *testing.T) {
-	// Two of five instances are cut off for 40 s. Each part has a home that
-	// issues its share of the rate, so that together they stay at the limit;
-	// only until the views change two homes may issue too much.
+	// Two of five instances are cut off for 40 s. The home of each part issues its share
+	// of the rate, so both together stay within the limit. Only until the views change
+	// may the two homes issue more.
 	f := newFleet(t, 5, requestLimit(50, 2*time.Second))
 	f.sendRequests(150, 0, 1, 2)
 	f.sendRequests(150, 3, 4)
@@ -111,14 +112,13 @@
 	f.checkBound(t, duringPartition, 34*time.Second, 100+51)
 	f.checkBound(t, f.admitted, time.Minute, 100+51+50*6)
 	if duringPartition < 50*34*8/10 {
-		t.Errorf("admitted %d of %d while parted", duringPartition, 50*34)
+		t.Errorf("admitted %d of %d during the partition", duringPartition, 50*34)
 	}
 }
 
 func TestTokenOverdraftIsRepaid(t *testing.T) {
-	// Answers of unknown length use up the token rate. What runs overdraws when
-	// permits end; the debt is repaid, so that a minute later the fleet is at
-	// its rate and not above it.
+	// Answers of unknown length use up the token rate. Requests in flight overdraw when the
+	// permits run out. The debt must be repaid: the fleet stays at its rate over 2 min.
 	c := &catalog.Customer{Name: "c", Hash: 7, TokensPerSecond: 1000, Burst: 2 * time.Second}
 	f := newFleet(t, 3, c)
 	for i := range 1200 {
@@ -134,8 +134,8 @@
 }
 
 func TestPausedHolderDoesNotUseExpiredPermits(t *testing.T) {
-	// A holder is stopped with permits in hand and wakes after their lease. The
-	// home may have issued others since; the old ones must not count.
+	// A holder is paused with unused permits and resumes after their lease. The home may
+	// have issued others since, so the expired ones must not be used.
 	f := newFleet(t, 2, requestLimit(10, time.Second))
 	in := f.instances[1]
 	in.request()
@@ -143,7 +143,7 @@
 	in.local.accounts[7].requests = 5
 	f.Run(Lease + testTick)
 	if decision, _ := in.local.Admit(f.Now(), f.customer); decision != Waiting {
-		t.Errorf("verdict %v with permits whose lease is over", decision)
+		t.Errorf("decision %v with expired permits", decision)
 	}
 }
 
--- a/internal/limits/local.go
+++ b/internal/limits/local.go
@@ -11,20 +11,20 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Decision is what a holder says of a request.
+// Decision is the result of checking a request against its customer's limits.
 type Decision uint8
 
 const (
-	// Admitted requests have their permit.
+	// Admitted requests have a permit.
 	Admitted Decision = iota
-	// Waiting requests are to be asked about again when permits come, or at
-	// the latest after AnswerLimit.
+	// Waiting requests need a permit from the home. They are to be rechecked when permits
+	// arrive, and after AnswerTimeout at the latest.
 	Waiting
 	// Refused requests exceed the customer's limits.
 	Refused
 )
 
-// Local spends the permits that this instance holds.
+// Local holds and spends the permits of this instance.
 type Local struct {
 	accounts    map[uint64]*localAccount
 	due         []*localAccount
@@ -32,26 +32,26 @@
 	sweptAt     monotime.Instant
 }
 
-// localAccount is what this instance holds for one customer.
+// localAccount is the state of one customer at a holder.
 type localAccount struct {
 	customer *catalog.Customer
-	requests int     // below zero when overdrawn
-	tokens   float64 // below zero when overdrawn
+	requests int     // negative when overdrawn
+	tokens   float64 // negative when overdrawn
 	leaseEnd monotime.Instant
 	issuer   string
 
-	askedAt         monotime.Instant // last ask, 0 when none is open
-	unansweredSince monotime.Instant // first ask since the last answer
-	askDue          bool             // an ask is due
+	askedAt         monotime.Instant // time of the unanswered ask, 0 for none
+	unansweredSince monotime.Instant // time of the first ask since the last answer
+	askDue          bool             // the account is in Local.due
 	waiters         int
-	blockedUntil    monotime.Instant // the home said to wait
-	fallback        bool             // the home has not answered
+	blockedUntil    monotime.Instant // end of the wait that the home requested
+	fallback        bool             // the home does not answer
 
 	returnedRequests int
 	returnedTokens   float64
 
 	requestUse, tokenUse             meter
-	fallbackRequests, fallbackTokens bucket // while alone
+	fallbackRequests, fallbackTokens bucket // own share of the rate during fallback
 	usedAt                           monotime.Instant
 }
 
@@ -60,14 +60,13 @@
 	return &Local{accounts: make(map[uint64]*localAccount), memberCount: 1}
 }
 
-// SetMemberCount tells how many instances may share a limit while homes are out of
-// reach.
+// SetMemberCount sets how many instances share a limit while its home is unreachable.
 func (l *Local) SetMemberCount(total int) {
 	l.memberCount = max(1, total)
 }
 
-// Admit judges a new request of the customer. For Refused it returns when to
-// come back.
+// Admit checks a new request of the customer. For Refused it also returns the time after
+// which to retry.
 func (l *Local) Admit(now monotime.Instant, c *catalog.Customer) (Decision, time.Duration) {
 	if !Limited(c) {
 		return Admitted, 0
@@ -81,7 +80,7 @@
 	return decision, after
 }
 
-// Recheck judges a request that was told to wait.
+// Recheck repeats the check of a request for which Admit returned Waiting.
 func (l *Local) Recheck(now monotime.Instant, c *catalog.Customer) (Decision, time.Duration) {
 	if !Limited(c) {
 		return Admitted, 0
@@ -94,14 +93,14 @@
 	return decision, after
 }
 
-// CancelWait tells that a request that was told to wait is gone.
+// CancelWait removes a waiting request that ended before it was admitted or refused.
 func (l *Local) CancelWait(c *catalog.Customer) {
 	if a := l.accounts[c.Hash]; a != nil {
 		a.waiters = max(0, a.waiters-1)
 	}
 }
 
-// Charge counts tokens generated for the customer.
+// Charge deducts tokens generated for the customer.
 func (l *Local) Charge(now monotime.Instant, c *catalog.Customer, tokens int) {
 	if c.TokensPerSecond <= 0 || tokens <= 0 {
 		return
@@ -131,7 +130,7 @@
 	return a
 }
 
-// expire puts permits whose lease is over aside for return.
+// expire moves permits whose lease has ended to those to be returned.
 func (a *localAccount) expire(now monotime.Instant) {
 	if now < a.leaseEnd {
 		return
@@ -176,8 +175,8 @@
 	}
 }
 
-// shouldPrefetch reports whether to ask ahead: soon used up, and used so often that
-// the next permit would not expire unused.
+// shouldPrefetch reports whether to ask before the permits run out: when they are nearly
+// used up and the rate of use is high enough that the next ones would not expire unused.
 func (a *localAccount) shouldPrefetch(now monotime.Instant) bool {
 	if a.customer.RequestsPerSecond <= 0 {
 		return false
@@ -186,8 +185,9 @@
 	return rate*Lease.Seconds() >= 2 && float64(a.requests) <= rate*lowWater.Seconds()
 }
 
-// enterFallback starts to admit this instance's own share: no home answers, and to
-// refuse everybody until one does would turn a lost member into an outage.
+// enterFallback starts to admit this instance's own share of the rate because the home
+// does not answer. To refuse every request until a home answers would turn the loss of
+// one member into an outage.
 func (a *localAccount) enterFallback(now monotime.Instant, memberCount int) {
 	if a.fallback {
 		return
@@ -227,8 +227,8 @@
 	}
 }
 
-// SendAsks hands the asks that are due to send. home names the member that is the
-// customer's home now. send may call OnGive before it returns.
+// SendAsks passes the asks that are due to send. home returns the member that is the
+// customer's home. send may call OnGive before it returns.
 func (l *Local) SendAsks(now monotime.Instant, home func(*catalog.Customer) string, send func(to string, ask wire.PermitAsk)) {
 	if len(l.due) == 0 {
 		return
@@ -246,7 +246,7 @@
 	}
 }
 
-// buildAsk builds the message and marks it as open.
+// buildAsk builds the message and records it as unanswered.
 func (a *localAccount) buildAsk(now monotime.Instant, to string) wire.PermitAsk {
 	c := a.customer
 	if a.askedAt == 0 {
@@ -271,8 +271,8 @@
 	return ask
 }
 
-// addReturns gives unused permits back, to the member that issued them only:
-// any other one never took them from its bucket.
+// addReturns adds unused permits to the ask if it goes to the member that issued them,
+// and drops them otherwise: another member did not take them from its bucket.
 func (a *localAccount) addReturns(ask *wire.PermitAsk, to string) {
 	if to == a.issuer {
 		ask.ReturnedRequests = a.returnedRequests
@@ -281,7 +281,7 @@
 	a.returnedRequests, a.returnedTokens = 0, 0
 }
 
-// OnGive takes permits.
+// OnGive adds the permits that a home issued.
 func (l *Local) OnGive(now monotime.Instant, from string, give wire.PermitGive) {
 	a := l.accounts[uint64(give.Customer)]
 	if a == nil || a.askedAt == 0 {
@@ -289,8 +289,8 @@
 	}
 	a.expire(now)
 	if a.issuer != from {
-		// Permits of an earlier home stay usable until their lease is over,
-		// but cannot be returned any more.
+		// Permits of an earlier home remain valid until their lease ends, but can no
+		// longer be returned.
 		a.returnedRequests, a.returnedTokens = 0, 0
 	}
 	a.askedAt = 0
@@ -299,7 +299,7 @@
 	a.requests += max(0, give.Requests)
 	a.tokens += float64(max(0, give.Tokens))
 	if give.Requests > 0 || give.Tokens > 0 {
-		// What was left, at most lowWater of recent use, lives on with it.
+		// Remaining permits, at most lowWater of recent use, get the new lease too.
 		a.leaseEnd = now.Add(time.Duration(give.LeaseMS) * time.Millisecond)
 	}
 	a.blockedUntil = 0
@@ -311,7 +311,7 @@
 	}
 }
 
-// Tick returns unused permits whose lease is over and forgets idle customers.
+// Tick returns unused permits whose lease has ended and drops idle customers.
 func (l *Local) Tick(now monotime.Instant, home func(*catalog.Customer) string, send func(to string, ask wire.PermitAsk)) {
 	if now.Sub(l.sweptAt) < sweepInterval {
 		return
@@ -337,7 +337,7 @@
 	}
 }
 
-// Len returns the number of customers held.
+// Len returns the number of customers with an account.
 func (l *Local) Len() int {
 	return len(l.accounts)
 }
--- a/internal/limits/overdraw.go
+++ b/internal/limits/overdraw.go
@@ -5,11 +5,11 @@
 	"basilrudder/internal/monotime"
 )
 
-// Overdraw lets a request of the top tier pass that Admit or Again refused, as
-// long as this instance's debt for the customer stays below one burst. The debt
-// comes out of the permits that follow, so lower work pays for it and the rate
-// holds over time. Without it a customer's own lower work, which came first,
-// would have its top-tier requests turned away.
+// Overdraw admits a top-tier request that Admit or Recheck refused, if this instance's
+// debt for the customer is below one burst. The debt is deducted from the permits that
+// follow: requests of lower tiers are delayed, and the rate holds over time. Without it,
+// the customer's lower-tier requests that came first would cause its top-tier requests to
+// be refused.
 func (l *Local) Overdraw(now monotime.Instant, c *catalog.Customer) bool {
 	a := l.account(now, c)
 	if a.fallback {
--- a/internal/limits/overdraw_test.go
+++ b/internal/limits/overdraw_test.go
@@ -9,9 +9,9 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// What the caller of the top tier sees: service, up to a burst beyond the rate.
-// The customer's lower work used the permits up; the home says to wait. The top
-// tier goes into debt, the lower work waits until the debt is paid.
+// Requests of lower tiers use up the customer's permits and the home says to wait.
+// Without an overdraft, top-tier requests would be refused too. They may overdraw by one
+// burst, and lower tiers must wait until the debt is repaid.
 func TestTopTierOverdraftIsRepaidByLowerTiers(t *testing.T) {
 	c := &catalog.Customer{Name: "c", Hash: 1, RequestsPerSecond: 2, Burst: 2 * time.Second}
 	l := NewLocal()
@@ -24,7 +24,7 @@
 	}
 	give(0, 500)
 	if v, _ := l.Recheck(now, c); v != Refused {
-		t.Fatalf("lower work without a permit: %v", v)
+		t.Fatalf("lower-tier request without a permit: %v", v)
 	}
 	passed := 0
 	for range 20 {
@@ -33,16 +33,16 @@
 		}
 	}
 	if passed != 4 {
-		t.Errorf("%d requests of the top tier passed, want a burst of 4", passed)
+		t.Errorf("%d top-tier requests were admitted, want a burst of 4", passed)
 	}
 	now = now.Add(time.Second)
 	give(4, 0)
 	if v, _ := l.Recheck(now, c); v == Admitted {
-		t.Error("lower work was admitted before the debt was paid")
+		t.Error("lower-tier request was admitted before the debt was repaid")
 	}
 	now = now.Add(time.Second)
 	give(2, 0)
 	if v, _ := l.Recheck(now, c); v != Admitted {
-		t.Errorf("after the debt was paid: %v", v)
+		t.Errorf("lower-tier request after the debt was repaid: %v", v)
 	}
 }
