--- a/internal/gateway/regular.go
+++ b/internal/gateway/regular.go
@@ -46,13 +46,13 @@
 		case <-ticker.C:
 		}
 		g.fleet.update(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
-		g.fleet.evacuate(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.SettleEvacuations(monotime.Now()) })
+		g.fleet.evacuate(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.ApplyDeferredEvacuations(monotime.Now()) })
 		g.checkIsolation()
 		g.tellEvidence(monotime.Now())
 		g.peers.tick(monotime.Now())
 		instances := g.peers.count()
 		g.fleet.board.SetPeers(instances-1, g.peers.staleness())
-		g.fleet.board.SetNoise(choiceNoise(monotime.Now().Sub(g.begun), instances))
+		g.fleet.board.SetCostJitter(choiceNoise(monotime.Now().Sub(g.begun), instances))
 		if n%sweepTicks == 0 {
 			g.relay.Sweep(g.fleet.known)
 			g.fleet.crashes.expire(monotime.Now())
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -120,7 +120,7 @@
 	do()
 	i.members.SetRevision(i.conf.Revision())
 	i.propagateView(now)
-	i.eff.SetLinkTargets(i.members.Wanted())
+	i.eff.SetLinkTargets(i.members.LinkTargets())
 	_, age := i.conf.Confirmed(now)
 	if age != confsync.NeverConfirmed {
 		i.node.Confirm(now, now.Add(-age))
--- a/internal/servers/notice.go
+++ b/internal/servers/notice.go
@@ -6,83 +6,83 @@
 	"basilrudder/internal/monotime"
 )
 
-// Notice is what a server says of itself in an answer.
+// Notice is what a server states about itself in an answer.
 type Notice struct {
-	// Leaving says that it is about to end and wants no new requests.
+	// Leaving is true if the server is about to end and accepts no new requests.
 	Leaving bool
-	// Limited says that it takes no more than Rate requests a second, of all instances
-	// together, for as long as its answers say so.
+	// Limited is true if the server accepts at most Rate requests a second of all
+	// instances together. It holds for as long as its answers state it.
 	Limited bool
 	Rate    float64
-	// Pause is how long it wants nothing more from this instance; 0 for no such wish.
+	// Pause is how long the server accepts nothing more from this instance; 0 for no
+	// pause.
 	Pause time.Duration
 }
 
-// Bound is whether a server names a limit, and which.
-type Bound struct {
-	// Limited says that it names one.
+// RateLimit is the limit that a server states, if any.
+type RateLimit struct {
+	// Limited is true if it states one.
 	Limited bool
 	// Rate in requests a second, of all instances together.
 	Rate float64
-	// At is when it was last known to say so: a limit counts from when its answer came,
-	// the end of one from when the request was sent whose answer named none. Never
-	// named: 0.
+	// At is when this was last confirmed: for a limit, when the answer that stated it
+	// arrived; for the end of one, when the request was sent whose answer stated none. 0
+	// if no limit was ever stated.
 	At monotime.Instant
 }
 
-// Hear takes what a server said of itself in its answer to a request sent at an instant.
+// ApplyNotice applies what a server stated in its answer to a request sent at an instant.
 //
-// Answers of one server overtake each other on their way, and an instance may read one
-// late. An answer without a limit ends one only if its request was sent after the limit
-// was last heard of: then the server wrote it after it had named the limit. That a server
-// leaves is never taken back.
-func (r *Registry) Hear(id string, n Notice, sent, now monotime.Instant) Change {
-	known := r.live[id]
-	if known == nil {
+// Answers of one server may arrive out of order, and an instance may read one late. An
+// answer without a limit ends one only if its request was sent after the limit was last
+// received: then the server wrote it after stating the limit. Leaving is never undone.
+func (r *Registry) ApplyNotice(id string, n Notice, sent, now monotime.Instant) Change {
+	rec := r.live[id]
+	if rec == nil {
 		return Unchanged
 	}
 	change := Unchanged
 	if n.Leaving {
-		change = known.drain()
+		change = rec.drain()
 	}
 	switch {
 	case n.Limited:
-		return max(change, r.SetBound(id, Bound{Limited: true, Rate: n.Rate, At: now}))
-	case known.bound.Limited:
-		return max(change, r.SetBound(id, Bound{At: sent}))
+		return max(change, r.SetRateLimit(id, RateLimit{Limited: true, Rate: n.Rate, At: now}))
+	case rec.rateLimit.Limited:
+		return max(change, r.SetRateLimit(id, RateLimit{At: sent}))
 	default:
 		return change
 	}
 }
 
-// SetBound takes whether a server names a limit, as its answer or a peer told. Older
-// words than the one known change nothing.
-func (r *Registry) SetBound(id string, b Bound) Change {
-	known := r.live[id]
-	if known == nil || b.At <= known.bound.At {
+// SetRateLimit applies a limit, or its end, received from a server or a peer. One that is
+// older than the current state is ignored.
+func (r *Registry) SetRateLimit(id string, b RateLimit) Change {
+	rec := r.live[id]
+	if rec == nil || b.At <= rec.rateLimit.At {
 		return Unchanged
 	}
-	was := known.bound
-	known.bound = b
-	if was.Limited == b.Limited && was.Rate == b.Rate {
+	previous := rec.rateLimit
+	rec.rateLimit = b
+	if previous.Limited == b.Limited && previous.Rate == b.Rate {
 		return Unchanged
 	}
 	return Updated
 }
 
-// Bound returns whether a server names a limit; the zero value for one that is not known.
-func (r *Registry) Bound(id string) Bound {
-	if known := r.live[id]; known != nil {
-		return known.bound
+// RateLimit returns the limit that a server states; the zero value for an unknown server.
+func (r *Registry) RateLimit(id string) RateLimit {
+	if rec := r.live[id]; rec != nil {
+		return rec.rateLimit
 	}
-	return Bound{}
+	return RateLimit{}
 }
 
-// Limited returns the ids of the servers that name a limit.
+// Limited returns the ids of the servers that state a limit.
 func (r *Registry) Limited() []string {
 	out := []string{}
 	for _, id := range r.ids() {
-		if r.live[id].bound.Limited {
+		if r.live[id].rateLimit.Limited {
 			out = append(out, id)
 		}
 	}
