--- a/internal/limits/overdraw.go
+++ b/internal/limits/overdraw.go
@@ -5,15 +5,15 @@
 	"basilrudder/internal/monotime"
 )
 
-// Overdraw lets a request of the top tier pass that Admit or Again refused, as
-// long as this instance's debt for the customer stays below one burst. The debt
-// comes out of the permits that follow, so lower work pays for it and the rate
-// holds over time. Without it a customer's own lower work, which came first,
-// would have its top-tier requests turned away.
+// Overdraw admits a top-tier request that Admit or Recheck refused, if this instance's
+// debt for the customer is below one burst. The debt is deducted from the permits that
+// follow: requests of lower tiers are delayed, and the rate holds over time. Without it,
+// the customer's lower-tier requests that came first would cause its top-tier requests to
+// be refused.
 func (l *Local) Overdraw(now monotime.Instant, c *catalog.Customer) bool {
 	a := l.account(now, c)
-	if a.alone {
-		return a.overdrawOwn()
+	if a.fallback {
+		return a.overdrawFallback()
 	}
 	if c.TokensPerSecond > 0 && a.tokens <= -burst(c, c.TokensPerSecond) {
 		return false
@@ -24,19 +24,19 @@
 		}
 		a.requests--
 	}
-	l.want(a)
+	l.scheduleAsk(a)
 	return true
 }
 
-// overdrawOwn is Overdraw for an instance whose home does not answer.
-func (a *account) overdrawOwn() bool {
+// overdrawFallback is Overdraw for an instance whose home does not answer.
+func (a *localAccount) overdrawFallback() bool {
 	c := a.customer
-	if c.TokensPerSecond > 0 && a.ownTokens.level <= -burst(c, c.TokensPerSecond) {
+	if c.TokensPerSecond > 0 && a.fallbackTokens.level <= -burst(c, c.TokensPerSecond) {
 		return false
 	}
-	if c.RequestsPerSecond > 0 && a.ownRequests.level <= -burst(c, c.RequestsPerSecond) {
+	if c.RequestsPerSecond > 0 && a.fallbackRequests.level <= -burst(c, c.RequestsPerSecond) {
 		return false
 	}
-	a.ownRequests.level--
+	a.fallbackRequests.level--
 	return true
 }
