--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -132,7 +132,7 @@
 	}
 	r.charged = tokens
 	if outcome == sched.Finished {
-		n.measures.Learn(r.Class, tokens, now.Sub(r.started), result.FirstToken)
+		n.measures.Record(r.Class, tokens, now.Sub(r.started), result.FirstToken)
 	} else {
 		r.wasted += tokens
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -113,7 +113,7 @@
 	owned       map[string]*ownedGroup
 	down        map[string]monotime.Instant
 	owners      map[string]*ownerTalk
-	measures    *sched.Measures
+	measures    *sched.Measurements
 	// idle names groups of this node that were dropped because nobody used them.
 	idle     map[string]bool
 	budget   retryBudget
@@ -150,7 +150,7 @@
 		down:        make(map[string]monotime.Instant),
 		owners:      make(map[string]*ownerTalk),
 		idle:        make(map[string]bool),
-		measures:    sched.NewMeasures(),
+		measures:    sched.NewMeasurements(),
 		budget:      retryBudget{tokens: retryBurst},
 		permits:     newPermits(),
 	}
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -56,9 +56,9 @@
 		sched: sched.New(now, cat.Groups[name], cat, n.cfg.Policy, n.rng.Uint64()),
 		used:  now,
 	}
-	g.sched.SetMeasures(n.measures)
+	g.sched.SetMeasurements(n.measures)
 	if !n.idle[name] && len(n.members) > 1 {
-		g.sched.Warm(now.Add(ownerWarmUp))
+		g.sched.BeginTakeover(now.Add(ownerWarmUp))
 	}
 	delete(n.idle, name)
 	n.owned[name] = g
@@ -95,7 +95,7 @@
 	group := n.catalog.Load().Groups[g.name]
 	if g.lost && group != nil && n.ownerOf(group) == n.self() {
 		g.lost = false
-		g.sched.Warm(now.Add(ownerWarmUp))
+		g.sched.BeginTakeover(now.Add(ownerWarmUp))
 	}
 }
 
@@ -174,7 +174,7 @@
 		return
 	}
 	cat := n.catalog.Load()
-	g.sched.Adopt(now, ticket(from, item.Seq), sched.Held{
+	g.sched.Adopt(now, ticket(from, item.Seq), sched.HeldSlot{
 		Engine:       item.Engine,
 		Class:        cat.ClassByHash[uint32(item.Class)],
 		Customer:     cat.CustomerByHash[uint64(item.Customer)],
--- a/internal/sched/affinity.go
+++ b/internal/sched/affinity.go
@@ -12,36 +12,36 @@
 // late and with gaps. The table has a fixed size; a newer prefix displaces an
 // older one that falls on the same place.
 type prefixTable struct {
-	places []prefixPlace
+	buckets []prefixBucket
 }
 
-// prefixPlace holds a prefix and up to two engines that ran it.
-type prefixPlace struct {
+// prefixBucket holds a prefix and up to two engines that ran it.
+type prefixBucket struct {
 	prefix  uint64
 	engines [2]prefixRun
 }
 
 type prefixRun struct {
 	engine *engine
-	// stored is the engine's count of prefixes when it ran this one.
-	stored uint32
-	at     monotime.Instant
+	// seq is the engine's count of prefixes when it ran this one.
+	seq uint32
+	at  monotime.Instant
 }
 
 const (
-	// prefixPlaces bounds the table: 2^13 places of 64 bytes are 512 KB.
-	prefixPlaces = 1 << 13
-	// defaultCacheRoom is how many prefixes an engine is believed to hold until
+	// prefixTableSize bounds the table: 2^13 places of 64 bytes are 512 KB.
+	prefixTableSize = 1 << 13
+	// defaultCacheCapacity is how many prefixes an engine is believed to hold until
 	// an eviction tells more.
-	defaultCacheRoom = 64
-	minCacheRoom     = 4
-	// prefixSaves is the part of the prefill that a cached prefix saves.
-	prefixSaves = 0.8
+	defaultCacheCapacity = 64
+	minCacheCapacity     = 4
+	// cachedPrefillShare is the part of the prefill that a cached prefix saves.
+	cachedPrefillShare = 0.8
 )
 
-func (t *prefixTable) place(prefix uint64) *prefixPlace {
-	const mix = 0x9e3779b97f4a7c15
-	return &t.places[(prefix*mix)>>51]
+func (t *prefixTable) bucket(prefix uint64) *prefixBucket {
+	const multiplier = 0x9e3779b97f4a7c15
+	return &t.buckets[(prefix*multiplier)>>51]
 }
 
 // holds reports whether the engine is believed to hold the prefix.
@@ -49,39 +49,39 @@
 	if prefix == 0 {
 		return false
 	}
-	p := t.place(prefix)
+	p := t.bucket(prefix)
 	if p.prefix != prefix {
 		return false
 	}
 	for i := range p.engines {
 		run := &p.engines[i]
 		if run.engine == e {
-			return e.stored-run.stored <= e.cacheRoom
+			return e.prefixSeq-run.seq <= e.cacheCapacity
 		}
 	}
 	return false
 }
 
-// ran notes that the engine gets a request with the prefix.
-func (t *prefixTable) ran(now monotime.Instant, prefix uint64, e *engine) {
+// recordRun notes that the engine gets a request with the prefix.
+func (t *prefixTable) recordRun(now monotime.Instant, prefix uint64, e *engine) {
 	if prefix == 0 {
 		return
 	}
-	p := t.place(prefix)
+	p := t.bucket(prefix)
 	if p.prefix != prefix {
-		*p = prefixPlace{prefix: prefix}
+		*p = prefixBucket{prefix: prefix}
 	}
 	run := &p.engines[0]
 	if run.engine != e {
 		p.engines[1] = *run
-		e.stored++
+		e.prefixSeq++
 	}
-	*run = prefixRun{engine: e, stored: e.stored, at: now}
+	*run = prefixRun{engine: e, seq: e.prefixSeq, at: now}
 }
 
-// lost notes that the engine evicted the prefix.
-func (t *prefixTable) lost(prefix uint64, e *engine) {
-	p := t.place(prefix)
+// removeRun notes that the engine evicted the prefix.
+func (t *prefixTable) removeRun(prefix uint64, e *engine) {
+	p := t.bucket(prefix)
 	if p.prefix != prefix {
 		return
 	}
@@ -110,26 +110,26 @@
 			continue
 		}
 		if event.Stored {
-			g.noteStored(now, prefix, e)
+			g.recordStored(now, prefix, e)
 			continue
 		}
-		g.noteEvicted(now, prefix, e)
+		g.recordEvicted(now, prefix, e)
 	}
 	e.cacheNext = events.Next
 }
 
-func (g *Group) noteStored(now monotime.Instant, prefix uint64, e *engine) {
-	p := g.prefixes.place(prefix)
+func (g *Group) recordStored(now monotime.Instant, prefix uint64, e *engine) {
+	p := g.prefixes.bucket(prefix)
 	if p.prefix != 0 && p.prefix != prefix {
 		return
 	}
 	if p.engines[0].engine == nil || p.engines[1].engine == nil && p.engines[0].engine != e {
-		g.prefixes.ran(now, prefix, e)
+		g.prefixes.recordRun(now, prefix, e)
 	}
 }
 
-func (g *Group) noteEvicted(now monotime.Instant, prefix uint64, e *engine) {
-	p := g.prefixes.place(prefix)
+func (g *Group) recordEvicted(now monotime.Instant, prefix uint64, e *engine) {
+	p := g.prefixes.bucket(prefix)
 	if p.prefix != prefix {
 		return
 	}
@@ -139,8 +139,8 @@
 			continue
 		}
 		// The prefix was evicted after this many others came: the room.
-		held := max(minCacheRoom, e.stored-run.stored)
-		e.cacheRoom = min(e.cacheRoom, max(held, e.cacheRoom*3/4))
-		g.prefixes.lost(prefix, e)
+		capacity := max(minCacheCapacity, e.prefixSeq-run.seq)
+		e.cacheCapacity = min(e.cacheCapacity, max(capacity, e.cacheCapacity*3/4))
+		g.prefixes.removeRun(prefix, e)
 	}
 }
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -52,8 +52,8 @@
 	return catalog.Compile(1, inv)
 }
 
-// load drives one group in a closed loop with a queue of a given length.
-type load struct {
+// closedLoop drives one group in a closed loop with a queue of a given length.
+type closedLoop struct {
 	g         *Group
 	cat       *catalog.Catalog
 	classes   []*catalog.Class
@@ -65,10 +65,10 @@
 	out       []Decision
 }
 
-func newLoad(cat *catalog.Catalog, group *catalog.Group, waiting int) *load {
+func newClosedLoop(cat *catalog.Catalog, group *catalog.Group, waiting int) *closedLoop {
 	policy := Default()
 	policy.EarlyRefusal = false
-	l := &load{cat: cat, rng: rand.New(rand.NewPCG(1, 2)), now: monotime.Instant(time.Second)}
+	l := &closedLoop{cat: cat, rng: rand.New(rand.NewPCG(1, 2)), now: monotime.Instant(time.Second)}
 	l.g = New(l.now, group, cat, policy, 1)
 	for tier := range 7 {
 		l.classes = append(l.classes, cat.Classes[fmt.Sprintf("c%d-%s", tier, group.Serves[0][1:])])
@@ -81,12 +81,12 @@
 		l.submit()
 	}
 	for range 4 * waiting {
-		l.turn()
+		l.cycle()
 	}
 	return l
 }
 
-func (l *load) submit() {
+func (l *closedLoop) submit() {
 	l.seq++
 	tier := l.rng.IntN(len(l.classes))
 	d := Demand{
@@ -101,7 +101,7 @@
 	l.take(l.g.Submit(l.now, d, l.out[:0]))
 }
 
-func (l *load) take(out []Decision) {
+func (l *closedLoop) take(out []Decision) {
 	for _, d := range out {
 		if d.Granted {
 			l.running = append(l.running, d.Ticket)
@@ -110,9 +110,9 @@
 	l.out = out
 }
 
-// turn ends one running request, whose slot goes to a waiting one, and submits
+// cycle ends one running request, whose slot goes to a waiting one, and submits
 // another: one admission and one choice.
-func (l *load) turn() {
+func (l *closedLoop) cycle() {
 	l.now = l.now.Add(200 * time.Microsecond)
 	i := l.rng.IntN(len(l.running))
 	t := l.running[i]
@@ -123,15 +123,15 @@
 }
 
 // renewAll keeps leases alive without being measured.
-func (l *load) renewAll() {
+func (l *closedLoop) renewAll() {
 	for _, t := range l.running {
 		l.g.Progress(l.now, t, 1, nil)
 	}
 }
 
-func benchTurn(b *testing.B, servers, customers, waiting int) {
+func benchCycle(b *testing.B, servers, customers, waiting int) {
 	cat := fleet(servers, customers)
-	l := newLoad(cat, cat.GroupList[0], waiting)
+	l := newClosedLoop(cat, cat.GroupList[0], waiting)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -141,27 +141,27 @@
 			l.g.Tick(l.now, l.out[:0])
 			b.StartTimer()
 		}
-		l.turn()
+		l.cycle()
 	}
 }
 
 // BenchmarkAdmitAndChoose is one admission and one choice at several sizes.
 func BenchmarkAdmitAndChoose(b *testing.B) {
 	for _, servers := range []int{18, 60, 200, 600} {
-		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { benchTurn(b, servers, 27_000, 2000) })
+		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { benchCycle(b, servers, 27_000, 2000) })
 	}
 	for _, customers := range []int{10, 100, 1000, 27_000} {
-		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) { benchTurn(b, 600, customers, 2000) })
+		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) { benchCycle(b, 600, customers, 2000) })
 	}
 	for _, waiting := range []int{10, 100, 1000, 8000} {
-		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) { benchTurn(b, 600, 27_000, waiting) })
+		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) { benchCycle(b, 600, 27_000, waiting) })
 	}
 }
 
 // BenchmarkChoose is the choice of an engine alone.
 func BenchmarkChoose(b *testing.B) {
 	cat := fleet(600, 27_000)
-	l := newLoad(cat, cat.GroupList[0], 10)
+	l := newClosedLoop(cat, cat.GroupList[0], 10)
 	e := l.g.entries[l.running[0]]
 	for _, t := range l.running[len(l.running)/2:] {
 		l.g.Release(l.now, t, Result{Outcome: Unused}, nil)
@@ -175,12 +175,12 @@
 // BenchmarkTick is the upkeep of a group with requests waiting.
 func BenchmarkTick(b *testing.B) {
 	cat := fleet(600, 27_000)
-	l := newLoad(cat, cat.GroupList[0], 2000)
+	l := newClosedLoop(cat, cat.GroupList[0], 2000)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
 		l.renewAll()
-		l.now = l.now.Add(upkeepEvery)
+		l.now = l.now.Add(upkeepInterval)
 		l.out = l.g.Tick(l.now, l.out[:0])
 	}
 }
@@ -199,10 +199,10 @@
 
 func benchContention(b *testing.B, one bool) {
 	cat := fleet(600, 27_000)
-	loads := make([]*load, len(cat.GroupList))
+	loads := make([]*closedLoop, len(cat.GroupList))
 	locks := make([]sync.Mutex, len(loads))
 	for i, group := range cat.GroupList {
-		loads[i] = newLoad(cat, group, 100)
+		loads[i] = newClosedLoop(cat, group, 100)
 	}
 	var next atomic.Uint64
 	b.ResetTimer()
@@ -214,7 +214,7 @@
 				lock = &locks[0]
 			}
 			lock.Lock()
-			loads[at].turn()
+			loads[at].cycle()
 			lock.Unlock()
 		}
 	})
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -14,7 +14,7 @@
 	case ChooseRotate:
 		return g.rotate(e), false
 	case ChooseReported:
-		return g.leastReported(e), false
+		return g.leastLoaded(e), false
 	default:
 		return g.fastest(e, now)
 	}
@@ -25,26 +25,26 @@
 // that a cached prefix saves. A prefix thus attracts a request only while the
 // queue it causes costs less than the prefill it saves.
 func (g *Group) fastest(e *entry, now monotime.Instant) (best *engine, hit bool) {
-	l := e.lane
-	n := len(l.engines)
+	p := e.pool
+	n := len(p.engines)
 	leastCost := 0.0
-	l.rotation++
+	p.rotation++
 	for i := range n {
-		at := i + l.rotation%n
+		at := i + p.rotation%n
 		if at >= n {
 			at -= n
 		}
-		candidate := l.engines[at]
-		if !g.hasRoom(candidate, e.tier) || candidate.serves&e.target == 0 {
+		candidate := p.engines[at]
+		if !g.hasSlot(candidate, e.tier) || candidate.serves&e.target == 0 {
 			continue
 		}
 		cached := g.policy.Affinity && g.prefixes.holds(e.demand.Prefix, candidate)
 		cost := g.startCost(e, candidate, cached, now)
 		if candidate.spec.ID == e.demand.Avoid {
-			cost += avoidCost
+			cost += avoidPenalty
 		}
-		if g.policy.Stragglers && candidate.slow >= slowFrom && !candidate.doubtful && g.tooSlow(e, candidate, now) {
-			cost += slowCost
+		if g.policy.Stragglers && candidate.slowdown >= stragglerSlowdown && !candidate.paceStale && g.tooSlow(e, candidate, now) {
+			cost += stragglerPenalty
 		}
 		if best == nil || cost < leastCost {
 			best, hit, leastCost = candidate, cached, cost
@@ -53,42 +53,42 @@
 	return best, hit
 }
 
-// hasRoom reports whether the engine has a slot for a request of the tier.
-func (g *Group) hasRoom(on *engine, tier int) bool {
+// hasSlot reports whether the engine has a slot for a request of the tier.
+func (g *Group) hasSlot(on *engine, tier int) bool {
 	return on.free > 0 || on.extra > 0 && g.headroom[tier] > 0
 }
 
 const (
-	// avoidCost keeps a retry away from the engine that failed it while any
+	// avoidPenalty keeps a retry away from the engine that failed it while any
 	// other engine has room, in seconds.
-	avoidCost = 60
-	// slowCost keeps a request away from a straggler that would make it late.
-	slowCost = 20
-	// probeCost keeps requests of higher tiers from being the probe.
-	probeCost = 30
-	// crowding weighs the slots in use: a fuller engine decodes more slowly.
-	crowding = 4
+	avoidPenalty = 60
+	// stragglerPenalty keeps a request away from a straggler that would make it late.
+	stragglerPenalty = 20
+	// probePenalty keeps requests of higher tiers from being the probe.
+	probePenalty = 30
+	// occupancyWeight weighs the slots in use: a fuller engine decodes more slowly.
+	occupancyWeight = 4
 )
 
-// suits reports whether the request should start at the engine rather than wait
+// shouldStartOn reports whether the request should start at the engine rather than wait
 // for another one: a straggler may be free because it is slow. A request that
 // cannot wait takes what there is.
-func (g *Group) suits(e *entry, on *engine, now monotime.Instant) bool {
-	if !g.policy.Stragglers || on.slow < slowFrom {
+func (g *Group) shouldStartOn(e *entry, on *engine, now monotime.Instant) bool {
+	if !g.policy.Stragglers || on.slowdown < stragglerSlowdown {
 		return true
 	}
-	left := e.latestStart.Sub(now)
-	if on.doubtful {
-		return e.tier > 0 || left < e.latestStart.Sub(e.at)/2
+	slack := e.latestStart.Sub(now)
+	if on.paceStale {
+		return e.tier > 0 || slack < e.latestStart.Sub(e.submittedAt)/2
 	}
-	if left < leastPatience {
+	if slack < minSlack {
 		return true
 	}
 	return !g.tooSlow(e, on, now)
 }
 
-// leastPatience is the time to spare below which a request takes any engine.
-const leastPatience = 100 * time.Millisecond
+// minSlack is the time to spare below which a request takes any engine.
+const minSlack = 100 * time.Millisecond
 
 // tooSlow reports whether the engine is expected to miss a target of the class.
 func (g *Group) tooSlow(e *entry, on *engine, now monotime.Instant) bool {
@@ -102,7 +102,7 @@
 	}
 	stats := g.statsOf(class)
 	if stats.service {
-		return now.Add(seconds(stats.median/1000*on.slow)) > e.demand.EndBy
+		return now.Add(seconds(stats.median/1000*on.slowdown)) > e.demand.EndBy
 	}
 	return now.Add(seconds(stats.median*gap)) > e.demand.EndBy
 }
@@ -112,7 +112,7 @@
 func (g *Group) startCost(e *entry, candidate *engine, cached bool, now monotime.Instant) float64 {
 	tokens := float64(e.demand.PromptTokens)
 	if cached {
-		tokens *= 1 - prefixSaves
+		tokens *= 1 - cachedPrefillShare
 	}
 	cost := candidate.prefillSeconds(tokens)
 	if wait := candidate.prefillUntil.Sub(now); wait > 0 {
@@ -123,45 +123,45 @@
 	if !g.policy.Stragglers {
 		gap = candidate.stepSeconds()
 	}
-	cost += gap * (1 + crowding*used)
-	if candidate.onTrial() && e.tier == 0 {
-		cost += probeCost
+	cost += gap * (1 + occupancyWeight*used)
+	if candidate.needsProbe() && e.tier == 0 {
+		cost += probePenalty
 	}
 	return cost
 }
 
 func (g *Group) rotate(waiting *entry) *engine {
-	l := waiting.lane
-	for range l.engines {
-		l.rotation++
-		if e := l.engines[l.rotation%len(l.engines)]; e.takesWork() && e.serves&waiting.target != 0 {
+	p := waiting.pool
+	for range p.engines {
+		p.rotation++
+		if e := p.engines[p.rotation%len(p.engines)]; e.takesWork() && e.serves&waiting.target != 0 {
 			return e
 		}
 	}
 	return nil
 }
 
-func (g *Group) leastReported(waiting *entry) *engine {
-	l := waiting.lane
+func (g *Group) leastLoaded(waiting *entry) *engine {
+	p := waiting.pool
 	var best *engine
-	l.rotation++
-	for i := range l.engines {
-		e := l.engines[(i+l.rotation)%len(l.engines)]
+	p.rotation++
+	for i := range p.engines {
+		e := p.engines[(i+p.rotation)%len(p.engines)]
 		if !e.takesWork() || e.serves&waiting.target == 0 {
 			continue
 		}
-		if best == nil || e.reported < best.reported {
+		if best == nil || e.reportedLoad < best.reportedLoad {
 			best = e
 		}
 	}
 	return best
 }
 
-// place notes that a request starts at an engine.
-func (g *Group) place(e *entry, on *engine, hit bool, now monotime.Instant) {
+// assign notes that a request starts at an engine.
+func (g *Group) assign(e *entry, on *engine, hit bool, now monotime.Instant) {
 	tokens := float64(e.demand.PromptTokens)
 	if hit {
-		tokens *= 1 - prefixSaves
+		tokens *= 1 - cachedPrefillShare
 	}
 	prefill := seconds(on.prefillSeconds(tokens))
 	on.prefillUntil = max(on.prefillUntil, now).Add(prefill)
@@ -171,14 +171,14 @@
 	e.probe = on.health.probing()
 	on.inflight++
 	g.refreshEngine(on, now)
-	g.prefixes.ran(now, e.demand.Prefix, on)
+	g.prefixes.recordRun(now, e.demand.Prefix, on)
 	if gap := e.demand.Class.TokenGap; gap > 0 {
-		e.lane.noteGapTarget(gap)
+		e.pool.tightenGapTarget(gap)
 	}
 }
 
-func (l *lane) noteGapTarget(gap time.Duration) {
-	if l.gapTarget == 0 || gap < l.gapTarget {
-		l.gapTarget = gap
+func (p *pool) tightenGapTarget(gap time.Duration) {
+	if p.gapTarget == 0 || gap < p.gapTarget {
+		p.gapTarget = gap
 	}
 }
--- a/internal/sched/engine.go
+++ b/internal/sched/engine.go
@@ -10,8 +10,8 @@
 // engine is what the group knows of one engine.
 type engine struct {
 	spec *catalog.Engine
-	// lane is nil for an engine that serves nothing.
-	lane   *lane
+	// pool is nil for an engine that serves nothing.
+	pool   *pool
 	serves targetSet
 	// inflight counts the slots held.
 	inflight int
@@ -24,46 +24,46 @@
 	// removed marks an engine that the configuration no longer has.
 	removed bool
 
-	// learned is the concurrency at which token gaps meet their target.
-	learned float64
+	// adaptiveLimit is the concurrency at which token gaps meet their target.
+	adaptiveLimit float64
 	// gap is the time between tokens in seconds, pace the speed against what
 	// is expected (1 as expected, 2 half as fast).
 	gap  ewma
 	pace ewma
 	// paceAt is when pace was last measured.
 	paceAt monotime.Instant
-	// slow is pace against the median of the peers, at least 1.
-	slow float64
-	// doubtful says that the engine was slow and was not measured lately.
-	doubtful bool
+	// slowdown is pace against the median of the peers, at least 1.
+	slowdown float64
+	// paceStale says that the engine was slow and was not measured lately.
+	paceStale bool
 	// prefillUntil is when the prompts already sent are expected to be done.
 	prefillUntil monotime.Instant
 
 	health health
 
-	// untold counts slots in use that no holder told a new owner of.
-	untold int
+	// unclaimed counts slots in use that no holder told a new owner of.
+	unclaimed int
 	// freedAt holds when slots came free since the take-over began.
 	freedAt []monotime.Instant
-	// reported is the last load report and reportedAt when it was read.
-	reported   int
-	reportedAt monotime.Instant
-	// stored counts prefixes placed on the engine.
-	stored uint32
+	// reportedLoad is the last load report and reportedAt when it was read.
+	reportedLoad int
+	reportedAt   monotime.Instant
+	// prefixSeq counts prefixes placed on the engine.
+	prefixSeq uint32
 	// cacheNext is the sequence number that the next cache event should have.
 	cacheNext int
-	// cacheRoom is how many prefixes the engine seems to hold.
-	cacheRoom uint32
+	// cacheCapacity is how many prefixes the engine seems to hold.
+	cacheCapacity uint32
 }
 
 const (
 	paceWeight = 0.25
 	gapWeight  = 0.2
-	// slowFrom is the pace against the peers from which an engine counts as a
+	// stragglerSlowdown is the pace against the peers from which an engine counts as a
 	// straggler; below it, differences are noise.
-	slowFrom = 1.5
-	// paceMemory is the age at which the measured pace of a straggler is doubted.
-	paceMemory = 5 * time.Second
+	stragglerSlowdown = 1.5
+	// maxPaceAge is the age at which the measured pace of a straggler is doubted.
+	maxPaceAge = 5 * time.Second
 )
 
 // takesWork reports whether the configuration lets the engine take new work.
@@ -73,7 +73,7 @@
 
 // gapSeconds is the time between tokens at the engine.
 func (e *engine) gapSeconds() float64 {
-	return e.gap.or(e.stepSeconds())
+	return e.gap.meanOr(e.stepSeconds())
 }
 
 func (e *engine) stepSeconds() float64 {
@@ -88,7 +88,7 @@
 	if perSecond <= 0 {
 		perSecond = defaultPrefillRate
 	}
-	return tokens / perSecond * e.slow
+	return tokens / perSecond * e.slowdown
 }
 
 // refreshEngine recomputes the engine's limit and passes the difference on to
@@ -96,17 +96,17 @@
 func (g *Group) refreshEngine(e *engine, now monotime.Instant) {
 	limit := g.engineLimit(e, now)
 	free := limit - e.inflight
-	if e.untold > 0 {
+	if e.unclaimed > 0 {
 		// In a partition the limit leaves room for the other part already; what
 		// that part uses counts against the slots there are.
-		free = min(free, e.spec.Spec.Slots-e.inflight-e.untold)
+		free = min(free, e.spec.Spec.Slots-e.inflight-e.unclaimed)
 	}
 	free = max(0, free)
 	extra := g.extraSlots(e, limit, free)
-	if l := e.lane; l != nil {
-		l.limit += limit - e.limit
-		l.free += free - e.free
-		l.extra += extra - e.extra
+	if p := e.pool; p != nil {
+		p.limit += limit - e.limit
+		p.free += free - e.free
+		p.extra += extra - e.extra
 	}
 	e.limit = limit
 	e.free = free
@@ -119,7 +119,7 @@
 // news of what runs; no slot would come free for seconds. An engine that gets too
 // much from two owners still runs the highest priorities first.
 func (g *Group) extraSlots(e *engine, limit, free int) int {
-	if g.share >= 1 && e.untold == 0 || limit == 0 || !g.policy.Queue {
+	if g.share >= 1 && e.unclaimed == 0 || limit == 0 || !g.policy.Queue {
 		return 0
 	}
 	return max(0, e.spec.Spec.Slots-e.inflight-free)
@@ -135,13 +135,13 @@
 	}
 	slots := float64(e.spec.Spec.Slots)
 	if g.policy.Learn {
-		slots = min(slots, e.learned)
+		slots = min(slots, e.adaptiveLimit)
 	}
 	switch {
-	case g.policy.Stragglers && e.doubtful:
+	case g.policy.Stragglers && e.paceStale:
 		slots = 1
-	case g.policy.Stragglers && e.slow >= slowFrom:
-		slots /= e.slow
+	case g.policy.Stragglers && e.slowdown >= stragglerSlowdown:
+		slots /= e.slowdown
 	}
 	slots *= g.share
 	limit := max(1, int(slots))
@@ -154,45 +154,45 @@
 // unlimitedSlots is the limit where requests queue at the engines.
 const unlimitedSlots = 1 << 20
 
-// learnPace counts a measured speed: actual against expected, both in seconds.
-func (e *engine) learnPace(now monotime.Instant, actual, expected float64) {
+// recordPace counts a measured speed: actual against expected, both in seconds.
+func (e *engine) recordPace(now monotime.Instant, actual, expected float64) {
 	if expected <= 0 || actual <= 0 {
 		return
 	}
-	e.sampled()
+	e.resetStalePace()
 	e.pace.add(min(actual/expected, maxPace), paceWeight)
 	e.paceAt = now
 }
 
 const maxPace = 50
 
-// learnGap counts a measured time between tokens and adapts the concurrency.
-func (g *Group) learnGap(e *engine, l *lane, now monotime.Instant, gap time.Duration) {
+// recordGap counts a measured time between tokens and adapts the concurrency.
+func (g *Group) recordGap(e *engine, p *pool, now monotime.Instant, gap time.Duration) {
 	if gap <= 0 {
 		return
 	}
-	e.sampled()
+	e.resetStalePace()
 	e.gap.add(gap.Seconds(), gapWeight)
-	e.learnPace(now, gap.Seconds(), e.stepSeconds())
+	e.recordPace(now, gap.Seconds(), e.stepSeconds())
 	if !g.policy.Learn {
 		return
 	}
-	target := l.gapTarget.Seconds()
+	target := p.gapTarget.Seconds()
 	slots := float64(e.spec.Spec.Slots)
 	switch {
-	case target <= 0 || e.gap.mean < gapComfort*target:
-		e.learned = min(slots, e.learned+learnUp)
-	case e.gap.mean > gapStrain*target && e.slow < slowFrom && e.inflight*2 >= e.limit:
-		e.learned = max(minLearned, e.learned*learnDown)
+	case target <= 0 || e.gap.mean < gapRaiseBelow*target:
+		e.adaptiveLimit = min(slots, e.adaptiveLimit+limitStepUp)
+	case e.gap.mean > gapLowerAbove*target && e.slowdown < stragglerSlowdown && e.inflight*2 >= e.limit:
+		e.adaptiveLimit = max(minAdaptiveLimit, e.adaptiveLimit*limitStepDown)
 	}
 }
 
 const (
-	// gapComfort and gapStrain are parts of the token gap target: the target
+	// gapRaiseBelow and gapStrain are parts of the token gap target: the target
 	// is for 95 in 100, while the mean is measured.
-	gapComfort = 0.7
-	gapStrain  = 0.85
-	learnUp    = 0.25
-	learnDown  = 0.97
-	minLearned = 1
+	gapRaiseBelow    = 0.7
+	gapLowerAbove    = 0.85
+	limitStepUp      = 0.25
+	limitStepDown    = 0.97
+	minAdaptiveLimit = 1
 )
--- a/internal/sched/failure_test.go
+++ b/internal/sched/failure_test.go
@@ -9,49 +9,49 @@
 	"basilrudder/internal/verdict"
 )
 
-// work drives a fixture as engines would: each granted request holds its slot
+// simulation drives a fixture as engines would: each granted request holds its slot
 // for a time and ends with so many tokens.
-type work struct {
+type simulation struct {
 	*fixture
-	hold   map[int]time.Duration
-	tiers  map[uint64]int
-	ends   []ending
-	served map[int]int
-	seen   int
+	hold      map[int]time.Duration
+	tiers     map[uint64]int
+	ends      []completion
+	served    map[int]int
+	scheduled int
 	// slowEngine takes factor times longer.
 	slowEngine string
 	factor     time.Duration
 }
 
-type ending struct {
+type completion struct {
 	at  monotime.Instant
 	seq uint64
 }
 
-func newWork(f *fixture, hold ...time.Duration) *work {
-	w := &work{fixture: f, hold: map[int]time.Duration{}, tiers: map[uint64]int{}, served: map[int]int{}}
+func newSimulation(f *fixture, hold ...time.Duration) *simulation {
+	w := &simulation{fixture: f, hold: map[int]time.Duration{}, tiers: map[uint64]int{}, served: map[int]int{}}
 	for tier, d := range hold {
 		w.hold[tier] = d
 	}
 	return w
 }
 
-func (w *work) ask(tier int, customer string) uint64 {
+func (w *simulation) request(tier int, customer string) uint64 {
 	w.tiers[w.seq+1] = tier
 	seq := w.submit(tier, customer)
-	w.plan()
+	w.scheduleEnds()
 	return seq
 }
 
-// plan schedules the ends of newly granted requests.
-func (w *work) plan() {
-	for ; w.seen < len(w.order); w.seen++ {
-		seq := w.order[w.seen]
-		w.ends = append(w.ends, ending{w.now.Add(w.hold[w.tiers[seq]] * w.slowdown(seq)), seq})
+// scheduleEnds schedules the ends of newly granted requests.
+func (w *simulation) scheduleEnds() {
+	for ; w.scheduled < len(w.order); w.scheduled++ {
+		seq := w.order[w.scheduled]
+		w.ends = append(w.ends, completion{w.now.Add(w.hold[w.tiers[seq]] * w.slowdown(seq)), seq})
 	}
 }
 
-func (w *work) slowdown(seq uint64) time.Duration {
+func (w *simulation) slowdown(seq uint64) time.Duration {
 	if w.granted[seq].Engine.ID == w.slowEngine {
 		return w.factor
 	}
@@ -59,7 +59,7 @@
 }
 
 // grantsOn counts the requests from a place in the order on that an engine got.
-func (w *work) grantsOn(engine string, from int) int {
+func (w *simulation) grantsOn(engine string, from int) int {
 	count := 0
 	for _, seq := range w.order[from:] {
 		if w.granted[seq].Engine.ID == engine {
@@ -70,23 +70,23 @@
 }
 
 // run lets time pass in steps of a millisecond; each calls what is asked for.
-func (w *work) run(d time.Duration, each func(step int)) {
+func (w *simulation) run(d time.Duration, eachStep func(step int)) {
 	for step := range int(d / time.Millisecond) {
 		w.now = w.now.Add(time.Millisecond)
 		w.finishDue()
 		if step%50 == 0 {
 			w.take(w.g.Tick(w.now, nil))
-			w.plan()
+			w.scheduleEnds()
 		}
-		if each != nil {
-			each(step)
+		if eachStep != nil {
+			eachStep(step)
 		}
 	}
 }
 
-func (w *work) finishDue() {
+func (w *simulation) finishDue() {
 	kept := w.ends[:0]
-	var due []ending
+	var due []completion
 	for _, e := range w.ends {
 		if e.at <= w.now {
 			due = append(due, e)
@@ -101,7 +101,7 @@
 		tokens := int(w.hold[w.tiers[e.seq]] / gap)
 		gap *= w.slowdown(e.seq)
 		w.release(e.seq, Result{Tokens: tokens, FirstToken: gap, Gap: gap})
-		w.plan()
+		w.scheduleEnds()
 	}
 }
 
@@ -111,14 +111,14 @@
 // again, from its floor.
 func TestLowestTierIsServedWhileTheTopTierOverloads(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
-	w := newWork(f, 200*time.Millisecond, 0, 400*time.Millisecond)
+	w := newSimulation(f, 200*time.Millisecond, 0, 400*time.Millisecond)
 	servedBy := 0
 	w.run(60*time.Second, func(step int) {
 		if step%15 == 0 {
-			w.ask(0, "ann") // 67 a second of the 40 that fit
+			w.request(0, "ann") // 67 a second of the 40 that fit
 		}
 		if step%500 == 0 {
-			w.ask(2, "ben")
+			w.request(2, "ben")
 		}
 		if step%20_000 == 19_999 {
 			if w.served[2] == servedBy {
@@ -142,13 +142,13 @@
 // wait longer than a lower request takes.
 func TestBurstOfLowerTierDoesNotShedTheTopTier(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
-	w := newWork(f, 100*time.Millisecond, 300*time.Millisecond)
+	w := newSimulation(f, 100*time.Millisecond, 300*time.Millisecond)
 	for range 500 {
-		w.ask(1, "ben")
+		w.request(1, "ben")
 	}
 	w.run(10*time.Second, func(step int) {
 		if step%40 == 0 {
-			w.ask(0, "ann")
+			w.request(0, "ann")
 		}
 	})
 	for seq := range w.refused {
@@ -163,7 +163,7 @@
 
 // The queue is full of lower requests when a top-tier one arrives. The group
 // must turn away a lower one, and never the top-tier one.
-func TestFullQueueTurnsTheLowestTierAway(t *testing.T) {
+func TestFullQueueRefusesTheLowestTier(t *testing.T) {
 	policy := Default()
 	policy.MaxWaiting = 5
 	policy.EarlyRefusal = false
@@ -189,14 +189,14 @@
 // weight. The quiet customer's requests must not queue behind the flood.
 func TestFloodOfOneCustomerDoesNotDelayAnother(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
-	w := newWork(f, 0, 200*time.Millisecond)
+	w := newSimulation(f, 0, 200*time.Millisecond)
 	var quiet []uint64
 	w.run(30*time.Second, func(step int) {
 		if step%5 == 0 {
-			w.ask(1, "ann") // 200 a second of the 40 that fit
+			w.request(1, "ann") // 200 a second of the 40 that fit
 		}
 		if step%100 == 0 {
-			quiet = append(quiet, w.ask(1, "ben"))
+			quiet = append(quiet, w.request(1, "ben"))
 		}
 	})
 	refused := 0
@@ -217,12 +217,12 @@
 	f.inv.Customers[1].Weight = 3
 	f.cat = catalog.Compile(2, f.inv)
 	f.take(f.g.Reconfigure(f.now, f.cat, nil))
-	w := newWork(f, 0, 200*time.Millisecond)
+	w := newSimulation(f, 0, 200*time.Millisecond)
 	owner := map[uint64]string{}
 	w.run(60*time.Second, func(step int) {
 		if step%10 == 0 {
-			owner[w.ask(1, "ann")] = "ann"
-			owner[w.ask(1, "ben")] = "ben"
+			owner[w.request(1, "ann")] = "ann"
+			owner[w.request(1, "ben")] = "ben"
 		}
 	})
 	got := map[string]int{}
@@ -236,29 +236,29 @@
 
 // An engine turns five times slower than its peers. It must get less work within
 // seconds, keep a little, and get its full share back after it recovers.
-func TestStragglerGetsLessWorkAndComesBack(t *testing.T) {
+func TestStragglerGetsLessWorkAndRecovers(t *testing.T) {
 	f := newFixture(t, 3, 4, Default())
-	w := newWork(f, 0, 100*time.Millisecond)
-	play := func(d time.Duration, factor time.Duration) int {
+	w := newSimulation(f, 0, 100*time.Millisecond)
+	phase := func(d time.Duration, factor time.Duration) int {
 		w.slowEngine, w.factor = "s0/e", factor
 		before := len(w.order)
 		w.run(d, func(step int) {
 			if step%11 == 0 {
-				w.ask(1, "ann")
+				w.request(1, "ann")
 			}
 		})
 		return w.grantsOn("s0/e", before)
 	}
-	even := play(10*time.Second, 1)
-	play(5*time.Second, 5)
-	less := play(10*time.Second, 5)
-	play(10*time.Second, 1)
-	back := play(10*time.Second, 1)
-	if less > even/3 || less == 0 {
-		t.Errorf("straggler got %d requests, %d before it was slow", less, even)
+	even := phase(10*time.Second, 1)
+	phase(5*time.Second, 5)
+	slowed := phase(10*time.Second, 5)
+	phase(10*time.Second, 1)
+	recovered := phase(10*time.Second, 1)
+	if slowed > even/3 || slowed == 0 {
+		t.Errorf("straggler got %d requests, %d before it was slow", slowed, even)
 	}
-	if back < even*2/3 {
-		t.Errorf("recovered engine got %d requests, %d before it was slow", back, even)
+	if recovered < even*2/3 {
+		t.Errorf("recovered engine got %d requests, %d before it was slow", recovered, even)
 	}
 }
 
@@ -298,7 +298,7 @@
 // An instance dies with slots in hand and requests in the queue. Its slots must
 // go to others at once when membership tells, and after the lease when nobody
 // does.
-func TestDeadHolderPinsNoSlot(t *testing.T) {
+func TestSlotsOfADeadHolderAreFreed(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	f.submit(1, "ann")
 	other := Demand{
@@ -323,13 +323,13 @@
 // The owner of a group dies and another instance takes over, knowing nothing.
 // The holders' renewals must tell it what runs before it fills the engines a
 // second time.
-func TestNewOwnerLearnsWhatRunsFromRenewals(t *testing.T) {
+func TestNewOwnerAdoptsRunningSlotsFromRenewals(t *testing.T) {
 	f := newFixture(t, 2, 2, Default())
 	f.take(f.g.Progress(f.now, Ticket{"old", 1}, 5, nil))
-	f.g.Adopt(f.now, Ticket{"old", 2}, Held{
+	f.g.Adopt(f.now, Ticket{"old", 2}, HeldSlot{
 		Engine: "s1/e", Class: f.cat.Classes["c1"], Customer: f.cat.Customers["ann"], Tier: 1,
 	})
-	f.g.Adopt(f.now, Ticket{"old", 2}, Held{Engine: "s1/e"})
+	f.g.Adopt(f.now, Ticket{"old", 2}, HeldSlot{Engine: "s1/e"})
 	if s := f.g.Stats(); s.Held != 2 || s.Adopted != 2 {
 		t.Fatalf("held %d adopted %d, want 2 and 2", s.Held, s.Adopted)
 	}
@@ -348,7 +348,7 @@
 // A server is withdrawn while requests run on it and others wait. What runs goes
 // on; nothing new goes there, and requests are refused at once when no server is
 // left.
-func TestWithdrawnServerGetsNothingNew(t *testing.T) {
+func TestWithdrawnServerGetsNoNewRequests(t *testing.T) {
 	f := newFixture(t, 2, 1, Default())
 	first, second := f.submit(1, "ann"), f.submit(1, "ann")
 	waiting := f.submit(1, "ann")
@@ -398,7 +398,7 @@
 
 // A class is guessed to take longer than its deadline before any answer was
 // measured. It must not be refused by a guess: it could never be measured.
-func TestUnmeasuredClassIsNotShutOut(t *testing.T) {
+func TestUnmeasuredClassIsNotRefused(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	f.inv.Classes[0].MaxOutputTokens = 100_000
 	f.cat = catalog.Compile(2, f.inv)
@@ -411,7 +411,7 @@
 
 // A prompt prefix ran on one engine. The next request with it goes there while
 // that saves time, and elsewhere once the engine evicted it.
-func TestPrefixFollowsTheCache(t *testing.T) {
+func TestRequestGoesToTheEngineThatCachesItsPrefix(t *testing.T) {
 	f := newFixture(t, 4, 2, Default())
 	first := f.mustGrant(f.submitPrefix(1, "ann", 9))
 	f.now = f.now.Add(time.Second)
--- a/internal/sched/fairness.go
+++ b/internal/sched/fairness.go
@@ -16,11 +16,11 @@
 	waiting int
 	held    int
 	// work is the slot time that waits, in seconds.
-	work    float64
-	shares  []*share
-	sizePos int
-	idlePos int
-	next    *account
+	work       float64
+	queues     []*customerQueue
+	waitingPos int
+	idlePos    int
+	next       *account
 }
 
 // promptCost is the cost of a prompt token against a generated one: engines
@@ -52,12 +52,12 @@
 		a.weight = weight
 		a.counter = max(a.counter, q.clock)
 	}
-	g.unpark(q, a)
+	g.markActive(q, a)
 	return a
 }
 
-func (g *Group) unpark(q *tierQueue, a *account) {
-	if a.idlePos != outside {
+func (g *Group) markActive(q *tierQueue, a *account) {
+	if a.idlePos != notInHeap {
 		q.idle.remove(a.idlePos)
 	}
 }
@@ -65,45 +65,45 @@
 func (g *Group) newAccount() *account {
 	a := g.unusedAccounts
 	if a == nil {
-		return &account{sizePos: outside, idlePos: outside}
+		return &account{waitingPos: notInHeap, idlePos: notInHeap}
 	}
 	g.unusedAccounts = a.next
-	*a = account{sizePos: outside, idlePos: outside, shares: a.shares[:0]}
+	*a = account{waitingPos: notInHeap, idlePos: notInHeap, queues: a.queues[:0]}
 	return a
 }
 
-// accountWaits notes that delta more requests of the account wait.
-func (g *Group) accountWaits(q *tierQueue, a *account, delta int) {
+// updateWaiting notes that delta more requests of the account wait.
+func (g *Group) updateWaiting(q *tierQueue, a *account, delta int) {
 	before := a.waiting
 	a.waiting += delta
 	switch {
 	case before == 0:
 		q.weights += a.weight
-		q.sizes.push(-float64(a.waiting), uint64(a.key), a)
+		q.byWaiting.push(-float64(a.waiting), uint64(a.key), a)
 	case a.waiting == 0:
 		q.weights = max(0, q.weights-a.weight)
-		q.sizes.remove(a.sizePos)
+		q.byWaiting.remove(a.waitingPos)
 		a.work = 0
 	default:
-		q.sizes.update(a.sizePos, -float64(a.waiting), uint64(a.key))
+		q.byWaiting.update(a.waitingPos, -float64(a.waiting), uint64(a.key))
 	}
 	if q.waiting == 0 {
 		q.weights = 0
 	}
-	g.parkAccount(q, a)
+	g.markIdle(q, a)
 }
 
-// parkAccount keeps an account without requests until the clock of the tier
+// markIdle keeps an account without requests until the clock of the tier
 // has caught up with what it used, and then forgets it.
-func (g *Group) parkAccount(q *tierQueue, a *account) {
-	if a.waiting > 0 || a.held > 0 || a.idlePos != outside {
+func (g *Group) markIdle(q *tierQueue, a *account) {
+	if a.waiting > 0 || a.held > 0 || a.idlePos != notInHeap {
 		return
 	}
 	q.idle.push(a.counter, uint64(a.key), a)
 }
 
-// forgetIdle drops accounts whose debt the clock of the tier has passed.
-func (g *Group) forgetIdle(q *tierQueue) {
+// removeIdleAccounts drops accounts whose debt the clock of the tier has passed.
+func (g *Group) removeIdleAccounts(q *tierQueue) {
 	for q.idle.len() > 0 && q.idle.min().key <= q.clock {
 		a := q.idle.min().value
 		q.idle.remove(a.idlePos)
@@ -116,68 +116,68 @@
 // charge adds cost in tokens to an account; a negative cost is a refund.
 func (g *Group) charge(a *account, cost float64) {
 	a.counter += cost / a.weight
-	for _, s := range a.shares {
-		g.reorder(s)
+	for _, cust := range a.queues {
+		g.reorder(cust)
 	}
 }
 
 // reorder puts a share where its account's counter belongs; equal counters are
 // ordered by the most urgent request.
-func (g *Group) reorder(s *share) {
-	s.line.shares.update(s.pos, g.useOf(s.account), uint64(s.entries.min().value.latestStart))
+func (g *Group) reorder(cust *customerQueue) {
+	cust.classQueue.customers.update(cust.pos, g.usageOf(cust.account), uint64(cust.entries.min().value.latestStart))
 }
 
-func (g *Group) useOf(a *account) float64 {
+func (g *Group) usageOf(a *account) float64 {
 	if !g.policy.Fairness {
 		return 0
 	}
 	return a.counter
 }
 
-func (g *Group) shareFor(a *account, ln *line) *share {
-	for _, s := range a.shares {
-		if s.line == ln {
-			return s
+func (g *Group) customerQueueFor(a *account, cq *classQueue) *customerQueue {
+	for _, cust := range a.queues {
+		if cust.classQueue == cq {
+			return cust
 		}
 	}
-	s := g.newShare()
-	s.account = a
-	s.line = ln
-	a.shares = append(a.shares, s)
-	ln.shares.push(g.useOf(a), 0, s)
-	return s
+	cust := g.newCustomerQueue()
+	cust.account = a
+	cust.classQueue = cq
+	a.queues = append(a.queues, cust)
+	cq.customers.push(g.usageOf(a), 0, cust)
+	return cust
 }
 
-func (g *Group) newShare() *share {
-	if n := len(g.unusedShares); n > 0 {
-		s := g.unusedShares[n-1]
-		g.unusedShares = g.unusedShares[:n-1]
-		return s
+func (g *Group) newCustomerQueue() *customerQueue {
+	if n := len(g.unusedQueues); n > 0 {
+		cust := g.unusedQueues[n-1]
+		g.unusedQueues = g.unusedQueues[:n-1]
+		return cust
 	}
-	s := &share{pos: outside}
-	s.entries.moved = func(e *entry, i int) { e.sharePos = i }
-	return s
+	cust := &customerQueue{pos: notInHeap}
+	cust.entries.onMove = func(e *entry, i int) { e.queuePos = i }
+	return cust
 }
 
-func (g *Group) dropShare(s *share) {
-	a := s.account
-	for i, other := range a.shares {
-		if other == s {
-			last := len(a.shares) - 1
-			a.shares[i] = a.shares[last]
-			a.shares[last] = nil
-			a.shares = a.shares[:last]
+func (g *Group) dropCustomerQueue(cust *customerQueue) {
+	a := cust.account
+	for i, other := range a.queues {
+		if other == cust {
+			last := len(a.queues) - 1
+			a.queues[i] = a.queues[last]
+			a.queues[last] = nil
+			a.queues = a.queues[:last]
 			break
 		}
 	}
-	s.account = nil
-	s.line = nil
-	g.unusedShares = append(g.unusedShares, s)
+	cust.account = nil
+	cust.classQueue = nil
+	g.unusedQueues = append(g.unusedQueues, cust)
 }
 
 // expectedCost is what a request is charged when it starts, in tokens.
 func (e *entry) expectedCost(stats *classStats) float64 {
-	if e.lane == nil || e.demand.PromptTokens == 0 && stats.service {
+	if e.pool == nil || e.demand.PromptTokens == 0 && stats.service {
 		return e.work * serviceCostPerSecond
 	}
 	return promptCost*float64(e.demand.PromptTokens) + stats.median
--- a/internal/sched/floor.go
+++ b/internal/sched/floor.go
@@ -13,75 +13,75 @@
 // the floor makes no higher request late, and none is refused while it waits.
 
 const (
-	// longestUnserved is the wait after which a line is owed a slot however
+	// maxUnserved is the wait after which a line is owed a slot however
 	// small its floor share is.
-	longestUnserved = 20 * time.Second
-	// spareSlots is how many slot releases a waiting higher request must be
+	maxUnserved = 20 * time.Second
+	// slackSlots is how many slot releases a waiting higher request must be
 	// able to wait for beyond its turn.
-	spareSlots = 3
-	// leastSpare is the least time to spare, and unmeasuredHold the slot time in
+	slackSlots = 3
+	// minFloorSlack is the least time to spare, and unmeasuredHold the slot time in
 	// seconds that a new owner assumes before it has measured any.
-	leastSpare     = 200 * time.Millisecond
-	unmeasuredHold = 2.0
+	minFloorSlack      = 200 * time.Millisecond
+	defaultHoldSeconds = 2.0
 )
 
-func (g *Group) refreshCredit(ln *line, l *lane, now monotime.Instant) {
-	earned := now.Sub(ln.creditAt).Seconds() * g.creditRate(ln, l)
-	ln.creditAt = now
-	ln.credit = min(ln.credit+earned, g.expectedHold(l, g.statsOf(ln.class)))
+func (g *Group) refreshCredit(cq *classQueue, p *pool, now monotime.Instant) {
+	earned := now.Sub(cq.creditAt).Seconds() * g.creditRate(cq, p)
+	cq.creditAt = now
+	cq.credit = min(cq.credit+earned, g.expectedHold(p, g.statsOf(cq.class)))
 }
 
 // creditRate is the slot time per second that the floor gives a line.
-func (g *Group) creditRate(ln *line, l *lane) float64 {
-	lines := 0
-	for _, other := range l.lines {
-		if other.tier == ln.tier {
-			lines++
+func (g *Group) creditRate(cq *classQueue, p *pool) float64 {
+	classes := 0
+	for _, other := range p.classQueues {
+		if other.tier == cq.tier {
+			classes++
 		}
 	}
-	return g.floors[ln.tier] * float64(l.limit) / float64(max(lines, 1))
+	return g.floors[cq.tier] * float64(p.limit) / float64(max(classes, 1))
 }
 
-// owedFloor returns the entry that the floor gives the next slot to, or nil.
-func (g *Group) owedFloor(l *lane, now monotime.Instant) *entry {
+// nextByFloor returns the entry that the floor gives the next slot to, or nil.
+func (g *Group) nextByFloor(p *pool, now monotime.Instant) *entry {
 	if !g.policy.Floor || !g.policy.Tiers {
 		return nil
 	}
-	reach := l.reach()
-	for _, ln := range l.lines {
-		if ln.waiting == 0 || ln.target&reach == 0 || !g.higherWaits(l, ln.tier) {
+	available := p.availableTargets()
+	for _, cq := range p.classQueues {
+		if cq.waiting == 0 || cq.target&available == 0 || !g.higherTierWaits(p, cq.tier) {
 			continue
 		}
-		g.refreshCredit(ln, l, now)
-		owed := ln.credit >= g.expectedHold(l, g.statsOf(ln.class)) ||
-			now.Sub(ln.servedAt) >= longestUnserved
-		if !owed || !g.higherCanSpare(l, ln.tier, now) {
+		g.refreshCredit(cq, p, now)
+		due := cq.credit >= g.expectedHold(p, g.statsOf(cq.class)) ||
+			now.Sub(cq.servedAt) >= maxUnserved
+		if !due || !g.higherTiersHaveSlack(p, cq.tier, now) {
 			continue
 		}
-		if e := ln.first(); g.mayTake(l, ln.tier, g.roomHold(e), now) {
+		if e := cq.first(); g.mayTakeSlot(p, cq.tier, g.headroomHold(e), now) {
 			return e
 		}
 	}
 	return nil
 }
 
-func (g *Group) higherWaits(l *lane, tier int) bool {
+func (g *Group) higherTierWaits(p *pool, tier int) bool {
 	for t := range tier {
-		if l.tiers[t].waiting > 0 {
+		if p.tiers[t].waiting > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// higherCanSpare reports whether every request of a higher tier can wait for a
+// higherTiersHaveSlack reports whether every request of a higher tier can wait for a
 // few more slots and still start on time.
-func (g *Group) higherCanSpare(l *lane, tier int, now monotime.Instant) bool {
-	perSlot := l.hold.or(unmeasuredHold) / float64(max(l.limit, 1))
-	spare := max(seconds(spareSlots*perSlot), leastSpare)
+func (g *Group) higherTiersHaveSlack(p *pool, tier int, now monotime.Instant) bool {
+	perSlot := p.hold.meanOr(defaultHoldSeconds) / float64(max(p.limit, 1))
+	slack := max(seconds(slackSlots*perSlot), minFloorSlack)
 	for t := range tier {
-		q := &l.tiers[t]
-		if q.waiting > 0 && monotime.Instant(q.expiry.min().key).Sub(now) < spare {
+		q := &p.tiers[t]
+		if q.waiting > 0 && monotime.Instant(q.expiry.min().key).Sub(now) < slack {
 			return false
 		}
 	}
@@ -89,17 +89,17 @@
 }
 
 // floorWait is when the floor is expected to serve a new request of the line.
-func (g *Group) floorWait(l *lane, e *entry, now monotime.Instant) time.Duration {
+func (g *Group) floorWait(p *pool, e *entry, now monotime.Instant) time.Duration {
 	const never = time.Duration(1<<63 - 1)
 	if !g.policy.Floor || !g.policy.Tiers {
 		return never
 	}
-	ln := g.lineOf(e, now)
-	need := float64(ln.waiting+1)*e.work - ln.credit
-	unserved := longestUnserved*time.Duration(ln.waiting+1) - now.Sub(ln.servedAt)
+	cq := g.classQueueOf(e, now)
+	required := float64(cq.waiting+1)*e.work - cq.credit
+	unserved := maxUnserved*time.Duration(cq.waiting+1) - now.Sub(cq.servedAt)
 	wait := unserved
-	if perSecond := g.creditRate(ln, l); perSecond > 0 {
-		wait = min(wait, seconds(need/perSecond))
+	if perSecond := g.creditRate(cq, p); perSecond > 0 {
+		wait = min(wait, seconds(required/perSecond))
 	}
-	return max(wait, 0) + l.nextFree()
+	return max(wait, 0) + p.nextFree()
 }
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -18,18 +18,18 @@
 	share float64
 	lease time.Duration
 
-	engines  []*engine
-	byID     map[string]*engine
-	lanes    map[string]*lane
-	laneList []*lane
+	engines      []*engine
+	byID         map[string]*engine
+	poolByTarget map[string]*pool
+	pools        []*pool
 	// floors and headroom by tier, from the rules.
-	floors   [maxTiers]float64
-	headroom [maxTiers]float64
-	measures *Measures
-	// warmUntil is when a new owner may fill the slots of its group.
-	warmUntil monotime.Instant
-	// settledAt is when every holder has told a new owner what it holds.
-	settledAt monotime.Instant
+	floors       [maxTiers]float64
+	headroom     [maxTiers]float64
+	measurements *Measurements
+	// restrictedUntil is when a new owner may fill the slots of its group.
+	restrictedUntil monotime.Instant
+	// takeoverEnd is when every holder has told a new owner what it holds.
+	takeoverEnd monotime.Instant
 
 	entries map[Ticket]*entry
 	classes map[uint32]*classStats
@@ -43,7 +43,7 @@
 
 	unusedEntries  *entry
 	unusedAccounts *account
-	unusedShares   []*share
+	unusedQueues   []*customerQueue
 
 	counters Counters
 }
@@ -52,18 +52,18 @@
 // equal engines, so that groups do not all start at the same one.
 func New(now monotime.Instant, group *catalog.Group, cat *catalog.Catalog, policy Policy, seed uint64) *Group {
 	g := &Group{
-		name:     group.Name,
-		policy:   policy,
-		share:    1,
-		byID:     make(map[string]*engine),
-		lanes:    make(map[string]*lane),
-		entries:  make(map[Ticket]*entry),
-		classes:  make(map[uint32]*classStats),
-		prefixes: prefixTable{places: make([]prefixPlace, prefixPlaces)},
+		name:         group.Name,
+		policy:       policy,
+		share:        1,
+		byID:         make(map[string]*engine),
+		poolByTarget: make(map[string]*pool),
+		entries:      make(map[Ticket]*entry),
+		classes:      make(map[uint32]*classStats),
+		prefixes:     prefixTable{buckets: make([]prefixBucket, prefixTableSize)},
 	}
 	g.Reconfigure(now, cat, nil)
-	for _, l := range g.laneList {
-		l.rotation = int(seed % uint64(max(1, len(l.engines))))
+	for _, p := range g.pools {
+		p.rotation = int(seed % uint64(max(1, len(p.engines))))
 	}
 	return g
 }
@@ -72,24 +72,24 @@
 // already holds a slot gets the same decision again, so that a grant whose
 // message was lost can be asked for once more; one that waits stays as it is.
 func (g *Group) Submit(now monotime.Instant, d Demand, out []Decision) []Decision {
-	if known := g.entries[d.Ticket]; known != nil {
-		return g.repeat(known, out)
+	if existing := g.entries[d.Ticket]; existing != nil {
+		return g.repeatGrant(existing, out)
 	}
 	g.counters.Submitted++
 	target := d.Target
 	if target == "" {
 		target = d.Class.Target
 	}
-	l := g.lanes[target]
-	if l == nil || l.usable&l.setOf(target) == 0 {
+	p := g.poolByTarget[target]
+	if p == nil || p.usable&p.targetSetOf(target) == 0 {
 		return append(out, g.refusal(&d, refuseNoServer, 0))
 	}
 	e := g.newEntry()
-	e.target = l.setOf(target)
-	g.fill(e, d, l, now)
+	e.target = p.targetSetOf(target)
+	g.initEntry(e, d, p, now)
 	g.entries[d.Ticket] = e
-	if on, hit := g.atOnce(e, now); on != nil {
-		l.tiers[e.tier].arriving.add(now, e.work)
+	if on, hit := g.chooseImmediate(e, now); on != nil {
+		p.tiers[e.tier].arriving.add(now, e.work)
 		return append(out, g.start(e, on, hit, whyIdle, now))
 	}
 	return g.admit(e, now, out)
@@ -101,24 +101,24 @@
 	return e != nil && e.state == entryWaiting
 }
 
-func (g *Group) repeat(e *entry, out []Decision) []Decision {
+func (g *Group) repeatGrant(e *entry, out []Decision) []Decision {
 	if e.state != entryHeld {
 		return out
 	}
 	return append(out, g.grant(e, whyRepeated))
 }
 
-func (g *Group) fill(e *entry, d Demand, l *lane, now monotime.Instant) {
+func (g *Group) initEntry(e *entry, d Demand, p *pool, now monotime.Instant) {
 	stats := g.statsOf(d.Class)
 	e.demand = d
-	e.lane = l
-	e.at = now
+	e.pool = p
+	e.submittedAt = now
 	g.seq++
 	e.seq = g.seq
 	e.tier = g.tierOf(d.Tier)
-	e.work = g.toldHold(e, stats)
-	e.latestStart = g.latestStart(&d, l, stats, now)
-	g.noteBudget(e, now)
+	e.work = g.requestHold(e, stats)
+	e.latestStart = g.latestStart(&d, p, stats, now)
+	g.recordBudget(e, now)
 }
 
 func (g *Group) tierOf(tier int) int {
@@ -128,17 +128,17 @@
 	return min(max(tier, 0), maxTiers-1)
 }
 
-// atOnce returns the engine for a request that need not wait: nobody waits
+// chooseImmediate returns the engine for a request that need not wait: nobody waits
 // before it and a slot that its tier may take is free. Then it starts even where
 // the prediction says that it will be late: nothing is lost by trying, and a
 // class whose prediction is too high would never be measured again otherwise.
-func (g *Group) atOnce(e *entry, now monotime.Instant) (on *engine, hit bool) {
-	l := e.lane
-	if l.waiting > 0 || !g.mayTake(l, e.tier, g.roomHold(e), now) {
+func (g *Group) chooseImmediate(e *entry, now monotime.Instant) (on *engine, hit bool) {
+	p := e.pool
+	if p.waiting > 0 || !g.mayTakeSlot(p, e.tier, g.headroomHold(e), now) {
 		return nil, false
 	}
 	on, hit = g.choose(e, now)
-	if on != nil && !g.suits(e, on, now) {
+	if on != nil && !g.shouldStartOn(e, on, now) {
 		return nil, false
 	}
 	return on, hit
@@ -147,19 +147,19 @@
 // start gives the entry a slot at an engine.
 func (g *Group) start(e *entry, on *engine, hit bool, why string, now monotime.Instant) Decision {
 	stats := g.statsOf(e.demand.Class)
-	q := &e.lane.tiers[e.tier]
-	ln := g.lineOf(e, now)
-	ln.servedAt = now
-	ln.credit = max(0, ln.credit-e.work)
+	q := &e.pool.tiers[e.tier]
+	cq := g.classQueueOf(e, now)
+	cq.servedAt = now
+	cq.credit = max(0, cq.credit-e.work)
 	acct := g.accountFor(q, e.demand.Customer)
 	q.clock = max(q.clock, acct.counter)
 	if e.state == entryWaiting {
 		g.dequeue(e)
 	}
-	g.hold(e, acct, now)
+	g.holdSlot(e, acct, now)
 	e.charged = e.expectedCost(stats)
 	g.charge(acct, e.charged)
-	g.place(e, on, hit, now)
+	g.assign(e, on, hit, now)
 	g.counters.Granted++
 	return g.grant(e, why)
 }
@@ -182,7 +182,7 @@
 		Priority:  priority,
 		PrefixHit: e.prefixHit,
 		Lease:     g.lease,
-		Backlog:   g.backlog(e.lane, e.tier, e.grantedAt),
+		Backlog:   g.backlog(e.pool, e.tier, e.grantedAt),
 		Why:       why,
 	}
 }
@@ -191,7 +191,7 @@
 // of the engines and hands out free slots.
 func (g *Group) Tick(now monotime.Instant, out []Decision) []Decision {
 	g.expireLeases(now)
-	if now.Sub(g.upkeepAt) >= upkeepEvery || g.upkeepAt == 0 {
+	if now.Sub(g.upkeepAt) >= upkeepInterval || g.upkeepAt == 0 {
 		g.upkeep(now)
 	}
 	return g.dispatch(now, out)
@@ -203,22 +203,22 @@
 		return out
 	}
 	out = g.expireWaiting(now, out)
-	for _, l := range g.laneList {
-		out = g.dispatchLane(l, now, out)
+	for _, p := range g.pools {
+		out = g.dispatchPool(p, now, out)
 	}
 	return out
 }
 
-func (g *Group) dispatchLane(l *lane, now monotime.Instant, out []Decision) []Decision {
-	for l.waiting > 0 && l.free+l.extra > 0 {
-		e, why := g.owedFloor(l, now), whyFloor
+func (g *Group) dispatchPool(p *pool, now monotime.Instant, out []Decision) []Decision {
+	for p.waiting > 0 && p.free+p.extra > 0 {
+		e, why := g.nextByFloor(p, now), whyFloor
 		var on *engine
 		var hit bool
-		if e != nil && !g.warming(now) {
+		if e != nil && !g.restricted(now) {
 			on, hit = g.choose(e, now)
 		}
 		if on == nil {
-			e, on, hit = g.next(l, now)
+			e, on, hit = g.nextEntry(p, now)
 			why = whyTurn
 		}
 		if on == nil {
@@ -229,61 +229,61 @@
 	return out
 }
 
-// next returns the waiting entry that gets the next free slot, and where. That
+// nextEntry returns the waiting entry that gets the nextEntry free slot, and where. That
 // is the highest waiting tier's turn, unless no engine with a free slot suits
 // it; a lower tier may then use what the higher one is better off without.
-func (g *Group) next(l *lane, now monotime.Instant) (e *entry, on *engine, hit bool) {
-	reach := l.reach()
-	for t := range l.tiers {
-		if l.tiers[t].waiting == 0 {
+func (g *Group) nextEntry(p *pool, now monotime.Instant) (e *entry, on *engine, hit bool) {
+	available := p.availableTargets()
+	for t := range p.tiers {
+		if p.tiers[t].waiting == 0 {
 			continue
 		}
-		e = g.turn(l, t, reach, now)
+		e = g.nextInTier(p, t, available, now)
 		if e == nil {
 			continue
 		}
-		if !g.mayTake(l, t, g.roomHold(e), now) {
+		if !g.mayTakeSlot(p, t, g.headroomHold(e), now) {
 			return nil, nil, false
 		}
 		on, hit = g.choose(e, now)
-		if on != nil && g.suits(e, on, now) {
+		if on != nil && g.shouldStartOn(e, on, now) {
 			return e, on, hit
 		}
 	}
 	return nil, nil, false
 }
 
-// turn returns the entry of a tier whose turn it is: the customer who used the
+// nextInTier returns the entry of a tier whose nextInTier it is: the customer who used the
 // least, and among that customer's the most urgent.
-func (g *Group) turn(l *lane, tier int, reach targetSet, now monotime.Instant) *entry {
-	if e := l.tiers[tier].expiry.min().value; g.goesUrgent(e, now) && e.target&reach != 0 {
+func (g *Group) nextInTier(p *pool, tier int, available targetSet, now monotime.Instant) *entry {
+	if e := p.tiers[tier].expiry.min().value; g.isUrgent(e, now) && e.target&available != 0 {
 		return e
 	}
 	var best *entry
 	leastUse := 0.0
-	for _, ln := range l.lines {
-		if ln.tier != tier || ln.waiting == 0 || ln.target&reach == 0 {
+	for _, cq := range p.classQueues {
+		if cq.tier != tier || cq.waiting == 0 || cq.target&available == 0 {
 			continue
 		}
-		use := ln.shares.min().key
-		e := ln.first()
-		if best == nil || use < leastUse || use == leastUse && g.before(e, best) {
+		use := cq.customers.min().key
+		e := cq.first()
+		if best == nil || use < leastUse || use == leastUse && g.servedBefore(e, best) {
 			best, leastUse = e, use
 		}
 	}
 	return best
 }
 
-// goesUrgent reports whether a request goes first in its tier because it would
+// isUrgent reports whether a request goes first in its tier because it would
 // soon be late. Only tiers with headroom have that: they are meant to fit, and a
 // customer who asked a little more must not be late while others can wait. In a
 // tier with more work than fits, every request gets urgent, and serving those
 // would undo the shares.
-func (g *Group) goesUrgent(e *entry, now monotime.Instant) bool {
+func (g *Group) isUrgent(e *entry, now monotime.Instant) bool {
 	return g.headroom[e.tier] > 0 && e.latestStart.Sub(now) < g.policy.Urgent
 }
 
-func (g *Group) before(a, b *entry) bool {
+func (g *Group) servedBefore(a, b *entry) bool {
 	ka, kb := g.orderKey(a), g.orderKey(b)
 	if ka != kb {
 		return ka < kb
@@ -291,15 +291,15 @@
 	return a.seq < b.seq
 }
 
-func (ln *line) first() *entry {
-	return ln.shares.min().value.entries.min().value
+func (cq *classQueue) first() *entry {
+	return cq.customers.min().value.entries.min().value
 }
 
 // NextTick returns when Tick should be called next, if at all.
 func (g *Group) NextTick(now monotime.Instant) (monotime.Instant, bool) {
 	next := monotime.Instant(math.MaxInt64)
 	if g.waiting > 0 || g.held.count > 0 {
-		next = g.upkeepAt.Add(upkeepEvery)
+		next = g.upkeepAt.Add(upkeepInterval)
 	}
 	if g.waiting > 0 {
 		next = min(next, g.firstExpiry())
@@ -312,12 +312,12 @@
 
 func (g *Group) firstExpiry() monotime.Instant {
 	first := monotime.Instant(math.MaxInt64)
-	for _, l := range g.laneList {
-		if l.waiting == 0 {
+	for _, p := range g.pools {
+		if p.waiting == 0 {
 			continue
 		}
-		for t := range l.tiers {
-			if q := &l.tiers[t]; q.waiting > 0 {
+		for t := range p.tiers {
+			if q := &p.tiers[t]; q.waiting > 0 {
 				first = min(first, q.expiry.min().value.latestStart+1)
 			}
 		}
@@ -345,11 +345,11 @@
 	if e == nil {
 		return
 	}
-	taken := now.Add(-time.Duration(report.AgeMS * float64(time.Millisecond)))
-	if taken < e.reportedAt {
+	measuredAt := now.Add(-time.Duration(report.AgeMS * float64(time.Millisecond)))
+	if measuredAt < e.reportedAt {
 		return
 	}
-	e.reported = report.Running + report.Waiting
-	e.reportedAt = taken
-	g.countUntold(e, now)
+	e.reportedLoad = report.Running + report.Waiting
+	e.reportedAt = measuredAt
+	g.countUnclaimed(e, now)
 }
--- a/internal/sched/group_test.go
+++ b/internal/sched/group_test.go
@@ -7,7 +7,7 @@
 	"basilrudder/internal/verdict"
 )
 
-func TestHigherTierGoesFirst(t *testing.T) {
+func TestHigherTierIsServedFirst(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	running := f.submit(2, "ann")
 	low := f.submit(2, "ann")
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestHopelessRequestIsRefusedAtOnceWithATime(t *testing.T) {
+func TestRequestThatWouldBeLateIsRefusedWithRetryAfter(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	f.train(0, time.Second, 100)
 	f.submit(0, "ann")
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -17,8 +17,8 @@
 	failures int
 	// ejections in a row, without full recovery between them.
 	ejections int
-	// until is the end of the current ejection.
-	until monotime.Instant
+	// ejectedUntil is the end of the current ejection.
+	ejectedUntil monotime.Instant
 	// ramp bounds the slots held while trust comes back; 0 for no bound.
 	ramp int
 }
@@ -26,15 +26,15 @@
 const (
 	failuresToEject = 2
 	firstEjection   = 500 * time.Millisecond
-	longestEjection = 15 * time.Second
+	maxEjection     = 15 * time.Second
 	// refusedPause is how long an engine that refused a request rests.
 	refusedPause = 50 * time.Millisecond
-	// rampDone is the bound on slots at which an engine is trusted again.
-	rampDone = 256
+	// rampEnd is the bound on slots at which an engine is trusted again.
+	rampEnd = 256
 )
 
 func (h *health) limit(now monotime.Instant) int {
-	if now < h.until {
+	if now < h.ejectedUntil {
 		return 0
 	}
 	if h.ramp > 0 {
@@ -49,16 +49,16 @@
 	if h.failures < failuresToEject {
 		return
 	}
-	if now < h.until {
+	if now < h.ejectedUntil {
 		return
 	}
-	away := min(firstEjection<<min(h.ejections, 10), longestEjection)
+	duration := min(firstEjection<<min(h.ejections, 10), maxEjection)
 	h.ejections++
-	h.until = now.Add(away)
+	h.ejectedUntil = now.Add(duration)
 }
 
 func (h *health) refused(now monotime.Instant) {
-	h.until = max(h.until, now.Add(refusedPause))
+	h.ejectedUntil = max(h.ejectedUntil, now.Add(refusedPause))
 }
 
 func (h *health) succeeded() {
@@ -67,7 +67,7 @@
 		return
 	}
 	h.ramp *= 2
-	if h.ramp >= rampDone {
+	if h.ramp >= rampEnd {
 		h.ramp = 0
 		h.ejections = 0
 	}
@@ -81,10 +81,10 @@
 // upkeep compares engines with their peers and lets limits follow.
 func (g *Group) upkeep(now monotime.Instant) {
 	g.upkeepAt = now
-	for _, l := range g.laneList {
-		g.compareEngines(l, now)
-		for t := range l.tiers {
-			g.forgetIdle(&l.tiers[t])
+	for _, p := range g.pools {
+		g.detectStragglers(p, now)
+		for t := range p.tiers {
+			g.removeIdleAccounts(&p.tiers[t])
 		}
 	}
 	g.endTakeover(now)
@@ -93,14 +93,14 @@
 	}
 }
 
-// compareEngines finds stragglers: engines slower than the median of their
+// detectStragglers finds stragglers: engines slower than the median of their
 // peers. The comparison is relative, since all engines slow down together
 // when they are full, and that is no reason to send any of them less.
-func (g *Group) compareEngines(l *lane, now monotime.Instant) {
+func (g *Group) detectStragglers(p *pool, now monotime.Instant) {
 	paces := g.paces[:0]
 	gaps := 0.0
 	count := 0
-	for _, e := range l.engines {
+	for _, e := range p.engines {
 		if !e.takesWork() {
 			continue
 		}
@@ -112,41 +112,41 @@
 	}
 	g.paces = paces
 	if count > 0 {
-		l.gapMean = gaps / float64(count)
+		p.gapMean = gaps / float64(count)
 	}
 	if len(paces) < 2 {
 		return
 	}
 	slices.Sort(paces)
 	median := paces[(len(paces)-1)/2]
-	for _, e := range l.engines {
-		e.slow = max(1, e.pace.or(median)/median)
-		e.doubt(now)
+	for _, e := range p.engines {
+		e.slowdown = max(1, e.pace.meanOr(median)/median)
+		e.markStalePace(now)
 	}
 }
 
-// doubt marks a straggler that was not measured for a while. One request of a
-// lower tier then tries it. Without the doubt it would stay without work for
+// markStalePace marks a straggler that was not measured for a while. One request of a
+// lower tier then tries it. Without the markStalePace it would stay without work for
 // good; without the bound of one, an engine that is still slow would get a full
 // load before its first answer shows it.
-func (e *engine) doubt(now monotime.Instant) {
-	if e.slow >= slowFrom && now.Sub(e.paceAt) >= paceMemory {
-		e.doubtful = true
+func (e *engine) markStalePace(now monotime.Instant) {
+	if e.slowdown >= stragglerSlowdown && now.Sub(e.paceAt) >= maxPaceAge {
+		e.paceStale = true
 	}
 }
 
-// sampled forgets what was known of a doubtful engine: a new sample tells more.
-func (e *engine) sampled() {
-	if !e.doubtful {
+// resetStalePace forgets what was known of a doubtful engine: a new sample tells more.
+func (e *engine) resetStalePace() {
+	if !e.paceStale {
 		return
 	}
-	e.doubtful = false
+	e.paceStale = false
 	e.pace = ewma{}
 	e.gap = ewma{}
 }
 
-// onTrial reports whether the engine should get one request, of a lower tier,
+// needsProbe reports whether the engine should get one request, of a lower tier,
 // to show what it does.
-func (e *engine) onTrial() bool {
-	return e.doubtful || e.health.probing()
+func (e *engine) needsProbe() bool {
+	return e.paceStale || e.health.probing()
 }
--- a/internal/sched/heap.go
+++ b/internal/sched/heap.go
@@ -11,12 +11,12 @@
 // value can be moved or removed in logarithmic time. Equal keys leave in the
 // order of tie. It allocates only when it outgrows its capacity.
 type heap[T any] struct {
-	items []heapItem[T]
-	moved func(value T, position int)
+	items  []heapItem[T]
+	onMove func(value T, position int)
 }
 
-// outside is the position of a value that is in no heap.
-const outside = -1
+// notInHeap is the position of a value that is in no heap.
+const notInHeap = -1
 
 func (h *heap[T]) len() int { return len(h.items) }
 
@@ -29,7 +29,7 @@
 
 func (h *heap[T]) remove(i int) {
 	last := len(h.items) - 1
-	h.moved(h.items[i].value, outside)
+	h.onMove(h.items[i].value, notInHeap)
 	moving := h.items[last]
 	h.items[last] = heapItem[T]{}
 	h.items = h.items[:last]
@@ -37,16 +37,16 @@
 		return
 	}
 	h.items[i] = moving
-	h.settle(i)
+	h.fix(i)
 }
 
 func (h *heap[T]) update(i int, key float64, tie uint64) {
 	h.items[i].key = key
 	h.items[i].tie = tie
-	h.settle(i)
+	h.fix(i)
 }
 
-func (h *heap[T]) settle(i int) {
+func (h *heap[T]) fix(i int) {
 	if !h.down(i) {
 		h.up(i)
 	}
@@ -95,5 +95,5 @@
 
 func (h *heap[T]) put(i int, item heapItem[T]) {
 	h.items[i] = item
-	h.moved(item.value, i)
+	h.onMove(item.value, i)
 }
--- a/internal/sched/lease.go
+++ b/internal/sched/lease.go
@@ -43,17 +43,17 @@
 	h.count--
 }
 
-// hold marks an entry as the holder of a slot.
-func (g *Group) hold(e *entry, acct *account, now monotime.Instant) {
+// holdSlot marks an entry as the holder of a slot.
+func (g *Group) holdSlot(e *entry, acct *account, now monotime.Instant) {
 	e.state = entryHeld
 	e.grantedAt = now
 	e.renewedAt = now
 	e.tokens = 0
 	e.account = acct
-	g.unpark(&e.lane.tiers[e.tier], acct)
+	g.markActive(&e.pool.tiers[e.tier], acct)
 	acct.held++
 	g.held.append(e)
-	g.noteHeld(e)
+	g.countHeld(e)
 }
 
 // Progress renews a slot and charges the tokens generated since the last call.
@@ -62,13 +62,13 @@
 func (g *Group) Progress(now monotime.Instant, t Ticket, tokens int, out []Decision) []Decision {
 	e := g.entries[t]
 	if e == nil {
-		g.Adopt(now, t, Held{})
+		g.Adopt(now, t, HeldSlot{})
 		e = g.entries[t]
 	}
 	if e == nil || e.state != entryHeld {
 		return out
 	}
-	g.measureProgress(e, tokens, now)
+	g.recordProgress(e, tokens, now)
 	g.countTokens(e, tokens)
 	e.renewedAt = now
 	g.held.remove(e)
@@ -76,21 +76,21 @@
 	return out
 }
 
-// measureProgress learns the engine's pace from a request that still runs, so
+// recordProgress learns the engine's pace from a request that still runs, so
 // that a straggler shows long before a long answer ends.
-func (g *Group) measureProgress(e *entry, tokens int, now monotime.Instant) {
+func (g *Group) recordProgress(e *entry, tokens int, now monotime.Instant) {
 	since := now.Sub(e.renewedAt)
 	switch {
 	case tokens > 0 && e.tokens > 0 && since > 0:
-		g.learnGap(e.engine, e.lane, now, since/time.Duration(tokens))
-	case tokens == 0 && e.tokens > 0 && since >= stalledAfter:
-		e.engine.learnPace(now, since.Seconds(), e.engine.stepSeconds())
+		g.recordGap(e.engine, e.pool, now, since/time.Duration(tokens))
+	case tokens == 0 && e.tokens > 0 && since >= stallTimeout:
+		e.engine.recordPace(now, since.Seconds(), e.engine.stepSeconds())
 	}
 }
 
-// stalledAfter is the time without a token after which a running answer counts
+// stallTimeout is the time without a token after which a running answer counts
 // against its engine.
-const stalledAfter = 500 * time.Millisecond
+const stallTimeout = 500 * time.Millisecond
 
 func (g *Group) countTokens(e *entry, tokens int) {
 	e.tokens += tokens
@@ -104,8 +104,8 @@
 	}
 }
 
-// Held describes a slot that an earlier owner gave.
-type Held struct {
+// HeldSlot describes a slot that an earlier owner gave.
+type HeldSlot struct {
 	// Engine id; empty when unknown.
 	Engine string
 	// Class and Customer; nil when unknown.
@@ -120,15 +120,15 @@
 
 // Adopt re-creates a slot that an earlier owner of the group gave, so that a
 // new owner does not fill engines that are already full.
-func (g *Group) Adopt(now monotime.Instant, t Ticket, held Held) {
+func (g *Group) Adopt(now monotime.Instant, t Ticket, held HeldSlot) {
 	if g.entries[t] != nil {
 		return
 	}
 	on := g.byID[held.Engine]
 	if on == nil {
-		on = g.emptiest()
+		on = g.mostFreeEngine()
 	}
-	if on == nil || on.lane == nil {
+	if on == nil || on.pool == nil {
 		return
 	}
 	e := g.newEntry()
@@ -137,22 +137,22 @@
 	e.demand = Demand{
 		Ticket: t, Class: held.Class, Customer: held.Customer, Tier: held.Tier, ExpectedHold: held.ExpectedHold,
 	}
-	e.lane = on.lane
+	e.pool = on.pool
 	e.tier = g.tierOf(held.Tier)
 	e.engine = on
 	e.state = entryHeld
 	e.grantedAt = now
 	e.renewedAt = now
 	if held.Customer != nil {
-		e.account = g.accountFor(&e.lane.tiers[e.tier], held.Customer)
+		e.account = g.accountFor(&e.pool.tiers[e.tier], held.Customer)
 		e.account.held++
 	}
 	e.work = g.adoptedHold(e)
 	g.entries[t] = e
 	g.held.append(e)
-	g.noteHeld(e)
+	g.countHeld(e)
 	on.inflight++
-	on.told()
+	on.claimed()
 	g.refreshEngine(on, now)
 	g.counters.Adopted++
 }
@@ -160,14 +160,14 @@
 // adoptedHold is the expected slot time of an adopted slot, in seconds.
 func (g *Group) adoptedHold(e *entry) float64 {
 	if e.demand.Class == nil {
-		return e.lane.hold.or(1)
+		return e.pool.hold.meanOr(1)
 	}
-	return g.toldHold(e, g.statsOf(e.demand.Class))
+	return g.requestHold(e, g.statsOf(e.demand.Class))
 }
 
-// emptiest returns the engine with most free slots: a guess at where a slot of
+// mostFreeEngine returns the engine with most free slots: a guess at where a slot of
 // unknown place runs that never counts it twice at a full engine.
-func (g *Group) emptiest() *engine {
+func (g *Group) mostFreeEngine() *engine {
 	var best *engine
 	for _, e := range g.engines {
 		if best == nil || e.free > best.free {
@@ -187,18 +187,18 @@
 		return g.Withdraw(now, t, out)
 	}
 	g.countTokens(e, r.Tokens)
-	g.learn(e, r, now)
-	g.letGo(e, now)
+	g.recordResult(e, r, now)
+	g.freeSlot(e, now)
 	return g.dispatch(now, out)
 }
 
-// learn takes what a finished use says about the engine and the class.
-func (g *Group) learn(e *entry, r Result, now monotime.Instant) {
+// recordResult takes what a finished use says about the engine and the class.
+func (g *Group) recordResult(e *entry, r Result, now monotime.Instant) {
 	on := e.engine
 	switch r.Outcome {
 	case Finished:
 		on.health.succeeded()
-		g.learnFinished(e, r, now)
+		g.recordFinished(e, r, now)
 	case Failed:
 		if g.policy.Ejection {
 			on.health.failed(now)
@@ -211,7 +211,7 @@
 	}
 }
 
-func (g *Group) learnFinished(e *entry, r Result, now monotime.Instant) {
+func (g *Group) recordFinished(e *entry, r Result, now monotime.Instant) {
 	if e.demand.Class == nil || e.demand.Customer == nil {
 		return
 	}
@@ -219,32 +219,32 @@
 	held := now.Sub(e.grantedAt)
 	if stats.service {
 		if stats.hold.count > 0 {
-			e.engine.learnPace(now, held.Seconds(), stats.hold.mean)
+			e.engine.recordPace(now, held.Seconds(), stats.hold.mean)
 		}
 	} else {
-		g.learnGap(e.engine, e.lane, now, r.Gap)
+		g.recordGap(e.engine, e.pool, now, r.Gap)
 	}
-	g.learnClass(stats, e.tokens, held, r.FirstToken)
-	e.lane.hold.add(held.Seconds(), holdWeight)
+	g.recordClass(stats, e.tokens, held, r.FirstToken)
+	e.pool.hold.add(held.Seconds(), holdWeight)
 }
 
-// letGo frees the slot of an entry and settles what it was charged.
-func (g *Group) letGo(e *entry, now monotime.Instant) {
+// freeSlot frees the slot of an entry and settles what it was charged.
+func (g *Group) freeSlot(e *entry, now monotime.Instant) {
 	g.held.remove(e)
-	g.noteFreed(e, now)
+	g.countFreed(e, now)
 	e.engine.inflight--
-	g.noteFreeSlot(e.engine, now)
+	g.recordFreedSlot(e.engine, now)
 	g.refreshEngine(e.engine, now)
 	if a := e.account; a != nil {
-		g.settle(e)
+		g.refund(e)
 		a.held--
-		g.parkAccount(&e.lane.tiers[e.tier], a)
+		g.markIdle(&e.pool.tiers[e.tier], a)
 	}
 	g.recycle(e)
 }
 
-// settle refunds what was charged beyond the real use.
-func (g *Group) settle(e *entry) {
+// refund refunds what was charged beyond the real use.
+func (g *Group) refund(e *entry) {
 	used := promptCost*float64(e.demand.PromptTokens) + float64(e.tokens)
 	if e.tokens == 0 || used >= e.charged {
 		return
@@ -258,13 +258,13 @@
 	if e == nil {
 		return out
 	}
-	g.drop(e, now)
+	g.discard(e, now)
 	return g.dispatch(now, out)
 }
 
-func (g *Group) drop(e *entry, now monotime.Instant) {
+func (g *Group) discard(e *entry, now monotime.Instant) {
 	if e.state == entryHeld {
-		g.letGo(e, now)
+		g.freeSlot(e, now)
 		return
 	}
 	g.dequeue(e)
@@ -281,7 +281,7 @@
 	}
 	sortBySeq(gone)
 	for _, e := range gone {
-		g.drop(e, now)
+		g.discard(e, now)
 	}
 	return g.dispatch(now, out)
 }
@@ -296,6 +296,6 @@
 			return
 		}
 		g.counters.LeasesExpired++
-		g.letGo(e, now)
+		g.freeSlot(e, now)
 	}
 }
--- a/internal/sched/policy.go
+++ b/internal/sched/policy.go
@@ -114,16 +114,16 @@
 
 // Timing of the group's upkeep.
 const (
-	// upkeepEvery is how often stragglers and ramps are looked at.
-	upkeepEvery = 100 * time.Millisecond
+	// upkeepInterval is how often stragglers and ramps are looked at.
+	upkeepInterval = 100 * time.Millisecond
 	// defaultLease applies when the rules give none.
 	defaultLease = 3 * time.Second
 	// defaultMaxQueue applies when neither a deadline nor a class bound does.
 	defaultMaxQueue = 10 * time.Minute
 )
 
-// rules are the switches of a policy, by the names that Without takes.
-var rules = map[string]func(*Policy){
+// ruleSwitches are the switches of a policy, by the names that Without takes.
+var ruleSwitches = map[string]func(*Policy){
 	"affinity":   func(p *Policy) { p.Affinity = false },
 	"ejection":   func(p *Policy) { p.Ejection = false },
 	"fairness":   func(p *Policy) { p.Fairness = false },
@@ -139,7 +139,7 @@
 // Without returns the policy with one rule switched off, to measure the rule. It
 // returns false for an unknown name.
 func (p Policy) Without(rule string) (Policy, bool) {
-	off, ok := rules[rule]
+	off, ok := ruleSwitches[rule]
 	if !ok {
 		return p, false
 	}
--- a/internal/sched/predict.go
+++ b/internal/sched/predict.go
@@ -21,8 +21,8 @@
 	m.mean += max(weight, 1/float64(m.count)) * (sample - m.mean)
 }
 
-// or returns the mean, or a default before the first sample.
-func (m *ewma) or(value float64) float64 {
+// meanOr returns the mean, meanOr a default before the first sample.
+func (m *ewma) meanOr(value float64) float64 {
 	if m.count == 0 {
 		return value
 	}
@@ -56,12 +56,12 @@
 	histogramBuckets = 96
 	// histogramGrowth is the ratio of neighbouring bucket bounds.
 	histogramGrowth = 1.12
-	// histogramMemory is the weight at which old samples are halved.
-	histogramMemory = 512
+	// maxHistogramWeight is the weight at which old samples are halved.
+	maxHistogramWeight = 512
 	// priorWeight is the weight of the guess before samples exist.
 	priorWeight = 2
-	// refreshEvery is how many samples pass between two looks at quantiles.
-	refreshEvery = 8
+	// refreshInterval is how many samples pass between two looks at quantiles.
+	refreshInterval = 8
 )
 
 var logGrowth = math.Log(histogramGrowth)
@@ -79,7 +79,7 @@
 	}
 	h.counts[i] += weight
 	h.total += weight
-	if h.total < histogramMemory {
+	if h.total < maxHistogramWeight {
 		return
 	}
 	for j := range h.counts {
@@ -110,10 +110,10 @@
 	median float64
 	// hold is the slot time in seconds.
 	hold ewma
-	// first counts times from the start to the first token, in milliseconds;
+	// firstToken counts times from the start to the firstToken token, in milliseconds;
 	// firstLate is one that few exceed.
-	first     histogram
-	firstLate float64
+	firstToken      histogram
+	firstTokenBound float64
 }
 
 const (
@@ -137,7 +137,7 @@
 		prior = priorServiceMS
 	}
 	s.output.add(prior, priorWeight)
-	g.measures.prime(s, class.Hash)
+	g.measurements.prime(s, class.Hash)
 	s.refresh()
 	g.classes[class.Hash] = s
 	return s
@@ -145,15 +145,15 @@
 
 func (s *classStats) refresh() {
 	s.median = s.output.quantile(0.5)
-	if s.first.total > 0 {
-		s.firstLate = s.first.quantile(firstQuantile)
+	if s.firstToken.total > 0 {
+		s.firstTokenBound = s.firstToken.quantile(firstTokenQuantile)
 	}
 }
 
-// firstQuantile of the times to the first token must fit before it is due.
-const firstQuantile = 0.9
+// firstTokenQuantile of the times to the first token must fit before it is due.
+const firstTokenQuantile = 0.9
 
-func (s *classStats) learn(tokens int, held, first time.Duration) {
+func (s *classStats) record(tokens int, held, first time.Duration) {
 	s.hold.add(held.Seconds(), holdWeight)
 	value := float64(tokens)
 	if s.service {
@@ -161,49 +161,49 @@
 	}
 	s.output.add(value, 1)
 	if first > 0 && !s.service {
-		s.first.add(first.Seconds()*1000, 1)
+		s.firstToken.add(first.Seconds()*1000, 1)
 	}
 	s.samples++
 }
 
-// learnClass counts a finished request.
-func (g *Group) learnClass(s *classStats, tokens int, held, first time.Duration) {
-	s.learn(tokens, held, first)
-	if s.samples <= refreshEvery || s.samples%refreshEvery == 0 {
+// recordClass counts a finished request.
+func (g *Group) recordClass(s *classStats, tokens int, held, first time.Duration) {
+	s.record(tokens, held, first)
+	if s.samples <= refreshInterval || s.samples%refreshInterval == 0 {
 		s.refresh()
 	}
 }
 
 // expectedHold is the slot time of a request of the class, in seconds.
-func (g *Group) expectedHold(l *lane, s *classStats) float64 {
+func (g *Group) expectedHold(p *pool, s *classStats) float64 {
 	if s.hold.count > 0 {
 		return s.hold.mean
 	}
 	if s.service {
 		return s.median / 1000
 	}
-	return s.median * l.gap()
+	return s.median * p.gap()
 }
 
 // gap is the mean time between tokens over the lane's engines, in seconds.
-func (l *lane) gap() float64 {
-	if l.gapMean <= 0 {
+func (p *pool) gap() float64 {
+	if p.gapMean <= 0 {
 		return defaultGapSeconds
 	}
-	return l.gapMean
+	return p.gapMean
 }
 
 const defaultGapSeconds = 0.007
 
 // latestStart is the last instant at which a request may start and still be
 // on time, by what its class was measured to need.
-func (g *Group) latestStart(d *Demand, l *lane, s *classStats, now monotime.Instant) monotime.Instant {
+func (g *Group) latestStart(d *Demand, p *pool, s *classStats, now monotime.Instant) monotime.Instant {
 	bound := d.Class.MaxQueue
 	if bound <= 0 {
 		bound = defaultMaxQueue
 	}
 	latest := now.Add(bound)
-	first, rest := g.expectedTimes(d, l, s)
+	first, rest := g.expectedTimes(d, p, s)
 	if d.FirstTokenBy > 0 {
 		latest = min(latest, d.FirstTokenBy.Add(-first))
 	}
@@ -215,28 +215,28 @@
 
 // expectedTimes are the time to the first token without queueing and the time
 // from there to the end.
-func (g *Group) expectedTimes(d *Demand, l *lane, s *classStats) (first, rest time.Duration) {
+func (g *Group) expectedTimes(d *Demand, p *pool, s *classStats) (first, rest time.Duration) {
 	if s.service {
 		return 0, seconds(s.median / 1000)
 	}
-	gap := l.gap()
-	first = seconds(float64(d.PromptTokens)/l.prefillRate() + gap)
-	if s.samples < leastSamples {
+	gap := p.gap()
+	first = seconds(float64(d.PromptTokens)/p.prefillRate() + gap)
+	if s.samples < minLengthSamples {
 		return first, 0
 	}
-	first = max(first, seconds(s.firstLate/1000))
+	first = max(first, seconds(s.firstTokenBound/1000))
 	return first, seconds(s.median * gap)
 }
 
-// leastSamples is how many answers are measured before their length decides
+// minLengthSamples is how many answers are measured before their length decides
 // about a refusal: a wrong first guess must not shut a class out.
-const leastSamples = 8
+const minLengthSamples = 8
 
-func (l *lane) prefillRate() float64 {
-	if len(l.engines) == 0 || l.engines[0].spec.Spec.PrefillTokensPerS <= 0 {
+func (p *pool) prefillRate() float64 {
+	if len(p.engines) == 0 || p.engines[0].spec.Spec.PrefillTokensPerS <= 0 {
 		return defaultPrefillRate
 	}
-	return float64(l.engines[0].spec.Spec.PrefillTokensPerS)
+	return float64(p.engines[0].spec.Spec.PrefillTokensPerS)
 }
 
 const defaultPrefillRate = 20000
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -21,23 +21,23 @@
 
 // entry is one request that waits or holds a slot. Entries are reused.
 type entry struct {
-	demand Demand
-	state  entryState
-	lane   *lane
-	share  *share
-	target targetSet
-	tier   int
-	seq    uint64
-	at     monotime.Instant
+	demand      Demand
+	state       entryState
+	pool        *pool
+	queue       *customerQueue
+	target      targetSet
+	tier        int
+	seq         uint64
+	submittedAt monotime.Instant
 
 	// latestStart is the last instant at which a start can still be on time.
 	latestStart monotime.Instant
 	// work is the slot time that the request is expected to take, in seconds.
 	work float64
-	// roomHold is the slot time that was put down when room was kept.
-	roomHold  float64
-	sharePos  int
-	expiryPos int
+	// headroomHold is the slot time that was put down when room was kept.
+	headroomHold float64
+	queuePos     int
+	expiryPos    int
 
 	// Fields of a held slot.
 	engine     *engine
@@ -54,10 +54,10 @@
 	nextUnused *entry
 }
 
-// lane schedules the targets (models or services) that share engines: those
-// that any engine serves together are in one lane, so that tiers are compared
+// pool schedules the targets (models or services) that share engines: those
+// that any engine serves together are in one pool, so that tiers are compared
 // wherever they compete for a slot.
-type lane struct {
+type pool struct {
 	targets []string
 	engines []*engine
 	// usable are the targets that some engine takes new work for; mixed says
@@ -65,12 +65,12 @@
 	usable targetSet
 	mixed  bool
 	// free and limit are sums over the engines that take new work.
-	free    int
-	extra   int
-	limit   int
-	waiting int
-	tiers   [maxTiers]tierQueue
-	lines   []*line
+	free        int
+	extra       int
+	limit       int
+	waiting     int
+	tiers       [maxTiers]tierQueue
+	classQueues []*classQueue
 	// hold is the mean slot time of a request, in seconds.
 	hold ewma
 	// gapTarget is the tightest token gap target of the classes seen.
@@ -86,61 +86,61 @@
 	// work is the slot time that waits, in seconds.
 	work float64
 	// weights sums the weights of the accounts that wait.
-	weights  float64
-	expiry   heap[*entry]
-	sizes    heap[*account]
-	idle     heap[*account]
-	accounts map[uint64]*account
+	weights   float64
+	expiry    heap[*entry]
+	byWaiting heap[*account]
+	idle      heap[*account]
+	accounts  map[uint64]*account
 	// clock is the virtual time of the tier: the counter at the last grant.
 	clock float64
 	// arriving is the slot time that arrives, in slots.
 	arriving rate
-	held     heldWork
+	held     heldSlots
 }
 
 // targetSet is a set of targets of a lane, by their places in lane.targets.
 type targetSet uint64
 
-// line holds the requests of one class in one tier of a lane.
-type line struct {
-	class  *catalog.Class
-	target targetSet
-	tier   int
-	shares heap[*share]
+// classQueue holds the requests of one class in one tier of a lane.
+type classQueue struct {
+	class     *catalog.Class
+	target    targetSet
+	tier      int
+	customers heap[*customerQueue]
 	// waiting counts requests, work is their slot time in seconds.
 	waiting int
 	work    float64
-	// patience is the time that requests of the line can wait, in seconds.
-	patience ewma
+	// waitLimit is the time that requests of the line can wait, in seconds.
+	waitLimit ewma
 	// credit is the slot time the floor owes to the line, in seconds.
 	credit   float64
 	creditAt monotime.Instant
 	servedAt monotime.Instant
 }
 
-// share holds the waiting requests of one customer in a line.
-type share struct {
-	account *account
-	line    *line
-	entries heap[*entry]
-	pos     int
+// customerQueue holds the waiting requests of one customer in a line.
+type customerQueue struct {
+	account    *account
+	classQueue *classQueue
+	entries    heap[*entry]
+	pos        int
 }
 
-func newLane(targets []string) *lane {
-	l := &lane{targets: targets}
-	for t := range l.tiers {
-		q := &l.tiers[t]
-		q.expiry.moved = func(e *entry, i int) { e.expiryPos = i }
-		q.sizes.moved = func(a *account, i int) { a.sizePos = i }
-		q.idle.moved = func(a *account, i int) { a.idlePos = i }
+func newPool(targets []string) *pool {
+	p := &pool{targets: targets}
+	for t := range p.tiers {
+		q := &p.tiers[t]
+		q.expiry.onMove = func(e *entry, i int) { e.expiryPos = i }
+		q.byWaiting.onMove = func(a *account, i int) { a.waitingPos = i }
+		q.idle.onMove = func(a *account, i int) { a.idlePos = i }
 	}
-	return l
+	return p
 }
 
-// setOf returns the set of the lane's targets that are among the names.
-func (l *lane) setOf(names ...string) targetSet {
+// targetSetOf returns the set of the lane's targets that are among the names.
+func (p *pool) targetSetOf(names ...string) targetSet {
 	var set targetSet
-	for i, target := range l.targets {
+	for i, target := range p.targets {
 		for _, name := range names {
 			if target == name {
 				set |= 1 << i
@@ -150,13 +150,13 @@
 	return set
 }
 
-// reach returns the targets that an engine with a free slot serves.
-func (l *lane) reach() targetSet {
-	if !l.mixed {
+// availableTargets returns the targets that an engine with a free slot serves.
+func (p *pool) availableTargets() targetSet {
+	if !p.mixed {
 		return ^targetSet(0)
 	}
 	var set targetSet
-	for _, e := range l.engines {
+	for _, e := range p.engines {
 		if e.free+e.extra > 0 {
 			set |= e.serves
 		}
@@ -164,83 +164,83 @@
 	return set
 }
 
-// lineOf returns the line of a request.
-func (g *Group) lineOf(e *entry, now monotime.Instant) *line {
-	l, class := e.lane, e.demand.Class
-	for _, ln := range l.lines {
-		if ln.tier == e.tier && ln.target == e.target && ln.class.Hash == class.Hash {
-			ln.class = class
-			return ln
+// classQueueOf returns the line of a request.
+func (g *Group) classQueueOf(e *entry, now monotime.Instant) *classQueue {
+	p, class := e.pool, e.demand.Class
+	for _, cq := range p.classQueues {
+		if cq.tier == e.tier && cq.target == e.target && cq.class.Hash == class.Hash {
+			cq.class = class
+			return cq
 		}
 	}
-	ln := &line{class: class, target: e.target, tier: e.tier, creditAt: now, servedAt: now}
-	ln.shares.moved = func(s *share, i int) { s.pos = i }
-	l.lines = append(l.lines, ln)
-	return ln
+	cq := &classQueue{class: class, target: e.target, tier: e.tier, creditAt: now, servedAt: now}
+	cq.customers.onMove = func(cust *customerQueue, i int) { cust.pos = i }
+	p.classQueues = append(p.classQueues, cq)
+	return cq
 }
 
 // enqueue puts an entry in the queue of its lane.
 func (g *Group) enqueue(e *entry, now monotime.Instant) {
-	q := &e.lane.tiers[e.tier]
-	ln := g.lineOf(e, now)
+	q := &e.pool.tiers[e.tier]
+	cq := g.classQueueOf(e, now)
 	acct := g.accountFor(q, e.demand.Customer)
-	s := g.shareFor(acct, ln)
-	e.share = s
+	cust := g.customerQueueFor(acct, cq)
+	e.queue = cust
 	e.state = entryWaiting
-	s.entries.push(g.orderKey(e), e.seq, e)
-	if e.sharePos == 0 {
-		g.reorder(s)
+	cust.entries.push(g.orderKey(e), e.seq, e)
+	if e.queuePos == 0 {
+		g.reorder(cust)
 	}
 	q.expiry.push(float64(e.latestStart), e.seq, e)
-	ln.waiting++
-	ln.work += e.work
+	cq.waiting++
+	cq.work += e.work
 	q.waiting++
 	q.work += e.work
-	e.lane.waiting++
+	e.pool.waiting++
 	g.waiting++
 	acct.work += e.work
-	g.accountWaits(q, acct, 1)
+	g.updateWaiting(q, acct, 1)
 }
 
 // orderKey orders the requests of one customer in a line.
 func (g *Group) orderKey(e *entry) float64 {
 	if !g.policy.Fairness {
-		return float64(e.at)
+		return float64(e.submittedAt)
 	}
 	return float64(e.latestStart)
 }
 
 // dequeue takes a waiting entry out of every structure.
 func (g *Group) dequeue(e *entry) {
-	q := &e.lane.tiers[e.tier]
-	s := e.share
-	first := e.sharePos == 0
-	s.entries.remove(e.sharePos)
+	q := &e.pool.tiers[e.tier]
+	cust := e.queue
+	first := e.queuePos == 0
+	cust.entries.remove(e.queuePos)
 	q.expiry.remove(e.expiryPos)
-	s.line.waiting--
-	s.line.work = max(0, s.line.work-e.work)
+	cust.classQueue.waiting--
+	cust.classQueue.work = max(0, cust.classQueue.work-e.work)
 	q.waiting--
 	q.work = max(0, q.work-e.work)
-	e.lane.waiting--
+	e.pool.waiting--
 	g.waiting--
-	s.account.work = max(0, s.account.work-e.work)
+	cust.account.work = max(0, cust.account.work-e.work)
 	if q.waiting == 0 {
 		q.work = 0
 	}
-	g.accountWaits(q, s.account, -1)
-	if s.entries.len() == 0 {
-		s.line.shares.remove(s.pos)
-		g.dropShare(s)
+	g.updateWaiting(q, cust.account, -1)
+	if cust.entries.len() == 0 {
+		cust.classQueue.customers.remove(cust.pos)
+		g.dropCustomerQueue(cust)
 	} else if first {
-		g.reorder(s)
+		g.reorder(cust)
 	}
-	e.share = nil
+	e.queue = nil
 }
 
 func (g *Group) newEntry() *entry {
 	e := g.unusedEntries
 	if e == nil {
-		return &entry{sharePos: outside, expiryPos: outside}
+		return &entry{queuePos: notInHeap, expiryPos: notInHeap}
 	}
 	g.unusedEntries = e.nextUnused
 	e.nextUnused = nil
@@ -250,6 +250,6 @@
 // recycle forgets an entry that neither waits nor holds a slot.
 func (g *Group) recycle(e *entry) {
 	delete(g.entries, e.demand.Ticket)
-	*e = entry{sharePos: outside, expiryPos: outside, nextUnused: g.unusedEntries}
+	*e = entry{queuePos: notInHeap, expiryPos: notInHeap, nextUnused: g.unusedEntries}
 	g.unusedEntries = e
 }
--- a/internal/sched/reconfigure.go
+++ b/internal/sched/reconfigure.go
@@ -17,15 +17,15 @@
 	if g.lease <= 0 {
 		g.lease = defaultLease
 	}
-	g.readTiers(cat)
-	g.readEngines(cat.Groups[g.name])
-	g.readLanes(now)
-	g.renameWaiting(cat)
+	g.loadTiers(cat)
+	g.loadEngines(cat.Groups[g.name])
+	g.updatePools(now)
+	g.relinkEntries(cat)
 	out = g.refuseUnserved(now, out)
 	return g.Tick(now, out)
 }
 
-func (g *Group) readTiers(cat *catalog.Catalog) {
+func (g *Group) loadTiers(cat *catalog.Catalog) {
 	g.floors = [maxTiers]float64{}
 	g.headroom = [maxTiers]float64{}
 	for _, tier := range cat.Tiers {
@@ -37,14 +37,14 @@
 	}
 }
 
-func (g *Group) readEngines(group *catalog.Group) {
+func (g *Group) loadEngines(group *catalog.Group) {
 	for _, e := range g.engines {
 		e.removed = true
 	}
 	if group != nil {
 		for _, server := range group.Servers {
 			for _, spec := range server.Engines {
-				g.readEngine(spec)
+				g.loadEngine(spec)
 			}
 		}
 	}
@@ -57,23 +57,23 @@
 	})
 }
 
-func (g *Group) readEngine(spec *catalog.Engine) {
+func (g *Group) loadEngine(spec *catalog.Engine) {
 	e := g.byID[spec.ID]
 	if e == nil {
-		e = &engine{slow: 1, learned: float64(spec.Spec.Slots), cacheRoom: defaultCacheRoom}
+		e = &engine{slowdown: 1, adaptiveLimit: float64(spec.Spec.Slots), cacheCapacity: defaultCacheCapacity}
 		g.byID[spec.ID] = e
 		g.engines = append(g.engines, e)
 	}
 	if e.spec != nil && e.spec.Spec.Slots != spec.Spec.Slots {
-		e.learned = float64(spec.Spec.Slots)
+		e.adaptiveLimit = float64(spec.Spec.Slots)
 	}
 	e.spec = spec
 	e.removed = false
 }
 
-// renameWaiting lets queued requests point at the new revision's classes and
+// relinkEntries lets queued requests point at the new revision's classes and
 // customers; those that it no longer has keep the old ones until they end.
-func (g *Group) renameWaiting(cat *catalog.Catalog) {
+func (g *Group) relinkEntries(cat *catalog.Catalog) {
 	for _, e := range g.entries {
 		if e.demand.Class != nil {
 			if class := cat.Classes[e.demand.Class.Name]; class != nil {
@@ -89,14 +89,14 @@
 }
 
 func (g *Group) refuseUnserved(now monotime.Instant, out []Decision) []Decision {
-	var lost []*entry
+	var unserved []*entry
 	for _, e := range g.entries {
-		if e.state == entryWaiting && e.lane.usable&e.target == 0 {
-			lost = append(lost, e)
+		if e.state == entryWaiting && e.pool.usable&e.target == 0 {
+			unserved = append(unserved, e)
 		}
 	}
-	sortBySeq(lost)
-	for _, e := range lost {
+	sortBySeq(unserved)
+	for _, e := range unserved {
 		out = append(out, g.refusal(&e.demand, refuseNoServer, 0))
 		g.dequeue(e)
 		g.recycle(e)
--- a/internal/sched/refuse.go
+++ b/internal/sched/refuse.go
@@ -29,18 +29,18 @@
 }
 
 const (
-	shortestRetry = 100 * time.Millisecond
-	longestRetry  = 5 * time.Minute
-	noServerRetry = 5 * time.Second
+	minRetryAfter      = 100 * time.Millisecond
+	maxRetryAfter      = 5 * time.Minute
+	noServerRetryAfter = 5 * time.Second
 )
 
 // refusal makes the decision that turns a request down; wait is the wait that
 // was expected for it.
 func (g *Group) refusal(d *Demand, kind refusalKind, wait time.Duration) Decision {
 	g.counters.Refused++
-	retry := noServerRetry
+	retry := noServerRetryAfter
 	if kind != refuseNoServer {
-		retry = min(max(wait, shortestRetry), longestRetry)
+		retry = min(max(wait, minRetryAfter), maxRetryAfter)
 	}
 	return Decision{
 		Ticket:     d.Ticket,
@@ -54,11 +54,11 @@
 // admit queues a request, or refuses it at once when it cannot be on time.
 func (g *Group) admit(e *entry, now monotime.Instant, out []Decision) []Decision {
 	if e.latestStart < now {
-		out = append(out, g.refusal(&e.demand, refuseTooLate, g.backlog(e.lane, e.tier, now)))
+		out = append(out, g.refusal(&e.demand, refuseTooLate, g.backlog(e.pool, e.tier, now)))
 		g.recycle(e)
 		return out
 	}
-	g.refreshCredit(g.lineOf(e, now), e.lane, now)
+	g.refreshCredit(g.classQueueOf(e, now), e.pool, now)
 	if g.policy.EarlyRefusal {
 		wait := g.expectedWait(e, now)
 		budget := e.latestStart.Sub(now)
@@ -68,7 +68,7 @@
 			return out
 		}
 	}
-	e.lane.tiers[e.tier].arriving.add(now, e.work)
+	e.pool.tiers[e.tier].arriving.add(now, e.work)
 	g.enqueue(e, now)
 	if g.waiting > g.policy.MaxWaiting {
 		out = g.shed(now, out)
@@ -80,13 +80,13 @@
 // customer with most requests there, the least urgent.
 func (g *Group) shed(now monotime.Instant, out []Decision) []Decision {
 	for t := maxTiers - 1; t >= 0; t-- {
-		for _, l := range g.laneList {
-			q := &l.tiers[t]
+		for _, p := range g.pools {
+			q := &p.tiers[t]
 			if q.waiting == 0 {
 				continue
 			}
-			victim := leastUrgent(q.sizes.min().value)
-			out = append(out, g.refusal(&victim.demand, refuseQueueFull, g.backlog(l, t, now)))
+			victim := leastUrgent(q.byWaiting.min().value)
+			out = append(out, g.refusal(&victim.demand, refuseQueueFull, g.backlog(p, t, now)))
 			g.dequeue(victim)
 			g.recycle(victim)
 			return out
@@ -100,8 +100,8 @@
 // queue's length and happens only when the queue is full.
 func leastUrgent(a *account) *entry {
 	var worst *entry
-	for _, s := range a.shares {
-		for _, item := range s.entries.items[len(s.entries.items)/2:] {
+	for _, cust := range a.queues {
+		for _, item := range cust.entries.items[len(cust.entries.items)/2:] {
 			e := item.value
 			if worst == nil || e.latestStart > worst.latestStart ||
 				e.latestStart == worst.latestStart && e.seq > worst.seq {
@@ -114,15 +114,15 @@
 
 // expireWaiting refuses every request that can no longer be on time.
 func (g *Group) expireWaiting(now monotime.Instant, out []Decision) []Decision {
-	for _, l := range g.laneList {
-		if l.waiting == 0 {
+	for _, p := range g.pools {
+		if p.waiting == 0 {
 			continue
 		}
-		for t := range l.tiers {
-			q := &l.tiers[t]
+		for t := range p.tiers {
+			q := &p.tiers[t]
 			for q.waiting > 0 && q.expiry.min().value.latestStart < now {
 				e := q.expiry.min().value
-				out = append(out, g.refusal(&e.demand, refuseExpired, g.backlog(l, t, now)))
+				out = append(out, g.refusal(&e.demand, refuseExpired, g.backlog(p, t, now)))
 				g.counters.Expired++
 				g.dequeue(e)
 				g.recycle(e)
@@ -136,81 +136,81 @@
 // work of higher tiers, its part of the work of its own, and what higher tiers
 // will bring meanwhile; or its turn by the floor, if that comes sooner.
 func (g *Group) expectedWait(e *entry, now monotime.Instant) time.Duration {
-	l := e.lane
-	if l.limit == 0 {
-		return l.soonestBack(now)
+	p := e.pool
+	if p.limit == 0 {
+		return p.timeToNextProbe(now)
 	}
-	strict := g.strictWait(l, e, now)
-	if owed := g.floorWait(l, e, now); owed < strict {
-		return owed
+	strict := g.strictPriorityWait(p, e, now)
+	if byFloor := g.floorWait(p, e, now); byFloor < strict {
+		return byFloor
 	}
 	return strict
 }
 
-func (g *Group) strictWait(l *lane, e *entry, now monotime.Instant) time.Duration {
-	work, busy := g.aboveTier(l, e.tier, now)
-	busy += g.belowTier(l, e.tier)
+func (g *Group) strictPriorityWait(p *pool, e *entry, now monotime.Instant) time.Duration {
+	work, busy := g.loadAbove(p, e.tier, now)
+	busy += g.floorsBelow(p, e.tier)
 	own := g.workBefore(e, now)
 	if g.policy.Fairness {
-		own = min(own, g.ownShareOfWork(&l.tiers[e.tier], e))
+		own = min(own, g.fairWorkBefore(&p.tiers[e.tier], e))
 	}
-	return l.drainTime(work+own, busy) + l.nextFree()
+	return p.drainTime(work+own, busy) + p.nextFree()
 }
 
 // workBefore is the slot time in the entry's tier that is served before it: what
 // can wait less long than the entry itself.
 func (g *Group) workBefore(e *entry, now monotime.Instant) float64 {
-	own := g.lineOf(e, now)
-	own.patience.add(e.latestStart.Sub(now).Seconds(), budgetWeight)
+	own := g.classQueueOf(e, now)
+	own.waitLimit.add(e.latestStart.Sub(now).Seconds(), budgetWeight)
 	sum := 0.0
-	for _, ln := range e.lane.lines {
-		if ln.tier == e.tier && ln.patience.mean <= own.patience.mean {
-			sum += ln.work
+	for _, cq := range e.pool.classQueues {
+		if cq.tier == e.tier && cq.waitLimit.mean <= own.waitLimit.mean {
+			sum += cq.work
 		}
 	}
 	return sum
 }
 
-// leastLeft bounds the part of the slots that higher tiers are expected to
+// minRemainingShare bounds the part of the slots that higher tiers are expected to
 // leave, so that a wait stays finite.
-const leastLeft = 0.02
+const minRemainingShare = 0.02
 
 // drainTime is the time until so much slot time, in seconds, was served while
 // higher tiers keep a part of the slots busy.
-func (l *lane) drainTime(work, busy float64) time.Duration {
-	return seconds(work / (float64(l.limit) * max(1-busy, leastLeft)))
+func (p *pool) drainTime(work, busy float64) time.Duration {
+	return seconds(work / (float64(p.limit) * max(1-busy, minRemainingShare)))
 }
 
-// aboveTier returns the slot time that waits in higher tiers and the part of
+// loadAbove returns the slot time that waits in higher tiers and the part of
 // the slots that their arrivals are sure to keep busy: the lesser of the rates
 // of the last seconds and of the last minute. A burst ends, and one refused for
 // its sake could often have been served after it.
-func (g *Group) aboveTier(l *lane, tier int, now monotime.Instant) (work, busy float64) {
+func (g *Group) loadAbove(p *pool, tier int, now monotime.Instant) (work, busy float64) {
 	for t := range tier {
-		q := &l.tiers[t]
+		q := &p.tiers[t]
 		work += q.work
 		busy += min(q.arriving.get(now))
 	}
-	return work, busy / float64(l.limit)
+	return work, busy / float64(p.limit)
 }
 
-// belowTier is the part of the slots that the floors of lower tiers may take.
-func (g *Group) belowTier(l *lane, tier int) float64 {
+// floorsBelow is the part of the slots that the floors of lower tiers may take.
+func (g *Group) floorsBelow(p *pool, tier int) float64 {
 	if !g.policy.Floor {
 		return 0
 	}
-	part := 0.0
+	share := 0.0
 	for t := tier + 1; t < maxTiers; t++ {
-		if l.tiers[t].waiting > 0 {
-			part += g.floors[t]
+		if p.tiers[t].waiting > 0 {
+			share += g.floors[t]
 		}
 	}
-	return part
+	return share
 }
 
-// ownShareOfWork is the work before a new request of a customer under fair
+// fairWorkBefore is the work before a new request of a customer under fair
 // sharing: the customer's own, stretched by what the others may take meanwhile.
-func (g *Group) ownShareOfWork(q *tierQueue, e *entry) float64 {
+func (g *Group) fairWorkBefore(q *tierQueue, e *entry) float64 {
 	weight := max(e.demand.Customer.Weight, 1e-9)
 	a := q.accounts[e.demand.Customer.Hash]
 	if a == nil || a.waiting == 0 {
@@ -219,35 +219,35 @@
 	return (a.work + e.work) * q.weights / weight
 }
 
-// soonestBack is the time until the first ejected engine is probed again.
-func (l *lane) soonestBack(now monotime.Instant) time.Duration {
-	soonest := noServerRetry
-	for _, e := range l.engines {
+// timeToNextProbe is the time until the first ejected engine is probed again.
+func (p *pool) timeToNextProbe(now monotime.Instant) time.Duration {
+	soonest := noServerRetryAfter
+	for _, e := range p.engines {
 		if e.takesWork() {
-			soonest = min(soonest, max(0, e.health.until.Sub(now)))
+			soonest = min(soonest, max(0, e.health.ejectedUntil.Sub(now)))
 		}
 	}
 	return soonest
 }
 
 // nextFree is the expected time until any slot of a full lane gets free.
-func (l *lane) nextFree() time.Duration {
-	if l.limit == 0 || l.free > 0 {
+func (p *pool) nextFree() time.Duration {
+	if p.limit == 0 || p.free > 0 {
 		return 0
 	}
-	return seconds(l.hold.mean / float64(l.limit))
+	return seconds(p.hold.mean / float64(p.limit))
 }
 
 // backlog is the wait that a request of a tier should expect in the lane.
-func (g *Group) backlog(l *lane, tier int, now monotime.Instant) time.Duration {
-	if l.limit == 0 {
-		return noServerRetry
+func (g *Group) backlog(p *pool, tier int, now monotime.Instant) time.Duration {
+	if p.limit == 0 {
+		return noServerRetryAfter
 	}
-	if l.free > 0 && l.waiting == 0 {
+	if p.free > 0 && p.waiting == 0 {
 		return 0
 	}
-	work, busy := g.aboveTier(l, tier, now)
-	return l.drainTime(work+l.tiers[tier].work, busy) + l.nextFree()
+	work, busy := g.loadAbove(p, tier, now)
+	return p.drainTime(work+p.tiers[tier].work, busy) + p.nextFree()
 }
 
 func sortBySeq(entries []*entry) {
--- a/internal/sched/stats.go
+++ b/internal/sched/stats.go
@@ -47,9 +47,9 @@
 // Stats returns a copy of the group's state as of its last upkeep.
 func (g *Group) Stats() Stats {
 	s := Stats{Counters: g.counters, Name: g.name, Waiting: g.waiting, Held: g.held.count}
-	for _, l := range g.laneList {
-		s.addLane(l)
-		s.Backlog = max(s.Backlog, g.backlog(l, 0, g.upkeepAt))
+	for _, p := range g.pools {
+		s.addPool(p)
+		s.Backlog = max(s.Backlog, g.backlog(p, 0, g.upkeepAt))
 	}
 	for _, e := range g.engines {
 		s.Engines = append(s.Engines, e.stats(g.upkeepAt))
@@ -57,9 +57,9 @@
 	return s
 }
 
-func (s *Stats) addLane(l *lane) {
-	for t := range l.tiers {
-		n := l.tiers[t].waiting
+func (s *Stats) addPool(p *pool) {
+	for t := range p.tiers {
+		n := p.tiers[t].waiting
 		if n == 0 {
 			continue
 		}
@@ -75,19 +75,19 @@
 		ID:        e.spec.ID,
 		Inflight:  e.inflight,
 		Limit:     e.limit,
-		Slow:      e.slow,
-		Ejected:   now < e.health.until,
+		Slow:      e.slowdown,
+		Ejected:   now < e.health.ejectedUntil,
 		Withdrawn: !e.takesWork(),
 	}
 }
 
 // Backlog is the wait that a request for the target should expect.
 func (g *Group) Backlog(now monotime.Instant, target string, tier int) time.Duration {
-	l := g.lanes[target]
-	if l == nil {
-		return noServerRetry
+	p := g.poolByTarget[target]
+	if p == nil {
+		return noServerRetryAfter
 	}
-	return g.backlog(l, g.tierOf(tier), now)
+	return g.backlog(p, g.tierOf(tier), now)
 }
 
 // Idle reports whether nothing waits and no slot is held.
--- a/internal/sched/takeover.go
+++ b/internal/sched/takeover.go
@@ -11,20 +11,20 @@
 // which holders that learn of it later renew, slots that an engine reports as in
 // use count as used.
 
-// Warm starts the take-over of a group that other holders may be using. Until
+// BeginTakeover starts the take-over of a group that other holders may be using. Until
 // the instant only the tiers with headroom get slots.
-func (g *Group) Warm(until monotime.Instant) {
-	g.warmUntil = until
-	g.settledAt = until.Add(g.lease)
+func (g *Group) BeginTakeover(until monotime.Instant) {
+	g.restrictedUntil = until
+	g.takeoverEnd = until.Add(g.lease)
 }
 
-func (g *Group) warming(now monotime.Instant) bool {
-	return g.policy.Headroom && now < g.warmUntil
+func (g *Group) restricted(now monotime.Instant) bool {
+	return g.policy.Headroom && now < g.restrictedUntil
 }
 
-// lowestWithHeadroom is the lowest tier that has headroom; the top tier counts
+// lowestTierWithHeadroom is the lowest tier that has headroom; the top tier counts
 // in any case.
-func (g *Group) lowestWithHeadroom() int {
+func (g *Group) lowestTierWithHeadroom() int {
 	lowest := 0
 	for t, share := range g.headroom {
 		if share > 0 {
@@ -34,42 +34,42 @@
 	return lowest
 }
 
-// countUntold compares a load report with the books. The reading is old, so
+// countUnclaimed compares a load report with the books. The reading is old, so
 // slots that came free since it was taken are no longer in use; without that a
 // burst that ends keeps the engine closed until the next report.
-func (g *Group) countUntold(e *engine, now monotime.Instant) {
-	if now >= g.settledAt {
+func (g *Group) countUnclaimed(e *engine, now monotime.Instant) {
+	if now >= g.takeoverEnd {
 		return
 	}
-	since := 0
+	freed := 0
 	for _, at := range e.freedAt {
 		if at > e.reportedAt {
-			since++
+			freed++
 		}
 	}
-	e.untold = max(0, e.reported-e.inflight-since)
+	e.unclaimed = max(0, e.reportedLoad-e.inflight-freed)
 	g.refreshEngine(e, now)
 }
 
-// noteFreeSlot notes when a slot came free, while a take-over lasts.
-func (g *Group) noteFreeSlot(e *engine, now monotime.Instant) {
-	if now < g.settledAt {
+// recordFreedSlot notes when a slot came free, while a take-over lasts.
+func (g *Group) recordFreedSlot(e *engine, now monotime.Instant) {
+	if now < g.takeoverEnd {
 		e.freedAt = append(e.freedAt, now)
 	}
 }
 
-// told notes that a holder told of a slot at the engine.
-func (e *engine) told() {
-	e.untold = max(0, e.untold-1)
+// claimed notes that a holder claimed of a slot at the engine.
+func (e *engine) claimed() {
+	e.unclaimed = max(0, e.unclaimed-1)
 }
 
 // endTakeover ends the take-over: every holder has renewed by now.
 func (g *Group) endTakeover(now monotime.Instant) {
-	if now < g.settledAt {
+	if now < g.takeoverEnd {
 		return
 	}
 	for _, e := range g.engines {
-		e.untold = 0
+		e.unclaimed = 0
 		e.freedAt = nil
 	}
 }
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -10,9 +10,9 @@
 // What the caller of the top tier sees: a slot at once. The owner of a group
 // died; every waiting request is asked for again at the new one before holders
 // told it what they hold. Lower work waits a moment, the top tier does not.
-func TestNewOwnerServesTheTopTierBeforeItKnowsWhatRuns(t *testing.T) {
+func TestNewOwnerServesTheTopTierBeforeHoldersReport(t *testing.T) {
 	f := newFixture(t, 2, 2, Default())
-	f.g.Warm(f.now.Add(400 * time.Millisecond))
+	f.g.BeginTakeover(f.now.Add(400 * time.Millisecond))
 	low := f.submit(2, "ann")
 	top := f.submit(0, "ben")
 	if _, ok := f.granted[low]; ok {
@@ -33,13 +33,13 @@
 // told or its lease is over.
 func TestNewOwnerCountsSlotsThatAnEngineReports(t *testing.T) {
 	f := newFixture(t, 1, 2, Default())
-	f.g.Warm(f.now)
+	f.g.BeginTakeover(f.now)
 	f.g.LoadReport(f.now, "s0/e", engineapi.LoadReport{Engine: "e", Running: 2})
 	waits := f.submit(0, "ann")
 	if _, ok := f.granted[waits]; ok {
 		t.Error("got a slot that the engine reports as in use")
 	}
-	f.g.Adopt(f.now, Ticket{Holder: "other", Seq: 1}, Held{Engine: "s0/e"})
+	f.g.Adopt(f.now, Ticket{Holder: "other", Seq: 1}, HeldSlot{Engine: "s0/e"})
 	if stats := f.g.Stats(); stats.Held != 1 {
 		t.Errorf("%d slots held, want the adopted one", stats.Held)
 	}
@@ -51,14 +51,14 @@
 
 // What operators see: a class keeps its measured length through a change of the
 // owner. The new owner starts from what its instance measured as an entry.
-func TestNewOwnerStartsFromItsOwnMeasures(t *testing.T) {
-	m := NewMeasures()
+func TestNewOwnerStartsFromItsOwnMeasurements(t *testing.T) {
+	m := NewMeasurements()
 	f := newFixture(t, 1, 2, Default())
 	class := f.cat.Classes["c2"]
-	for range measuredEnough {
-		m.Learn(class, 300, 3*time.Second, 50*time.Millisecond)
+	for range minHoldSamples {
+		m.Record(class, 300, 3*time.Second, 50*time.Millisecond)
 	}
-	f.g.SetMeasures(m)
+	f.g.SetMeasurements(m)
 	f.submit(2, "ann")
 	if hold := f.g.statsOf(class).hold.mean; hold != 3 {
 		t.Errorf("expected hold %v s, want 3", hold)
@@ -73,9 +73,9 @@
 // not count as in use.
 func TestSlotsFreedSinceAReportAreFree(t *testing.T) {
 	f := newFixture(t, 1, 2, Default())
-	f.g.Warm(f.now)
+	f.g.BeginTakeover(f.now)
 	for seq := range uint64(2) {
-		f.g.Adopt(f.now, Ticket{Holder: "other", Seq: seq}, Held{Engine: "s0/e"})
+		f.g.Adopt(f.now, Ticket{Holder: "other", Seq: seq}, HeldSlot{Engine: "s0/e"})
 	}
 	f.now = f.now.Add(time.Second)
 	for seq := range uint64(2) {
