--- a/internal/sched/affinity.go
+++ b/internal/sched/affinity.go
@@ -7,10 +7,10 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// prefixTable remembers which engines ran a prefix last. It is what the group
-// itself knows; cache events of the engines only correct it, since they come
-// late and with gaps. The table has a fixed size; a newer prefix displaces an
-// older one that falls on the same place.
+// prefixTable records which engines ran a prefix most recently. It relies on the group's
+// own assignments; cache events from the engines only correct it, because they arrive
+// late and with gaps. The table has a fixed size: a newer prefix replaces an older one in
+// the same bucket.
 type prefixTable struct {
 	buckets []prefixBucket
 }
@@ -23,19 +23,22 @@
 
 type prefixRun struct {
 	engine *engine
-	// seq is the engine's count of prefixes when it ran this one.
+	// seq is the engine's prefixSeq when it ran this prefix.
 	seq uint32
 	at  monotime.Instant
 }
 
 const (
-	// prefixTableSize bounds the table: 2^13 places of 64 bytes are 512 KB.
+	// prefixTableSize is the number of buckets: 2^13 of 64 bytes are 512 KB. bucket
+	// shifts a 64-bit hash by 51 to match it.
 	prefixTableSize = 1 << 13
-	// defaultCacheCapacity is how many prefixes an engine is believed to hold until
-	// an eviction tells more.
+	// defaultCacheCapacity is the number of prefixes that an engine is assumed to hold
+	// until evictions show less. minCacheCapacity bounds the estimate from below: no run
+	// of evictions turns affinity off entirely.
 	defaultCacheCapacity = 64
 	minCacheCapacity     = 4
-	// cachedPrefillShare is the part of the prefill that a cached prefix saves.
+	// cachedPrefillShare is the part of the prefill that a cached prefix saves. Too high
+	// a value draws requests to a busy engine for a prefix that saves less than the wait.
 	cachedPrefillShare = 0.8
 )
 
@@ -44,7 +47,7 @@
 	return &t.buckets[(prefix*multiplier)>>51]
 }
 
-// holds reports whether the engine is believed to hold the prefix.
+// holds reports whether the engine is expected to hold the prefix.
 func (t *prefixTable) holds(prefix uint64, e *engine) bool {
 	if prefix == 0 {
 		return false
@@ -62,7 +65,7 @@
 	return false
 }
 
-// recordRun notes that the engine gets a request with the prefix.
+// recordRun records that the engine gets a request with the prefix.
 func (t *prefixTable) recordRun(now monotime.Instant, prefix uint64, e *engine) {
 	if prefix == 0 {
 		return
@@ -79,7 +82,7 @@
 	*run = prefixRun{engine: e, seq: e.prefixSeq, at: now}
 }
 
-// removeRun notes that the engine evicted the prefix.
+// removeRun records that the engine evicted the prefix.
 func (t *prefixTable) removeRun(prefix uint64, e *engine) {
 	p := t.bucket(prefix)
 	if p.prefix != prefix {
@@ -92,13 +95,15 @@
 	}
 }
 
-// cacheEventDelay is the age up to which the group's own knowledge of a run
-// outweighs an eviction event, which may be older than the run.
+// cacheEventDelay is the age in nanoseconds up to which a recorded run outweighs an
+// eviction event: the event may be older than the run. A shorter time lets a late event
+// erase a prefix that the engine has just cached again; a longer one keeps evicted
+// prefixes on record.
 const cacheEventDelay = 2_000_000_000
 
-// CacheEvents corrects what the group believes of an engine's prefix cache.
-// Events may come late and with gaps: an eviction drops a belief only when the
-// engine has not run the prefix since.
+// CacheEvents corrects the group's view of an engine's prefix cache. Events may arrive
+// late and with gaps: an eviction takes effect only if the engine has not run the prefix
+// within cacheEventDelay.
 func (g *Group) CacheEvents(now monotime.Instant, engineID string, events engineapi.CacheEvents) {
 	e := g.byID[engineID]
 	if e == nil {
@@ -138,7 +143,8 @@
 		if run.engine != e || now.Sub(run.at) < cacheEventDelay {
 			continue
 		}
-		// The prefix was evicted after this many others came: the room.
+		// The prefix was evicted after this many others were placed, which is the cache's
+		// capacity.
 		capacity := max(minCacheCapacity, e.prefixSeq-run.seq)
 		e.cacheCapacity = min(e.cacheCapacity, max(capacity, e.cacheCapacity*3/4))
 		g.prefixes.removeRun(prefix, e)
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -15,8 +15,8 @@
 	"basilrudder/internal/schema/inventory"
 )
 
-// fleet makes an inventory of a size: servers with four engines of 16 slots in
-// seven data centres, six models, seven tiers.
+// fleet returns an inventory with the given numbers of servers and customers. Each server
+// has four engines of 16 slots; there are seven data centres, six models and seven tiers.
 func fleet(servers, customers int) *catalog.Catalog {
 	const dataCentres, models, tiers, enginesPerServer = 7, 6, 7, 4
 	inv := &inventory.Inventory{Rules: &inventory.Rules{ServersPerGroup: 8, GrantLeaseMS: 3000}}
@@ -110,8 +110,8 @@
 	l.out = out
 }
 
-// cycle ends one running request, whose slot goes to a waiting one, and submits
-// another: one admission and one choice.
+// cycle ends one running request, whose slot goes to a waiting one, and submits another:
+// one admission and one choice of an engine.
 func (l *closedLoop) cycle() {
 	l.now = l.now.Add(200 * time.Microsecond)
 	i := l.rng.IntN(len(l.running))
@@ -122,7 +122,7 @@
 	l.submit()
 }
 
-// renewAll keeps leases alive without being measured.
+// renewAll renews all leases, outside the measured time.
 func (l *closedLoop) renewAll() {
 	for _, t := range l.running {
 		l.g.Progress(l.now, t, 1, nil)
@@ -145,7 +145,8 @@
 	}
 }
 
-// BenchmarkAdmitAndChoose is one admission and one choice at several sizes.
+// BenchmarkAdmitAndChoose measures one admission and one choice of an engine for several
+// numbers of servers, customers and waiting requests.
 func BenchmarkAdmitAndChoose(b *testing.B) {
 	for _, servers := range []int{18, 60, 200, 600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { benchCycle(b, servers, 27_000, 2000) })
@@ -158,7 +159,7 @@
 	}
 }
 
-// BenchmarkChoose is the choice of an engine alone.
+// BenchmarkChoose measures the choice of an engine alone.
 func BenchmarkChoose(b *testing.B) {
 	cat := fleet(600, 27_000)
 	l := newClosedLoop(cat, cat.GroupList[0], 10)
@@ -172,7 +173,7 @@
 	}
 }
 
-// BenchmarkTick is the upkeep of a group with requests waiting.
+// BenchmarkTick measures the maintenance of a group with waiting requests.
 func BenchmarkTick(b *testing.B) {
 	cat := fleet(600, 27_000)
 	l := newClosedLoop(cat, cat.GroupList[0], 2000)
@@ -185,8 +186,8 @@
 	}
 }
 
-// BenchmarkContention runs all groups of the fleet from many cores: each group
-// behind its own lock, and all behind one.
+// BenchmarkContention runs all groups of the fleet on many cores, with a lock for each
+// group and with one lock for all.
 func BenchmarkContention(b *testing.B) {
 	for _, one := range []bool{false, true} {
 		name := "lock=group"
--- a/internal/sched/choose.go
+++ b/internal/sched/choose.go
@@ -6,9 +6,9 @@
 	"basilrudder/internal/monotime"
 )
 
-// choose returns the engine for a request, or nil when none may take it. It
-// looks at each engine of the lane once: a group has at most a few hundred, and
-// their number does not grow with the fleet.
+// choose returns the engine for a request, or nil if none may take it. It looks at each
+// engine of the pool once: a group has at most a few hundred engines, and their number
+// does not grow with the fleet.
 func (g *Group) choose(e *entry, now monotime.Instant) (best *engine, hit bool) {
 	switch g.policy.Choice {
 	case ChooseRotate:
@@ -20,10 +20,10 @@
 	}
 }
 
-// fastest takes the least predicted time to the first token, by what the group
-// itself knows: prompts under way, the engine's measured pace, and the prefill
-// that a cached prefix saves. A prefix thus attracts a request only while the
-// queue it causes costs less than the prefill it saves.
+// fastest returns the engine with the shortest predicted time to the first token. The
+// prediction uses the group's own data: prompts in progress, the engine's measured pace,
+// and the prefill that a cached prefix saves. A prefix therefore attracts a request only
+// while the queueing it causes costs less than the prefill it saves.
 func (g *Group) fastest(e *entry, now monotime.Instant) (best *engine, hit bool) {
 	p := e.pool
 	n := len(p.engines)
@@ -59,20 +59,26 @@
 }
 
 const (
-	// avoidPenalty keeps a retry away from the engine that failed it while any
-	// other engine has room, in seconds.
+	// avoidPenalty, in seconds, keeps a retry away from the engine that failed it while
+	// any other engine has a free slot. It exceeds stragglerPenalty and probePenalty: a
+	// retry prefers a straggler to the engine that has just failed it.
 	avoidPenalty = 60
-	// stragglerPenalty keeps a request away from a straggler that would make it late.
+	// stragglerPenalty, in seconds, keeps a request away from a straggler that would make
+	// it late. It must exceed the prefill queue of the other engines, or the straggler is
+	// chosen all the same.
 	stragglerPenalty = 20
-	// probePenalty keeps requests of higher tiers from being the probe.
+	// probePenalty, in seconds, keeps top-tier requests from being the probe of an engine
+	// that may fail or be slow.
 	probePenalty = 30
-	// occupancyWeight weighs the slots in use: a fuller engine decodes more slowly.
+	// occupancyWeight weighs the slots in use, because a fuller engine decodes more
+	// slowly: a full engine counts as 5 times its token gap. At 0, requests would be
+	// packed on the engine with the shortest prompt queue however full it is.
 	occupancyWeight = 4
 )
 
 // shouldStartOn reports whether the request should start at the engine rather than wait
-// for another one: a straggler may be free because it is slow. A request that
-// cannot wait takes what there is.
+// for another: a straggler may be free only because it is slow. A request that cannot
+// wait takes any engine.
 func (g *Group) shouldStartOn(e *entry, on *engine, now monotime.Instant) bool {
 	if !g.policy.Stragglers || on.slowdown < stragglerSlowdown {
 		return true
@@ -87,10 +93,12 @@
 	return !g.tooSlow(e, on, now)
 }
 
-// minSlack is the time to spare below which a request takes any engine.
+// minSlack is the slack below which a request takes any engine. Without it, a request
+// would wait past its latest start for a faster engine.
 const minSlack = 100 * time.Millisecond
 
-// tooSlow reports whether the engine is expected to miss a target of the class.
+// tooSlow reports whether the engine is expected to miss a latency target of the request:
+// the class's token gap or the request's deadline.
 func (g *Group) tooSlow(e *entry, on *engine, now monotime.Instant) bool {
 	class := e.demand.Class
 	gap := on.gapSeconds()
@@ -107,8 +115,8 @@
 	return now.Add(seconds(stats.median*gap)) > e.demand.EndBy
 }
 
-// startCost is the predicted time to the first token in seconds, with a part
-// for the slower decoding of a fuller engine.
+// startCost is the predicted time to the first token in seconds, plus a term for the
+// slower decoding of a fuller engine.
 func (g *Group) startCost(e *entry, candidate *engine, cached bool, now monotime.Instant) float64 {
 	tokens := float64(e.demand.PromptTokens)
 	if cached {
@@ -157,7 +165,7 @@
 	return best
 }
 
-// assign notes that a request starts at an engine.
+// assign records that a request starts at an engine.
 func (g *Group) assign(e *entry, on *engine, hit bool, now monotime.Instant) {
 	tokens := float64(e.demand.PromptTokens)
 	if hit {
--- a/internal/sched/failure_test.go
+++ b/internal/sched/failure_test.go
@@ -9,8 +9,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// simulation drives a fixture as engines would: each granted request holds its slot
-// for a time and ends with so many tokens.
+// simulation drives a fixture as engines would: each granted request holds its slot for
+// the time given for its tier and ends with the corresponding number of tokens.
 type simulation struct {
 	*fixture
 	hold      map[int]time.Duration
@@ -18,7 +18,7 @@
 	ends      []completion
 	served    map[int]int
 	scheduled int
-	// slowEngine takes factor times longer.
+	// slowEngine takes factor times as long as the others.
 	slowEngine string
 	factor     time.Duration
 }
@@ -58,7 +58,7 @@
 	return 1
 }
 
-// grantsOn counts the requests from a place in the order on that an engine got.
+// grantsOn counts the grants for an engine, from an index into order on.
 func (w *simulation) grantsOn(engine string, from int) int {
 	count := 0
 	for _, seq := range w.order[from:] {
@@ -69,7 +69,7 @@
 	return count
 }
 
-// run lets time pass in steps of a millisecond; each calls what is asked for.
+// run advances time in steps of a millisecond and calls eachStep in each.
 func (w *simulation) run(d time.Duration, eachStep func(step int)) {
 	for step := range int(d / time.Millisecond) {
 		w.now = w.now.Add(time.Millisecond)
@@ -105,10 +105,9 @@
 	}
 }
 
-// The top tier alone asks for more than the group can do, and a drafting class
-// of the lowest tier waits. Callers of the top tier are refused early in part;
-// those admitted are on time. The drafting class is still served, again and
-// again, from its floor.
+// The top tier alone requests more than the group can serve, and a class of the lowest
+// tier waits. Some top-tier requests are refused early; those admitted must be on time.
+// The floor must serve the lowest tier at least once every 20 s.
 func TestLowestTierIsServedWhileTheTopTierOverloads(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
 	w := newSimulation(f, 200*time.Millisecond, 0, 400*time.Millisecond)
@@ -137,9 +136,9 @@
 	}
 }
 
-// A lower tier sends a burst that fills the group and its queue; then a steady
-// stream of the top tier arrives. Top-tier callers must neither be refused nor
-// wait longer than a lower request takes.
+// A burst of a lower tier fills the group and its queue; then a steady stream of the top
+// tier arrives. No top-tier request may be refused, and the lower tier must still get
+// free slots.
 func TestBurstOfLowerTierDoesNotShedTheTopTier(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
 	w := newSimulation(f, 100*time.Millisecond, 300*time.Millisecond)
@@ -157,12 +156,12 @@
 		}
 	}
 	if w.served[1] == 0 {
-		t.Error("the lower tier got nothing of the free slots")
+		t.Error("the lower tier got none of the free slots")
 	}
 }
 
-// The queue is full of lower requests when a top-tier one arrives. The group
-// must turn away a lower one, and never the top-tier one.
+// The queue is full of lower-tier requests when a top-tier one arrives. One of the
+// lower-tier requests must be refused, never the top-tier one.
 func TestFullQueueRefusesTheLowestTier(t *testing.T) {
 	policy := Default()
 	policy.MaxWaiting = 5
@@ -185,8 +184,8 @@
 	}
 }
 
-// One customer floods a tier; another asks now and then. Both have the same
-// weight. The quiet customer's requests must not queue behind the flood.
+// One customer floods a tier while another of the same weight sends a few requests. The
+// quiet customer's requests must not queue behind the flood.
 func TestFloodOfOneCustomerDoesNotDelayAnother(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
 	w := newSimulation(f, 0, 200*time.Millisecond)
@@ -210,8 +209,8 @@
 	}
 }
 
-// Two customers of weights 1 and 3 ask for far more than there is. Each must get
-// slots by weight, counted in tokens.
+// Two customers of weights 1 and 3 request far more than the group can serve. Each must
+// get slots in proportion to its weight, measured in tokens.
 func TestSharesFollowTheWeights(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
 	f.inv.Customers[1].Weight = 3
@@ -230,12 +229,12 @@
 		got[owner[seq]]++
 	}
 	if ratio := float64(got["ben"]) / float64(got["ann"]); ratio < 2.5 || ratio > 3.5 {
-		t.Errorf("slots %v, want one to three", got)
+		t.Errorf("grants %v, want a ratio of 1 to 3", got)
 	}
 }
 
-// An engine turns five times slower than its peers. It must get less work within
-// seconds, keep a little, and get its full share back after it recovers.
+// An engine becomes five times slower than its peers. It must get less work within
+// seconds, keep a little, and get its full share again after it recovers.
 func TestStragglerGetsLessWorkAndRecovers(t *testing.T) {
 	f := newFixture(t, 3, 4, Default())
 	w := newSimulation(f, 0, 100*time.Millisecond)
@@ -262,9 +261,9 @@
 	}
 }
 
-// An engine crashes: its requests fail at once. Later requests go to the other
-// engine; after a while one request probes, and only when it succeeds does the
-// engine get more.
+// An engine crashes and its requests fail at once. Later requests must go to the other
+// engine. After the ejection one request probes the engine, which gets more work only
+// once the probe succeeds.
 func TestCrashedEngineIsEjectedProbedAndRampedUp(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
 	var onFirst []uint64
@@ -288,16 +287,15 @@
 	}
 	second := f.submit(1, "ann")
 	if _, ok := f.granted[second]; ok {
-		t.Fatal("a second request before the probe succeeded")
+		t.Fatal("a second request was sent before the probe succeeded")
 	}
 	f.finish(waiting, 10)
 	f.mustGrant(second)
 	f.mustGrant(f.submit(1, "ann"))
 }
 
-// An instance dies with slots in hand and requests in the queue. Its slots must
-// go to others at once when membership tells, and after the lease when nobody
-// does.
+// An instance dies while it holds slots and has queued requests. Its slots must be freed
+// at once when membership reports the death, and after the lease otherwise.
 func TestSlotsOfADeadHolderAreFreed(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	f.submit(1, "ann")
@@ -314,15 +312,15 @@
 	next := f.submit(1, "ann")
 	f.advance(2900 * time.Millisecond)
 	if _, ok := f.granted[next]; ok {
-		t.Fatal("the slot was taken away before its lease ran out")
+		t.Fatal("the slot was freed before its lease expired")
 	}
 	f.advance(200 * time.Millisecond)
 	f.mustGrant(next)
 }
 
-// The owner of a group dies and another instance takes over, knowing nothing.
-// The holders' renewals must tell it what runs before it fills the engines a
-// second time.
+// The owner of a group dies and another instance takes over without any state. The
+// holders' renewals must report the running requests before the new owner fills the
+// engines a second time.
 func TestNewOwnerAdoptsRunningSlotsFromRenewals(t *testing.T) {
 	f := newFixture(t, 2, 2, Default())
 	f.take(f.g.Progress(f.now, Ticket{"old", 1}, 5, nil))
@@ -337,16 +335,16 @@
 	f.mustGrant(f.submit(1, "ann"))
 	third := f.submit(1, "ann")
 	if _, ok := f.granted[third]; ok {
-		t.Fatal("a fifth request on four slots")
+		t.Fatal("a fifth request was granted on four slots")
 	}
 	f.take(f.g.Release(f.now, Ticket{"old", 2}, Result{Tokens: 3, Gap: 10 * time.Millisecond}, nil))
 	if d := f.mustGrant(third); d.Engine.ID != "s1/e" {
-		t.Errorf("granted %s, want the slot that was given back", d.Engine.ID)
+		t.Errorf("granted %s, want the slot that was released", d.Engine.ID)
 	}
 }
 
-// A server is withdrawn while requests run on it and others wait. What runs goes
-// on; nothing new goes there, and requests are refused at once when no server is
+// A server is withdrawn while requests run on it and others wait. Running requests
+// continue and nothing new is sent there. Requests are refused at once when no server is
 // left.
 func TestWithdrawnServerGetsNoNewRequests(t *testing.T) {
 	f := newFixture(t, 2, 1, Default())
@@ -358,11 +356,11 @@
 	on := map[string]uint64{f.mustGrant(first).Engine.ID: first, f.mustGrant(second).Engine.ID: second}
 	f.finish(on["s0/e"], 5)
 	if _, ok := f.granted[waiting]; ok {
-		t.Fatal("the withdrawn server got new work")
+		t.Fatal("the withdrawn server got a new request")
 	}
 	f.finish(on["s1/e"], 5)
 	if d := f.mustGrant(waiting); d.Engine.ID != "s1/e" {
-		t.Errorf("granted %s", d.Engine.ID)
+		t.Errorf("granted %s, want the server that is left", d.Engine.ID)
 	}
 	last := f.submit(1, "ann")
 	f.inv.Servers[1].Withdrawn = true
@@ -373,8 +371,8 @@
 	}
 }
 
-// A partition gives a group two owners, each of which sees half of the fleet.
-// Together they must not use more slots than the engines have.
+// A partition gives a group two owners, each of which reaches half of the fleet. Together
+// they must not use more slots than the engines have.
 func TestTwoOwnersShareTheSlots(t *testing.T) {
 	a := newFixture(t, 2, 4, Default())
 	b := newFixture(t, 2, 4, Default())
@@ -396,8 +394,8 @@
 	}
 }
 
-// A class is guessed to take longer than its deadline before any answer was
-// measured. It must not be refused by a guess: it could never be measured.
+// Before any answer is measured, a class is assumed to take longer than its deadline. It
+// must not be refused by that assumption: it would never be measured.
 func TestUnmeasuredClassIsNotRefused(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	f.inv.Classes[0].MaxOutputTokens = 100_000
@@ -405,12 +403,12 @@
 	f.g = New(f.now, f.cat.GroupList[0], f.cat, Default(), 1)
 	f.mustGrant(f.submit(0, "ann"))
 	if d, ok := f.refused[f.submit(0, "ann")]; ok {
-		t.Errorf("refused by a guess: %+v", d)
+		t.Errorf("refused by an assumed length: %+v", d)
 	}
 }
 
-// A prompt prefix ran on one engine. The next request with it goes there while
-// that saves time, and elsewhere once the engine evicted it.
+// A prompt prefix has run on one engine. The next request with it must go there while
+// that saves time, and must not count on the prefix once the engine has evicted it.
 func TestRequestGoesToTheEngineThatCachesItsPrefix(t *testing.T) {
 	f := newFixture(t, 4, 2, Default())
 	first := f.mustGrant(f.submitPrefix(1, "ann", 9))
@@ -427,6 +425,6 @@
 	f.now = f.now.Add(5 * time.Second)
 	f.g.CacheEvents(f.now, first.Engine.ID, evicted(9))
 	if after := f.mustGrant(f.submitPrefix(1, "ann", 9)); after.PrefixHit {
-		t.Error("counted on a prefix that the engine evicted")
+		t.Error("predicted a hit for a prefix that the engine evicted")
 	}
 }
--- a/internal/sched/fairness.go
+++ b/internal/sched/fairness.go
@@ -4,18 +4,18 @@
 	"basilrudder/internal/catalog"
 )
 
-// account counts what a customer used in one tier of a lane, in tokens over
-// the customer's weight. The waiting customer with the least counter is served
-// next (virtual token counter with a start-time clock): a customer who comes
-// back after a pause starts at the clock of the tier and has neither saved up a
-// burst nor kept an old debt from times when nobody waited.
+// account tracks a customer's usage in one tier of a pool, in tokens divided by the
+// customer's weight. The waiting customer with the lowest counter is served next (virtual
+// token counter with a start-time clock). A customer who returns after a pause starts at
+// the clock of the tier: the pause neither accumulates credit for a burst, nor does an
+// old debt remain from times without competition.
 type account struct {
 	key     uint64
 	weight  float64
 	counter float64
 	waiting int
 	held    int
-	// work is the slot time that waits, in seconds.
+	// work is the slot time of the waiting requests, in seconds.
 	work       float64
 	queues     []*customerQueue
 	waitingPos int
@@ -23,11 +23,13 @@
 	next       *account
 }
 
-// promptCost is the cost of a prompt token against a generated one: engines
-// process prompts several times faster than they decode.
+// promptCost is the cost of a prompt token relative to a generated one. Engines process
+// prompts several times faster than they decode; at 1, customers with long prompts would
+// be charged far more than they use.
 const promptCost = 0.2
 
-// serviceCostPerSecond is the cost of a second of a plain service, in tokens.
+// serviceCostPerSecond is the cost of a second of a plain service, in tokens. A higher
+// one lets services use up a customer's share faster, compared with models.
 const serviceCostPerSecond = 100
 
 func (g *Group) accountFor(q *tierQueue, customer *catalog.Customer) *account {
@@ -72,7 +74,7 @@
 	return a
 }
 
-// updateWaiting notes that delta more requests of the account wait.
+// updateWaiting adds delta to the number of the account's waiting requests.
 func (g *Group) updateWaiting(q *tierQueue, a *account, delta int) {
 	before := a.waiting
 	a.waiting += delta
@@ -93,8 +95,8 @@
 	g.markIdle(q, a)
 }
 
-// markIdle keeps an account without requests until the clock of the tier
-// has caught up with what it used, and then forgets it.
+// markIdle keeps an account without requests until the clock of the tier has passed its
+// counter; removeIdleAccounts then deletes it.
 func (g *Group) markIdle(q *tierQueue, a *account) {
 	if a.waiting > 0 || a.held > 0 || a.idlePos != notInHeap {
 		return
@@ -102,7 +104,8 @@
 	q.idle.push(a.counter, uint64(a.key), a)
 }
 
-// removeIdleAccounts drops accounts whose debt the clock of the tier has passed.
+// removeIdleAccounts deletes idle accounts whose counter the clock of the tier has
+// passed.
 func (g *Group) removeIdleAccounts(q *tierQueue) {
 	for q.idle.len() > 0 && q.idle.min().key <= q.clock {
 		a := q.idle.min().value
@@ -113,7 +116,7 @@
 	}
 }
 
-// charge adds cost in tokens to an account; a negative cost is a refund.
+// charge adds a cost in tokens to an account; a negative cost is a refund.
 func (g *Group) charge(a *account, cost float64) {
 	a.counter += cost / a.weight
 	for _, cust := range a.queues {
@@ -121,8 +124,8 @@
 	}
 }
 
-// reorder puts a share where its account's counter belongs; equal counters are
-// ordered by the most urgent request.
+// reorder moves a customer queue to the position of its account's counter. Equal counters
+// are ordered by the most urgent request.
 func (g *Group) reorder(cust *customerQueue) {
 	cust.classQueue.customers.update(cust.pos, g.usageOf(cust.account), uint64(cust.entries.min().value.latestStart))
 }
@@ -175,7 +178,7 @@
 	g.unusedQueues = append(g.unusedQueues, cust)
 }
 
-// expectedCost is what a request is charged when it starts, in tokens.
+// expectedCost returns what a request is charged when it starts, in tokens.
 func (e *entry) expectedCost(stats *classStats) float64 {
 	if e.pool == nil || e.demand.PromptTokens == 0 && stats.service {
 		return e.work * serviceCostPerSecond
--- a/internal/sched/fixture_test.go
+++ b/internal/sched/fixture_test.go
@@ -12,8 +12,8 @@
 	"basilrudder/internal/schema/inventory"
 )
 
-// fixture is a group of two servers with one engine of two slots each, three
-// tiers of one class, and two customers.
+// fixture is a group of servers with one engine each, three tiers of one class each, and
+// two customers.
 type fixture struct {
 	t       testing.TB
 	inv     *inventory.Inventory
@@ -65,7 +65,7 @@
 	return f
 }
 
-// submit asks for a slot for a request of a tier and returns its number.
+// submit submits a request of a tier and returns its sequence number.
 func (f *fixture) submit(tier int, customer string) uint64 {
 	return f.submitPrefix(tier, customer, 0)
 }
@@ -101,12 +101,12 @@
 	f.take(f.g.Release(f.now, Ticket{"h", seq}, r, nil))
 }
 
-// finish ends a request as an answer of so many tokens.
+// finish ends a request with an answer of the given number of tokens.
 func (f *fixture) finish(seq uint64, tokens int) {
 	f.release(seq, Result{Tokens: tokens, FirstToken: 10 * time.Millisecond, Gap: 10 * time.Millisecond})
 }
 
-// train lets the group measure classes with short answers.
+// train makes the group measure the tier's class with short answers.
 func (f *fixture) train(tier int, hold time.Duration, tokens int) {
 	for range 40 {
 		seq := f.submit(tier, "ann")
@@ -131,7 +131,7 @@
 	}
 }
 
-// advance lets time pass by the group's own ticks.
+// advance advances time, calling Tick whenever NextTick requires it.
 func (f *fixture) advance(d time.Duration) {
 	end := f.now.Add(d)
 	for {
--- a/internal/sched/floor.go
+++ b/internal/sched/floor.go
@@ -6,21 +6,26 @@
 	"basilrudder/internal/monotime"
 )
 
-// The floor keeps a lower class from starving: each line earns slot time at the
-// floor share of its tier, and a line that is owed a whole request gets the
-// next free slot before higher tiers. That delays a higher request by one slot
-// at most, and only where every higher request that waits has time to spare. So
-// the floor makes no higher request late, and none is refused while it waits.
+// The floor prevents starvation of lower tiers. Each class queue earns slot time at the
+// floor share of its tier. One that has earned enough for a whole request gets the next
+// free slot before higher tiers. That delays a higher request by one slot at most, and
+// only if every waiting higher request has slack. The floor therefore makes no higher
+// request late, and none is refused because of it while waiting.
 
 const (
-	// maxUnserved is the wait after which a line is owed a slot however
-	// small its floor share is.
+	// maxUnserved is the wait after which a class queue gets a slot however small its
+	// floor share is. A longer one lets a class with a small share wait close to
+	// starvation.
 	maxUnserved = 20 * time.Second
-	// slackSlots is how many slot releases a waiting higher request must be
-	// able to wait for beyond its turn.
+	// slackSlots is the number of slot releases that a waiting higher request must be
+	// able to wait for beyond its turn. Fewer would let the floor make a higher request
+	// late; more would suspend the floor under load.
 	slackSlots = 3
-	// minFloorSlack is the least time to spare, and unmeasuredHold the slot time in
-	// seconds that a new owner assumes before it has measured any.
+	// minFloorSlack is the minimum slack of a higher request, however short slot times
+	// are; a smaller one would leave no margin for errors of the estimate.
+	// defaultHoldSeconds is the slot time that a new owner assumes before its first
+	// measurement; a low value would let the floor take slots from higher requests that
+	// have little slack.
 	minFloorSlack      = 200 * time.Millisecond
 	defaultHoldSeconds = 2.0
 )
@@ -31,7 +36,7 @@
 	cq.credit = min(cq.credit+earned, g.expectedHold(p, g.statsOf(cq.class)))
 }
 
-// creditRate is the slot time per second that the floor gives a line.
+// creditRate returns the slot time per second that the floor gives to a class queue.
 func (g *Group) creditRate(cq *classQueue, p *pool) float64 {
 	classes := 0
 	for _, other := range p.classQueues {
@@ -74,8 +79,8 @@
 	return false
 }
 
-// higherTiersHaveSlack reports whether every request of a higher tier can wait for a
-// few more slots and still start on time.
+// higherTiersHaveSlack reports whether every request of a higher tier can wait for a few
+// more slots and still start on time.
 func (g *Group) higherTiersHaveSlack(p *pool, tier int, now monotime.Instant) bool {
 	perSlot := p.hold.meanOr(defaultHoldSeconds) / float64(max(p.limit, 1))
 	slack := max(seconds(slackSlots*perSlot), minFloorSlack)
@@ -88,7 +93,7 @@
 	return true
 }
 
-// floorWait is when the floor is expected to serve a new request of the line.
+// floorWait returns the time until the floor is expected to serve a new request like e.
 func (g *Group) floorWait(p *pool, e *entry, now monotime.Instant) time.Duration {
 	const never = time.Duration(1<<63 - 1)
 	if !g.policy.Floor || !g.policy.Tiers {
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// Group is the queue and the slots of the servers of one catalog.Group.
+// Group holds the queues and the slots of the servers of one catalog.Group.
 type Group struct {
 	name   string
 	cat    *catalog.Catalog
@@ -22,13 +22,13 @@
 	byID         map[string]*engine
 	poolByTarget map[string]*pool
 	pools        []*pool
-	// floors and headroom by tier, from the rules.
+	// floors and headroom are shares by tier, from the inventory.
 	floors       [maxTiers]float64
 	headroom     [maxTiers]float64
 	measurements *Measurements
-	// restrictedUntil is when a new owner may fill the slots of its group.
+	// restrictedUntil is when a new owner may give slots to tiers without headroom.
 	restrictedUntil monotime.Instant
-	// takeoverEnd is when every holder has told a new owner what it holds.
+	// takeoverEnd is when every holder has reported its slots to a new owner.
 	takeoverEnd monotime.Instant
 
 	entries map[Ticket]*entry
@@ -48,8 +48,8 @@
 	counters Counters
 }
 
-// New returns the scheduler of a group. The seed spreads the first choices of
-// equal engines, so that groups do not all start at the same one.
+// New returns the scheduler of a group. The seed varies which of several equal engines is
+// chosen first; otherwise all groups would start at the same one.
 func New(now monotime.Instant, group *catalog.Group, cat *catalog.Catalog, policy Policy, seed uint64) *Group {
 	g := &Group{
 		name:         group.Name,
@@ -68,9 +68,10 @@
 	return g
 }
 
-// Submit queues a request and appends the decisions that follow. A ticket that
-// already holds a slot gets the same decision again, so that a grant whose
-// message was lost can be asked for once more; one that waits stays as it is.
+// Submit queues a request and appends the resulting decisions to out. A ticket that
+// already holds a slot gets the same decision again, which allows a holder to ask once
+// more if the message with its grant was lost. A ticket that waits already is left
+// unchanged.
 func (g *Group) Submit(now monotime.Instant, d Demand, out []Decision) []Decision {
 	if existing := g.entries[d.Ticket]; existing != nil {
 		return g.repeatGrant(existing, out)
@@ -95,7 +96,7 @@
 	return g.admit(e, now, out)
 }
 
-// Waits reports whether the request of the ticket waits for a slot.
+// Waits reports whether the ticket's request is waiting for a slot.
 func (g *Group) Waits(t Ticket) bool {
 	e := g.entries[t]
 	return e != nil && e.state == entryWaiting
@@ -128,10 +129,10 @@
 	return min(max(tier, 0), maxTiers-1)
 }
 
-// chooseImmediate returns the engine for a request that need not wait: nobody waits
-// before it and a slot that its tier may take is free. Then it starts even where
-// the prediction says that it will be late: nothing is lost by trying, and a
-// class whose prediction is too high would never be measured again otherwise.
+// chooseImmediate returns the engine for a request that need not wait: nothing waits
+// before it, and a slot that its tier may take is free. The request then starts even if
+// it is predicted to be late. The slot is free anyway, and a class whose prediction is
+// too high would otherwise never be measured again.
 func (g *Group) chooseImmediate(e *entry, now monotime.Instant) (on *engine, hit bool) {
 	p := e.pool
 	if p.waiting > 0 || !g.mayTakeSlot(p, e.tier, g.headroomHold(e), now) {
@@ -187,8 +188,8 @@
 	}
 }
 
-// Tick refuses what waited too long, frees expired leases, looks at the health
-// of the engines and hands out free slots.
+// Tick refuses requests that have waited too long, frees expired leases, checks the
+// health of the engines and assigns free slots.
 func (g *Group) Tick(now monotime.Instant, out []Decision) []Decision {
 	g.expireLeases(now)
 	if now.Sub(g.upkeepAt) >= upkeepInterval || g.upkeepAt == 0 {
@@ -197,7 +198,7 @@
 	return g.dispatch(now, out)
 }
 
-// dispatch refuses what can no longer be on time, then hands out free slots.
+// dispatch refuses requests that can no longer be on time, then assigns free slots.
 func (g *Group) dispatch(now monotime.Instant, out []Decision) []Decision {
 	if g.waiting == 0 {
 		return out
@@ -229,9 +230,9 @@
 	return out
 }
 
-// nextEntry returns the waiting entry that gets the nextEntry free slot, and where. That
-// is the highest waiting tier's turn, unless no engine with a free slot suits
-// it; a lower tier may then use what the higher one is better off without.
+// nextEntry returns the waiting entry that gets the next free slot, and its engine. That
+// is the next entry of the highest waiting tier. If no engine with a free slot suits that
+// entry, a lower tier may use a slot that the higher one is better off without.
 func (g *Group) nextEntry(p *pool, now monotime.Instant) (e *entry, on *engine, hit bool) {
 	available := p.availableTargets()
 	for t := range p.tiers {
@@ -253,8 +254,8 @@
 	return nil, nil, false
 }
 
-// nextInTier returns the entry of a tier whose nextInTier it is: the customer who used the
-// least, and among that customer's the most urgent.
+// nextInTier returns the next entry of a tier: the most urgent one of the customer with
+// the lowest usage.
 func (g *Group) nextInTier(p *pool, tier int, available targetSet, now monotime.Instant) *entry {
 	if e := p.tiers[tier].expiry.min().value; g.isUrgent(e, now) && e.target&available != 0 {
 		return e
@@ -274,11 +275,11 @@
 	return best
 }
 
-// isUrgent reports whether a request goes first in its tier because it would
-// soon be late. Only tiers with headroom have that: they are meant to fit, and a
-// customer who asked a little more must not be late while others can wait. In a
-// tier with more work than fits, every request gets urgent, and serving those
-// would undo the shares.
+// isUrgent reports whether a request is served first in its tier because it would soon be
+// late. This applies to tiers with headroom only. Their load is meant to fit, and a
+// customer slightly above its share must not be late while others can wait. In a tier
+// with more work than fits, every request becomes urgent, and serving by urgency would
+// undo the fair shares.
 func (g *Group) isUrgent(e *entry, now monotime.Instant) bool {
 	return g.headroom[e.tier] > 0 && e.latestStart.Sub(now) < g.policy.Urgent
 }
@@ -295,7 +296,7 @@
 	return cq.customers.min().value.entries.min().value
 }
 
-// NextTick returns when Tick should be called next, if at all.
+// NextTick returns when Tick should be called next; false if there is no need to.
 func (g *Group) NextTick(now monotime.Instant) (monotime.Instant, bool) {
 	next := monotime.Instant(math.MaxInt64)
 	if g.waiting > 0 || g.held.count > 0 {
@@ -325,8 +326,9 @@
 	return first
 }
 
-// SetShare tells which part of the fleet is reachable: live of total instances.
-// In a partition each part uses its share of servers that both parts reach.
+// SetShare limits the group to the share live/total of its slots, where live is the
+// number of reachable instances of total. In a partition each part uses its share of the
+// servers that both parts reach.
 func (g *Group) SetShare(live, total int) {
 	if live <= 0 || total <= 0 {
 		return
@@ -337,9 +339,8 @@
 	}
 }
 
-// LoadReport notes what an engine reported of itself. The reading is old: only a
-// new owner, which knows no better, and the baseline that chooses by reported
-// load use it.
+// LoadReport records an engine's own load report. The reading is old. Only a new owner,
+// which has no better data, and the baseline policy that chooses by reported load use it.
 func (g *Group) LoadReport(now monotime.Instant, engineID string, report engineapi.LoadReport) {
 	e := g.byID[engineID]
 	if e == nil {
--- a/internal/sched/group_test.go
+++ b/internal/sched/group_test.go
@@ -60,6 +60,6 @@
 	last := f.submit(0, "ann")
 	d, ok := f.refused[last]
 	if !ok || d.Reason != verdict.ReasonOverloaded || d.RetryAfter <= 0 {
-		t.Errorf("third request of a second each with 2 s to go: %+v", d)
+		t.Errorf("third request of 1 s each with a deadline of 2 s was not refused with Retry-After: %+v", d)
 	}
 }
--- a/internal/sched/headroom.go
+++ b/internal/sched/headroom.go
@@ -7,27 +7,30 @@
 	"basilrudder/internal/monotime"
 )
 
-// Headroom guarantees a tier its share of the slots within the time that its
-// requests can wait: slots that it holds, that are free, or that lower work is
-// expected to free soon enough. Nothing is preempted, so a burst of the tier
-// must not meet a group full of long lower work. Short lower work frees its
-// slots by itself and is hardly held back; slots kept empty for it would be
-// wasted.
-
-// headroomBudgetShare is the part of a tier's waiting time in which slots must come free.
+// Headroom guarantees a tier its share of the slots within the time that its requests can
+// wait: slots that it holds, that are free, or that lower tiers are expected to free soon
+// enough. Nothing is preempted, so a burst of the tier must not meet a group filled with
+// long lower-tier requests. Short requests free their slots quickly and are hardly
+// restricted; reserving empty slots against them would waste capacity.
+
+// headroomBudgetShare is the part of a tier's waiting time within which slots must come
+// free. At 1, a request would start at the last moment and any error of the estimate
+// would make it late.
 const headroomBudgetShare = 0.7
 
-// heldSlots is what holds slots in one tier of a lane.
+// heldSlots summarizes the slots held by one tier of a pool.
 type heldSlots struct {
 	count int
-	// perSecond sums the expected ends per second.
+	// perSecond is the sum of the expected completions per second.
 	perSecond float64
-	// ended measures the ends per second.
+	// ended measures the completions per second.
 	ended rate
-	// budget is the time that requests of the tier can wait, in seconds.
+	// budget is the mean time that requests of the tier can wait, in seconds.
 	budget ewma
 }
 
+// budgetWeight is the weight of a new sample of a waiting time. A higher one lets a few
+// requests with short deadlines close a pool to lower tiers.
 const budgetWeight = 0.05
 
 func (w *heldSlots) add(hold float64) {
@@ -44,13 +47,14 @@
 	}
 }
 
-// minHoldSeconds bounds the expected ends per second of one request.
+// minHoldSeconds bounds the expected completions per second of one request. Without it, a
+// slot time of 0 would make them infinite.
 const minHoldSeconds = 0.001
 
-// expectedFree is the number of slots expected to come free in a time in seconds: by
-// the mean slot times, and no more than came free lately. Requests that all
-// started a moment ago end later than their mean suggests; counting on it would
-// leave no room when a group fills expectedFree a second.
+// expectedFree returns the number of slots expected to come free within a time in
+// seconds: estimated from the mean slot times, and at most as many as came free recently.
+// Requests that all started a moment ago end later than their mean suggests; relying on
+// the mean alone would leave no headroom in a group that fills within a second.
 func (w *heldSlots) expectedFree(budget float64, now monotime.Instant) float64 {
 	if w.count == 0 {
 		return 0
@@ -64,8 +68,8 @@
 	w.budget.add(max(d.Seconds(), 0), budgetWeight)
 }
 
-// mayTakeSlot reports whether a request of the tier that is expected to hold its
-// slot for so many seconds may take a free one.
+// mayTakeSlot reports whether a request of the tier that is expected to hold its slot for
+// hold seconds may take a free one.
 func (g *Group) mayTakeSlot(p *pool, tier int, hold float64, now monotime.Instant) bool {
 	if p.free <= 0 && (p.extra <= 0 || g.headroom[tier] == 0) {
 		return false
@@ -86,8 +90,9 @@
 	return true
 }
 
-// keepsHeadroom reports whether the tier still has its share within its budget when
-// one more slot goes to lower work; held counts the slots of it and above.
+// keepsHeadroom reports whether the tier still has its share within its budget if one
+// more slot goes to lower tiers; held is the number of slots held by this tier and those
+// above.
 func (g *Group) keepsHeadroom(p *pool, tier, held int, hold float64, now monotime.Instant) bool {
 	required := g.headroom[tier] * float64(p.limit)
 	available := float64(held + p.free - 1)
@@ -103,18 +108,20 @@
 }
 
 const (
-	// minHoldSamples is the number of finished requests from which the measured
-	// slot time of a class is believed when room is kept.
+	// minHoldSamples is the number of finished requests from which the measured slot time
+	// of a class is used for headroom. The requests that end first are the short ones:
+	// with fewer samples the mean is too low, and headroom is given away.
 	minHoldSamples = 16
-	// unmeasuredHoldShare of a class's longest answer is assumed before.
+	// unmeasuredHoldShare is the part of a class's longest answer that is assumed before.
+	// See headroomHold for what a low value breaks.
 	unmeasuredHoldShare = 0.25
 )
 
-// headroomHold is the slot time of a request for the keeping of room. Admission
-// guesses low before a class was measured, since a refusal must rest on what was
-// measured; here the guess is high for the same reason. With a low one, a new
-// owner of a group counts on drafts to end within a moment, fills every slot
-// with them, and refuses the top tier for seconds after each change of owner.
+// headroomHold returns the slot time of a request, in seconds, for the headroom check.
+// Before a class is measured, admission assumes a low value, because a refusal must rest
+// on measurements; here the assumed value is high for the same reason. With a low one, a
+// new owner of a group expects long low-tier requests to end soon, fills every slot with
+// them, and refuses the top tier for seconds after each change of owner.
 func (g *Group) headroomHold(e *entry) float64 {
 	if e.demand.Class == nil {
 		return e.work
@@ -130,7 +137,7 @@
 	return max(e.work, unmeasuredHoldShare*longest)
 }
 
-// countHeld counts a slot in the books of its tier.
+// countHeld adds a slot to the statistics of its tier.
 func (g *Group) countHeld(e *entry) {
 	e.headroomHold = g.headroomHold(e)
 	e.pool.tiers[e.tier].held.add(e.headroomHold)
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -7,29 +7,35 @@
 	"basilrudder/internal/monotime"
 )
 
-// health decides how much work an engine gets after failures. A failed attempt
-// halves the trust; a second one in a row ejects the engine for a time that
-// doubles. After that time one request probes it, and each success doubles the
-// slots it may hold. Without the ramp, an engine that answers again would get a
-// full load of requests at once and fail them all if it is still ill.
+// health limits the work of an engine after failures. A failed attempt limits the engine
+// to one slot. A second one in a row ejects it, for a time that doubles with each
+// ejection. After that time one request probes the engine, and each success doubles the
+// number of slots. Without this ramp, an engine that answers again would get a full load
+// at once and fail all of it if it has not recovered.
 type health struct {
-	// failures in a row.
+	// failures is the number of consecutive failures.
 	failures int
-	// ejections in a row, without full recovery between them.
+	// ejections is the number of ejections without full recovery between them.
 	ejections int
 	// ejectedUntil is the end of the current ejection.
 	ejectedUntil monotime.Instant
-	// ramp bounds the slots held while trust comes back; 0 for no bound.
+	// ramp bounds the slots held during recovery; 0 for no bound.
 	ramp int
 }
 
 const (
+	// failuresToEject is the number of consecutive failures that eject an engine. At 1, a
+	// single bad request would eject a healthy engine.
 	failuresToEject = 2
-	firstEjection   = 500 * time.Millisecond
-	maxEjection     = 15 * time.Second
-	// refusedPause is how long an engine that refused a request rests.
+	// firstEjection doubles up to maxEjection. A shorter time spends more requests as
+	// probes of a failed engine; a longer one keeps a recovered engine out of use.
+	firstEjection = 500 * time.Millisecond
+	maxEjection   = 15 * time.Second
+	// refusedPause is how long an engine that refused a request gets no new one. Without
+	// a pause, the next request would be refused as well.
 	refusedPause = 50 * time.Millisecond
-	// rampEnd is the bound on slots at which an engine is trusted again.
+	// rampEnd is the number of slots at which an engine counts as recovered. It should
+	// exceed the slots of an engine, or the ramp ends in a jump to full load.
 	rampEnd = 256
 )
 
@@ -78,7 +84,7 @@
 	return h.failures > 0
 }
 
-// upkeep compares engines with their peers and lets limits follow.
+// upkeep compares engines with their peers and updates their limits.
 func (g *Group) upkeep(now monotime.Instant) {
 	g.upkeepAt = now
 	for _, p := range g.pools {
@@ -93,9 +99,9 @@
 	}
 }
 
-// detectStragglers finds stragglers: engines slower than the median of their
-// peers. The comparison is relative, since all engines slow down together
-// when they are full, and that is no reason to send any of them less.
+// detectStragglers finds engines slower than the median of their peers. The comparison is
+// relative: all engines slow down together under full load, and that is no reason to send
+// less to any of them.
 func (g *Group) detectStragglers(p *pool, now monotime.Instant) {
 	paces := g.paces[:0]
 	gaps := 0.0
@@ -125,17 +131,18 @@
 	}
 }
 
-// markStalePace marks a straggler that was not measured for a while. One request of a
-// lower tier then tries it. Without the markStalePace it would stay without work for
-// good; without the bound of one, an engine that is still slow would get a full
-// load before its first answer shows it.
+// markStalePace marks a straggler that has not been measured recently. One request of a
+// lower tier then probes it. Without this mark it would never get work again; without the
+// limit to one request, an engine that is still slow would get a full load before its
+// first answer shows it.
 func (e *engine) markStalePace(now monotime.Instant) {
 	if e.slowdown >= stragglerSlowdown && now.Sub(e.paceAt) >= maxPaceAge {
 		e.paceStale = true
 	}
 }
 
-// resetStalePace forgets what was known of a doubtful engine: a new sample tells more.
+// resetStalePace discards the statistics of an engine whose pace is stale: the new sample
+// replaces them.
 func (e *engine) resetStalePace() {
 	if !e.paceStale {
 		return
@@ -145,8 +152,8 @@
 	e.gap = ewma{}
 }
 
-// needsProbe reports whether the engine should get one request, of a lower tier,
-// to show what it does.
+// needsProbe reports whether the engine should get a single request of a lower tier to
+// measure it.
 func (e *engine) needsProbe() bool {
 	return e.paceStale || e.health.probing()
 }
--- a/internal/sched/heap.go
+++ b/internal/sched/heap.go
@@ -1,15 +1,15 @@
 package sched
 
-// heapItem is one value of a heap with its key.
+// heapItem is a value in a heap with its key.
 type heapItem[T any] struct {
 	key   float64
 	tie   uint64
 	value T
 }
 
-// heap is a binary min-heap that tells each value where it stands, so that any
-// value can be moved or removed in logarithmic time. Equal keys leave in the
-// order of tie. It allocates only when it outgrows its capacity.
+// heap is a binary min-heap that reports each value's position through onMove, so any
+// value can be moved or removed in logarithmic time. Equal keys are ordered by tie. It
+// allocates only when it outgrows its capacity.
 type heap[T any] struct {
 	items  []heapItem[T]
 	onMove func(value T, position int)
--- a/internal/sched/lease.go
+++ b/internal/sched/lease.go
@@ -7,8 +7,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// heldList holds the entries with slots, the one renewed longest ago first. A
-// renewal moves an entry to the end, so expiry looks only at the front.
+// heldList is the list of entries that hold slots, ordered by the time of their last
+// renewal. A renewal moves an entry to the end, so expiry checks only the front.
 type heldList struct {
 	oldest *entry
 	newest *entry
@@ -43,7 +43,7 @@
 	h.count--
 }
 
-// holdSlot marks an entry as the holder of a slot.
+// holdSlot marks an entry as holding a slot.
 func (g *Group) holdSlot(e *entry, acct *account, now monotime.Instant) {
 	e.state = entryHeld
 	e.grantedAt = now
@@ -56,9 +56,9 @@
 	g.countHeld(e)
 }
 
-// Progress renews a slot and charges the tokens generated since the last call.
-// A ticket that the group does not know re-creates a slot: its holder got it
-// from an earlier owner. Where it runs is unknown then; Adopt tells more.
+// Progress renews a slot and charges the tokens generated since the last call. A ticket
+// that the group has no record of re-creates a slot: an earlier owner granted it to the
+// holder. Its engine is then unknown; Adopt supplies it.
 func (g *Group) Progress(now monotime.Instant, t Ticket, tokens int, out []Decision) []Decision {
 	e := g.entries[t]
 	if e == nil {
@@ -76,8 +76,8 @@
 	return out
 }
 
-// recordProgress learns the engine's pace from a request that still runs, so
-// that a straggler shows long before a long answer ends.
+// recordProgress updates the engine's pace from a request that is still running, which
+// reveals a straggler long before a long answer ends.
 func (g *Group) recordProgress(e *entry, tokens int, now monotime.Instant) {
 	since := now.Sub(e.renewedAt)
 	switch {
@@ -88,8 +88,9 @@
 	}
 }
 
-// stallTimeout is the time without a token after which a running answer counts
-// against its engine.
+// stallTimeout is the time without a token after which a running answer counts against
+// its engine. A shorter one would count ordinary pauses; a longer one detects a stalled
+// engine later.
 const stallTimeout = 500 * time.Millisecond
 
 func (g *Group) countTokens(e *entry, tokens int) {
@@ -104,22 +105,22 @@
 	}
 }
 
-// HeldSlot describes a slot that an earlier owner gave.
+// HeldSlot describes a slot that an earlier owner granted.
 type HeldSlot struct {
-	// Engine id; empty when unknown.
+	// Engine is the engine's ID; empty if unknown.
 	Engine string
-	// Class and Customer; nil when unknown.
+	// Class and Customer are nil if unknown.
 	Class    *catalog.Class
 	Customer *catalog.Customer
-	// Tier of the request.
+	// Tier is the request's tier.
 	Tier int
-	// ExpectedHold is the time that requests of the class hold their slots, as
-	// the holder measured; 0 for unknown.
+	// ExpectedHold is the mean time that requests of the class hold a slot, as measured
+	// by the holder; 0 if unknown.
 	ExpectedHold time.Duration
 }
 
-// Adopt re-creates a slot that an earlier owner of the group gave, so that a
-// new owner does not fill engines that are already full.
+// Adopt re-creates a slot that an earlier owner of the group granted. Without it a new
+// owner would overfill engines that are already full.
 func (g *Group) Adopt(now monotime.Instant, t Ticket, held HeldSlot) {
 	if g.entries[t] != nil {
 		return
@@ -157,7 +158,7 @@
 	g.counters.Adopted++
 }
 
-// adoptedHold is the expected slot time of an adopted slot, in seconds.
+// adoptedHold returns the expected slot time of an adopted slot, in seconds.
 func (g *Group) adoptedHold(e *entry) float64 {
 	if e.demand.Class == nil {
 		return e.pool.hold.meanOr(1)
@@ -165,8 +166,9 @@
 	return g.requestHold(e, g.statsOf(e.demand.Class))
 }
 
-// mostFreeEngine returns the engine with most free slots: a guess at where a slot of
-// unknown place runs that never counts it twice at a full engine.
+// mostFreeEngine returns the engine with the most free slots. It stands for the unknown
+// engine of an adopted slot: this guess never counts the slot a second time at a full
+// engine.
 func (g *Group) mostFreeEngine() *engine {
 	var best *engine
 	for _, e := range g.engines {
@@ -177,7 +179,7 @@
 	return best
 }
 
-// Release gives a slot back with what its use measured, and hands free slots on.
+// Release returns a slot with the measurements of its use, then assigns free slots.
 func (g *Group) Release(now monotime.Instant, t Ticket, r Result, out []Decision) []Decision {
 	e := g.entries[t]
 	if e == nil {
@@ -192,7 +194,8 @@
 	return g.dispatch(now, out)
 }
 
-// recordResult takes what a finished use says about the engine and the class.
+// recordResult updates the state of the engine and the statistics of the class from the
+// result of a slot's use.
 func (g *Group) recordResult(e *entry, r Result, now monotime.Instant) {
 	on := e.engine
 	switch r.Outcome {
@@ -228,7 +231,7 @@
 	e.pool.hold.add(held.Seconds(), holdWeight)
 }
 
-// freeSlot frees the slot of an entry and settles what it was charged.
+// freeSlot frees the slot of an entry and refunds what was overcharged.
 func (g *Group) freeSlot(e *entry, now monotime.Instant) {
 	g.held.remove(e)
 	g.countFreed(e, now)
@@ -243,7 +246,7 @@
 	g.recycle(e)
 }
 
-// refund refunds what was charged beyond the real use.
+// refund returns to the account what was charged in excess of the actual usage.
 func (g *Group) refund(e *entry) {
 	used := promptCost*float64(e.demand.PromptTokens) + float64(e.tokens)
 	if e.tokens == 0 || used >= e.charged {
@@ -252,7 +255,7 @@
 	g.charge(e.account, used-e.charged)
 }
 
-// Withdraw forgets a request that waits, or frees the slot it got meanwhile.
+// Withdraw removes a waiting request, or frees the slot that it has got in the meantime.
 func (g *Group) Withdraw(now monotime.Instant, t Ticket, out []Decision) []Decision {
 	e := g.entries[t]
 	if e == nil {
@@ -271,7 +274,7 @@
 	g.recycle(e)
 }
 
-// HolderGone drops what a holder waited for and frees its slots.
+// HolderGone removes the waiting requests of a holder and frees its slots.
 func (g *Group) HolderGone(now monotime.Instant, holder string, out []Decision) []Decision {
 	var gone []*entry
 	for t, e := range g.entries {
@@ -286,9 +289,9 @@
 	return g.dispatch(now, out)
 }
 
-// expireLeases frees slots that nobody renewed. A holder that died or paused
-// would otherwise pin them for good; one that only paused re-creates its slots
-// with its next Progress, so an expired lease costs an overfull engine at worst.
+// expireLeases frees slots that were not renewed within the lease. Otherwise a holder
+// that died or paused would block them forever. A holder that only paused re-creates its
+// slots with its next Progress, so an expired lease at worst overfills an engine.
 func (g *Group) expireLeases(now monotime.Instant) {
 	for {
 		e := g.held.oldest
--- a/internal/sched/measurements.go
+++ b/internal/sched/measurements.go
@@ -7,23 +7,23 @@
 	"basilrudder/internal/schema/inventory"
 )
 
-// Measurements is what an instance measured of the classes through the requests it
-// held itself, whoever owned the groups. A group that the instance comes to own
-// starts from it. Without it a new owner learns from the first requests that
-// end, which are the short ones: it believes that slots come free soon, keeps no
-// room for the top tier, and refuses it for seconds after each change of owner.
-// It is not safe for concurrent use.
+// Measurements are an instance's statistics of the classes, from the requests that it
+// held itself, whichever instances owned the groups. A group that the instance becomes
+// the owner of starts from them. Without them a new owner sees only the first requests to
+// end, which are the short ones: it overestimates how soon slots come free, reserves no
+// headroom for the top tier, and refuses it for seconds after each change of owner.
+// Measurements are not safe for concurrent use.
 type Measurements struct {
 	classes map[uint32]*classStats
 }
 
-// NewMeasurements returns empty measures.
+// NewMeasurements returns empty measurements.
 func NewMeasurements() *Measurements {
 	return &Measurements{classes: make(map[uint32]*classStats)}
 }
 
-// Record counts a request of the class that ended whole: its tokens, the time
-// it held its slot, and the time to its first token (0 for none).
+// Record adds a completed request of the class: its tokens, the time it held its slot,
+// and the time to its first token (0 for none).
 func (m *Measurements) Record(class *catalog.Class, tokens int, held, first time.Duration) {
 	s := m.classes[class.Hash]
 	if s == nil {
@@ -33,7 +33,8 @@
 	s.record(tokens, held, first)
 }
 
-// prime copies what was measured of a class into fresh statistics.
+// prime copies the measurements of a class into new statistics, if there are enough of
+// them.
 func (m *Measurements) prime(s *classStats, class uint32) {
 	if m == nil {
 		return
@@ -43,13 +44,14 @@
 	}
 }
 
-// SetMeasurements gives a group what its instance measured, before its first use.
+// SetMeasurements sets the measurements that the group starts from. It must be called
+// before the group's first use.
 func (g *Group) SetMeasurements(m *Measurements) {
 	g.measurements = m
 }
 
-// ExpectedHold is the mean time that requests of a class held their slots; 0
-// before enough of them were measured.
+// ExpectedHold returns the mean time that requests of a class held their slots; 0 before
+// minHoldSamples were measured.
 func (m *Measurements) ExpectedHold(class *catalog.Class) time.Duration {
 	s := m.classes[class.Hash]
 	if s == nil || s.samples < minHoldSamples {
@@ -58,9 +60,9 @@
 	return seconds(s.hold.mean)
 }
 
-// requestHold is the expected slot time of a request, in seconds: as the group
-// measured, or as the holder told while the group has not measured enough. A
-// process that was replaced owns its groups again before it has served anything.
+// requestHold returns the expected slot time of a request, in seconds: the group's own
+// measurement or, until that has enough samples, the holder's. A process that was
+// replaced owns its groups again before it has served any request.
 func (g *Group) requestHold(e *entry, stats *classStats) float64 {
 	if stats.samples < minHoldSamples && e.demand.ExpectedHold > 0 {
 		return e.demand.ExpectedHold.Seconds()
--- a/internal/sched/pools.go
+++ b/internal/sched/pools.go
@@ -6,8 +6,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// updatePools sorts the engines into lanes. Queues stay, unless the targets that
-// share engines changed; then what waits moves to the new lanes.
+// updatePools assigns the engines to pools. Queues are kept unless the sets of targets
+// that share engines have changed; then waiting requests move to the new pools.
 func (g *Group) updatePools(now monotime.Instant) {
 	targetSets := connectedTargets(g.engines)
 	if !g.samePools(targetSets) {
@@ -25,8 +25,8 @@
 	}
 }
 
-// connectedTargets returns the sets of targets that are connected by engines which
-// serve several of them, each sorted, in order of the first engine.
+// connectedTargets returns the sets of targets that are connected by engines which serve
+// several of them. Each set is sorted; the sets are in the order of their first engine.
 func connectedTargets(engines []*engine) [][]string {
 	var sets [][]string
 	for _, e := range engines {
@@ -65,9 +65,9 @@
 	return true
 }
 
-// rebuildPools makes new lanes and queues again what waited. What customers
-// used before is forgotten; that is rare and only costs some fairness. Held
-// slots keep their old lane, which nothing waits in, until they end.
+// rebuildPools creates new pools and moves the waiting requests into them. Customers'
+// earlier usage is lost; this is rare and costs only some fairness. Held slots keep their
+// old pool, in which nothing waits, until they are released.
 func (g *Group) rebuildPools(targetSets [][]string, now monotime.Instant) {
 	var waiting []*entry
 	for _, e := range g.entries {
@@ -89,8 +89,8 @@
 	}
 }
 
-// requeue puts an entry in the lane that has its target now. A target that
-// nothing serves any more gets an empty lane, where the entry is refused.
+// requeue moves an entry to the pool that has its target now. A target that no engine
+// serves any more gets an empty pool, in which the entry is refused.
 func (g *Group) requeue(e *entry, now monotime.Instant) {
 	target := e.demand.Target
 	if g.poolByTarget[target] == nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// joinPool adds the engine to its lane.
+// joinPool adds the engine to its pool.
 func (g *Group) joinPool(e *engine) {
 	e.limit, e.free, e.extra, e.pool = 0, 0, 0, nil
 	if len(e.spec.Serves) == 0 {
--- a/internal/sched/predict.go
+++ b/internal/sched/predict.go
@@ -9,19 +9,19 @@
 	"basilrudder/internal/schema/inventory"
 )
 
-// ewma is an exponentially weighted mean.
+// ewma is an exponentially weighted moving average.
 type ewma struct {
 	mean  float64
 	count int
 }
 
-// add counts a sample; the first ones weigh as in a plain mean.
+// add adds a sample. The first samples are weighted as in a plain mean.
 func (m *ewma) add(sample, weight float64) {
 	m.count++
 	m.mean += max(weight, 1/float64(m.count)) * (sample - m.mean)
 }
 
-// meanOr returns the mean, meanOr a default before the first sample.
+// meanOr returns the mean, or the given value before the first sample.
 func (m *ewma) meanOr(value float64) float64 {
 	if m.count == 0 {
 		return value
@@ -36,6 +36,10 @@
 }
 
 const (
+	// shortWindow and longWindow are the time constants of the two averages. loadAbove
+	// uses the lower average: the long one is still low during a burst, and the short one
+	// falls soon after a load ends. A shorter longWindow refuses lower tiers because of a
+	// burst; a longer shortWindow keeps counting a load that has ended.
 	shortWindow = 5 * time.Second
 	longWindow  = 60 * time.Second
 )
@@ -53,20 +57,26 @@
 }
 
 const (
+	// histogramBuckets with histogramGrowth cover values up to about 47,000. A larger
+	// value falls in the last bucket and is underestimated.
 	histogramBuckets = 96
-	// histogramGrowth is the ratio of neighbouring bucket bounds.
+	// histogramGrowth is the ratio of adjacent bucket bounds: quantiles are overestimated
+	// by up to 12%.
 	histogramGrowth = 1.12
-	// maxHistogramWeight is the weight at which old samples are halved.
+	// maxHistogramWeight is the total weight at which all counts are halved. A higher one
+	// adapts more slowly to a changed class; a lower one makes quantiles fluctuate.
 	maxHistogramWeight = 512
-	// priorWeight is the weight of the guess before samples exist.
+	// priorWeight is the weight of the assumed value before samples exist. A higher one
+	// delays the effect of measurements.
 	priorWeight = 2
-	// refreshInterval is how many samples pass between two looks at quantiles.
+	// refreshInterval is the number of samples between two computations of the quantiles,
+	// each of which scans the histogram.
 	refreshInterval = 8
 )
 
 var logGrowth = math.Log(histogramGrowth)
 
-// histogram counts samples in geometric buckets and forgets old ones.
+// histogram counts samples in geometric buckets and gradually discounts old ones.
 type histogram struct {
 	counts [histogramBuckets]float64
 	total  float64
@@ -100,31 +110,33 @@
 	return math.Pow(histogramGrowth, histogramBuckets-1)
 }
 
-// classStats is what the group measured of a class.
+// classStats are the group's statistics of a class.
 type classStats struct {
 	service bool
-	// output counts tokens of an answer; for a service, milliseconds.
+	// output counts the tokens of an answer; for a service, milliseconds.
 	output  histogram
 	samples int
-	// median is the middle of output.
+	// median is the median of output.
 	median float64
-	// hold is the slot time in seconds.
+	// hold is the mean slot time in seconds.
 	hold ewma
-	// firstToken counts times from the start to the firstToken token, in milliseconds;
-	// firstLate is one that few exceed.
+	// firstToken counts the times from the start to the first token, in milliseconds;
+	// firstTokenBound is their firstTokenQuantile.
 	firstToken      histogram
 	firstTokenBound float64
 }
 
 const (
-	// priorOutputTokens is guessed before samples exist. It is low on purpose: a
-	// new owner of a group has no samples, and a refusal must rest on what was
-	// measured; a guess of a quarter of the class's bound refused requests after
-	// a change of owner that would have been served in time.
+	// priorOutputTokens is assumed before samples exist. It is low because a new owner of
+	// a group has no samples, and a refusal must rest on measurements. A quarter of the
+	// class's bound caused refusals after a change of owner of requests that would have
+	// been served in time.
 	priorOutputTokens = 32
-	// priorServiceMS is guessed for a service before samples exist.
+	// priorServiceMS is assumed for a service before samples exist.
 	priorServiceMS = 20
-	holdWeight     = 0.05
+	// holdWeight is the weight of a new sample of a slot time. A higher one lets a few
+	// long answers change the expected wait of all.
+	holdWeight = 0.05
 )
 
 func (g *Group) statsOf(class *catalog.Class) *classStats {
@@ -150,7 +162,9 @@
 	}
 }
 
-// firstTokenQuantile of the times to the first token must fit before it is due.
+// firstTokenQuantile is the part of the measured times to the first token that must fit
+// before it is due. A lower one admits requests that will be late; a higher one refuses
+// more that would have been on time.
 const firstTokenQuantile = 0.9
 
 func (s *classStats) record(tokens int, held, first time.Duration) {
@@ -166,7 +180,7 @@
 	s.samples++
 }
 
-// recordClass counts a finished request.
+// recordClass adds a finished request.
 func (g *Group) recordClass(s *classStats, tokens int, held, first time.Duration) {
 	s.record(tokens, held, first)
 	if s.samples <= refreshInterval || s.samples%refreshInterval == 0 {
@@ -174,7 +188,7 @@
 	}
 }
 
-// expectedHold is the slot time of a request of the class, in seconds.
+// expectedHold returns the expected slot time of a request of the class, in seconds.
 func (g *Group) expectedHold(p *pool, s *classStats) float64 {
 	if s.hold.count > 0 {
 		return s.hold.mean
@@ -185,7 +199,7 @@
 	return s.median * p.gap()
 }
 
-// gap is the mean time between tokens over the lane's engines, in seconds.
+// gap returns the mean time between tokens over the pool's engines, in seconds.
 func (p *pool) gap() float64 {
 	if p.gapMean <= 0 {
 		return defaultGapSeconds
@@ -193,10 +207,12 @@
 	return p.gapMean
 }
 
+// defaultGapSeconds is assumed for an engine without a configured or measured token gap.
+// A high value would cause refusals by an assumption.
 const defaultGapSeconds = 0.007
 
-// latestStart is the last instant at which a request may start and still be
-// on time, by what its class was measured to need.
+// latestStart returns the last instant at which a request may start and still be on time,
+// according to the measurements of its class.
 func (g *Group) latestStart(d *Demand, p *pool, s *classStats, now monotime.Instant) monotime.Instant {
 	bound := d.Class.MaxQueue
 	if bound <= 0 {
@@ -213,8 +229,8 @@
 	return latest
 }
 
-// expectedTimes are the time to the first token without queueing and the time
-// from there to the end.
+// expectedTimes returns the time to the first token without queueing, and the time from
+// there to the end.
 func (g *Group) expectedTimes(d *Demand, p *pool, s *classStats) (first, rest time.Duration) {
 	if s.service {
 		return 0, seconds(s.median / 1000)
@@ -228,8 +244,9 @@
 	return first, seconds(s.median * gap)
 }
 
-// minLengthSamples is how many answers are measured before their length decides
-// about a refusal: a wrong first guess must not shut a class out.
+// minLengthSamples is the number of measured answers from which their length is used for
+// refusals: with fewer, a wrong initial assumption could refuse a class forever, because
+// it would never be measured.
 const minLengthSamples = 8
 
 func (p *pool) prefillRate() float64 {
@@ -239,6 +256,8 @@
 	return float64(p.engines[0].spec.Spec.PrefillTokensPerS)
 }
 
+// defaultPrefillRate, in tokens per second, is assumed for an engine without a configured
+// one. A low value would cause refusals by an assumption.
 const defaultPrefillRate = 20000
 
 func seconds(s float64) time.Duration {
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -10,7 +10,7 @@
 // maxTiers is the number of tiers that the inventory schema allows.
 const maxTiers = 16
 
-// entryState tells where an entry stands.
+// entryState is the state of an entry.
 type entryState uint8
 
 const (
@@ -19,7 +19,7 @@
 	entryHeld
 )
 
-// entry is one request that waits or holds a slot. Entries are reused.
+// entry is a request that waits or holds a slot. Entries are reused.
 type entry struct {
 	demand      Demand
 	state       entryState
@@ -32,14 +32,14 @@
 
 	// latestStart is the last instant at which a start can still be on time.
 	latestStart monotime.Instant
-	// work is the slot time that the request is expected to take, in seconds.
+	// work is the expected slot time of the request, in seconds.
 	work float64
-	// headroomHold is the slot time that was put down when room was kept.
+	// headroomHold is the slot time, in seconds, that countHeld added for the entry.
 	headroomHold float64
 	queuePos     int
 	expiryPos    int
 
-	// Fields of a held slot.
+	// The fields below are set while the entry holds a slot.
 	engine     *engine
 	account    *account
 	grantedAt  monotime.Instant
@@ -54,17 +54,17 @@
 	nextUnused *entry
 }
 
-// pool schedules the targets (models or services) that share engines: those
-// that any engine serves together are in one pool, so that tiers are compared
-// wherever they compete for a slot.
+// pool is a set of targets (models or services) that share engines, with these engines
+// and the requests waiting for them. Targets that one engine serves are in the same pool,
+// because tiers must be compared wherever they compete for a slot.
 type pool struct {
 	targets []string
 	engines []*engine
-	// usable are the targets that some engine takes new work for; mixed says
-	// that the engines do not all serve the same ones.
+	// usable are the targets for which some engine takes new work. mixed reports that the
+	// engines do not all serve the same targets.
 	usable targetSet
 	mixed  bool
-	// free and limit are sums over the engines that take new work.
+	// free, extra and limit are sums over the engines that take new work.
 	free        int
 	extra       int
 	limit       int
@@ -73,52 +73,54 @@
 	classQueues []*classQueue
 	// hold is the mean slot time of a request, in seconds.
 	hold ewma
-	// gapTarget is the tightest token gap target of the classes seen.
+	// gapTarget is the shortest token gap target of the classes served so far.
 	gapTarget time.Duration
 	// gapMean is the mean time between tokens over the engines, in seconds.
 	gapMean  float64
 	rotation int
 }
 
-// tierQueue holds what waits in one tier of a lane.
+// tierQueue holds the waiting requests of one tier of a pool.
 type tierQueue struct {
 	waiting int
-	// work is the slot time that waits, in seconds.
+	// work is the slot time of the waiting requests, in seconds.
 	work float64
-	// weights sums the weights of the accounts that wait.
+	// weights is the sum of the weights of the accounts with waiting requests.
 	weights   float64
 	expiry    heap[*entry]
 	byWaiting heap[*account]
 	idle      heap[*account]
 	accounts  map[uint64]*account
-	// clock is the virtual time of the tier: the counter at the last grant.
+	// clock is the virtual time of the tier: the account counter at the last grant.
 	clock float64
-	// arriving is the slot time that arrives, in slots.
+	// arriving is the slot time that arrives per second, which is the number of slots it
+	// keeps busy.
 	arriving rate
 	held     heldSlots
 }
 
-// targetSet is a set of targets of a lane, by their places in lane.targets.
+// targetSet is a bit set of targets, by their index in pool.targets.
 type targetSet uint64
 
-// classQueue holds the requests of one class in one tier of a lane.
+// classQueue holds the waiting requests of one class in one tier of a pool.
 type classQueue struct {
 	class     *catalog.Class
 	target    targetSet
 	tier      int
 	customers heap[*customerQueue]
-	// waiting counts requests, work is their slot time in seconds.
+	// waiting is the number of requests, work their slot time in seconds.
 	waiting int
 	work    float64
-	// waitLimit is the time that requests of the line can wait, in seconds.
+	// waitLimit is the mean time that requests of the queue can wait, in seconds.
 	waitLimit ewma
-	// credit is the slot time the floor owes to the line, in seconds.
+	// credit is the unused slot time that the queue has earned from the floor, in
+	// seconds.
 	credit   float64
 	creditAt monotime.Instant
 	servedAt monotime.Instant
 }
 
-// customerQueue holds the waiting requests of one customer in a line.
+// customerQueue holds the waiting requests of one customer in a class queue.
 type customerQueue struct {
 	account    *account
 	classQueue *classQueue
@@ -137,7 +139,7 @@
 	return p
 }
 
-// targetSetOf returns the set of the lane's targets that are among the names.
+// targetSetOf returns the set of the pool's targets that are among the names.
 func (p *pool) targetSetOf(names ...string) targetSet {
 	var set targetSet
 	for i, target := range p.targets {
@@ -150,7 +152,7 @@
 	return set
 }
 
-// availableTargets returns the targets that an engine with a free slot serves.
+// availableTargets returns the targets that engines with a free slot serve.
 func (p *pool) availableTargets() targetSet {
 	if !p.mixed {
 		return ^targetSet(0)
@@ -164,7 +166,7 @@
 	return set
 }
 
-// classQueueOf returns the line of a request.
+// classQueueOf returns the class queue of a request, and creates it if needed.
 func (g *Group) classQueueOf(e *entry, now monotime.Instant) *classQueue {
 	p, class := e.pool, e.demand.Class
 	for _, cq := range p.classQueues {
@@ -179,7 +181,7 @@
 	return cq
 }
 
-// enqueue puts an entry in the queue of its lane.
+// enqueue adds an entry to the queues of its pool.
 func (g *Group) enqueue(e *entry, now monotime.Instant) {
 	q := &e.pool.tiers[e.tier]
 	cq := g.classQueueOf(e, now)
@@ -202,7 +204,7 @@
 	g.updateWaiting(q, acct, 1)
 }
 
-// orderKey orders the requests of one customer in a line.
+// orderKey is the key by which the requests of one customer are ordered in a class queue.
 func (g *Group) orderKey(e *entry) float64 {
 	if !g.policy.Fairness {
 		return float64(e.submittedAt)
@@ -210,7 +212,7 @@
 	return float64(e.latestStart)
 }
 
-// dequeue takes a waiting entry out of every structure.
+// dequeue removes a waiting entry from all queues.
 func (g *Group) dequeue(e *entry) {
 	q := &e.pool.tiers[e.tier]
 	cust := e.queue
@@ -247,7 +249,8 @@
 	return e
 }
 
-// recycle forgets an entry that neither waits nor holds a slot.
+// recycle deletes an entry that neither waits nor holds a slot, and keeps its memory for
+// reuse.
 func (g *Group) recycle(e *entry) {
 	delete(g.entries, e.demand.Ticket)
 	*e = entry{queuePos: notInHeap, expiryPos: notInHeap, nextUnused: g.unusedEntries}
--- a/internal/sched/reconfigure.go
+++ b/internal/sched/reconfigure.go
@@ -8,9 +8,9 @@
 	"basilrudder/internal/monotime"
 )
 
-// Reconfigure takes over a new revision. Withdrawn and removed servers get no
-// new work from here on; what runs on them goes on. Requests that no server
-// takes any more are refused at once.
+// Reconfigure applies a new revision of the configuration. Withdrawn and removed servers
+// get no new work from then on; requests running on them continue. Requests whose target
+// no server takes work for any more are refused at once.
 func (g *Group) Reconfigure(now monotime.Instant, cat *catalog.Catalog, out []Decision) []Decision {
 	g.cat = cat
 	g.lease = time.Duration(cat.Rules.GrantLeaseMS) * time.Millisecond
@@ -71,8 +71,8 @@
 	e.removed = false
 }
 
-// relinkEntries lets queued requests point at the new revision's classes and
-// customers; those that it no longer has keep the old ones until they end.
+// relinkEntries points the entries at the new revision's classes and customers. Entries
+// of those that the revision lacks keep the old ones until they end.
 func (g *Group) relinkEntries(cat *catalog.Catalog) {
 	for _, e := range g.entries {
 		if e.demand.Class != nil {
--- a/internal/sched/refuse.go
+++ b/internal/sched/refuse.go
@@ -8,7 +8,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// refusalKind selects reason and explanation of a refusal.
+// refusalKind selects the reason and the explanation of a refusal.
 type refusalKind uint8
 
 const (
@@ -29,13 +29,16 @@
 }
 
 const (
+	// minRetryAfter and maxRetryAfter bound Decision.RetryAfter. A shorter minimum makes
+	// refused callers add load by retrying at once; a longer maximum keeps them away
+	// after the load has ended. noServerRetryAfter applies while no server takes work for
+	// the target, for which no wait can be computed.
 	minRetryAfter      = 100 * time.Millisecond
 	maxRetryAfter      = 5 * time.Minute
 	noServerRetryAfter = 5 * time.Second
 )
 
-// refusal makes the decision that turns a request down; wait is the wait that
-// was expected for it.
+// refusal returns the decision that refuses a request; wait is the expected wait.
 func (g *Group) refusal(d *Demand, kind refusalKind, wait time.Duration) Decision {
 	g.counters.Refused++
 	retry := noServerRetryAfter
@@ -51,7 +54,7 @@
 	}
 }
 
-// admit queues a request, or refuses it at once when it cannot be on time.
+// admit queues a request, or refuses it at once if it cannot be on time.
 func (g *Group) admit(e *entry, now monotime.Instant, out []Decision) []Decision {
 	if e.latestStart < now {
 		out = append(out, g.refusal(&e.demand, refuseTooLate, g.backlog(e.pool, e.tier, now)))
@@ -76,8 +79,8 @@
 	return g.dispatch(now, out)
 }
 
-// shed refuses one waiting request of the lowest tier that waits: of the
-// customer with most requests there, the least urgent.
+// shed refuses one waiting request of the lowest tier with waiting requests: the least
+// urgent one of the customer with the most requests there.
 func (g *Group) shed(now monotime.Instant, out []Decision) []Decision {
 	for t := maxTiers - 1; t >= 0; t-- {
 		for _, p := range g.pools {
@@ -95,8 +98,8 @@
 	return out
 }
 
-// leastUrgent returns the entry that the account would be served last. Leaves
-// of a heap hold the largest key; looking at the last half is bounded by the
+// leastUrgent returns the entry of the account that would be served last. The largest key
+// of a heap is in a leaf, so it scans the last half of each heap; this is linear in the
 // queue's length and happens only when the queue is full.
 func leastUrgent(a *account) *entry {
 	var worst *entry
@@ -132,9 +135,9 @@
 	return out
 }
 
-// expectedWait is the wait that a new request must expect until it starts: the
-// work of higher tiers, its part of the work of its own, and what higher tiers
-// will bring meanwhile; or its turn by the floor, if that comes sooner.
+// expectedWait returns the expected time until a new request starts. It counts the work
+// of higher tiers, its part of the work of its own tier, and the arrivals expected in
+// higher tiers meanwhile. If the floor serves the request sooner, that time is returned.
 func (g *Group) expectedWait(e *entry, now monotime.Instant) time.Duration {
 	p := e.pool
 	if p.limit == 0 {
@@ -157,8 +160,8 @@
 	return p.drainTime(work+own, busy) + p.nextFree()
 }
 
-// workBefore is the slot time in the entry's tier that is served before it: what
-// can wait less long than the entry itself.
+// workBefore returns the slot time in the entry's tier that is served before it: the work
+// of classes whose requests can wait no longer than those of its own.
 func (g *Group) workBefore(e *entry, now monotime.Instant) float64 {
 	own := g.classQueueOf(e, now)
 	own.waitLimit.add(e.latestStart.Sub(now).Seconds(), budgetWeight)
@@ -171,20 +174,20 @@
 	return sum
 }
 
-// minRemainingShare bounds the part of the slots that higher tiers are expected to
-// leave, so that a wait stays finite.
+// minRemainingShare is the minimum part of the slots that higher tiers are expected to
+// leave; without it the wait would be infinite.
 const minRemainingShare = 0.02
 
-// drainTime is the time until so much slot time, in seconds, was served while
-// higher tiers keep a part of the slots busy.
+// drainTime returns the time until the given slot time, in seconds, has been served while
+// higher tiers keep the part busy of the slots occupied.
 func (p *pool) drainTime(work, busy float64) time.Duration {
 	return seconds(work / (float64(p.limit) * max(1-busy, minRemainingShare)))
 }
 
-// loadAbove returns the slot time that waits in higher tiers and the part of
-// the slots that their arrivals are sure to keep busy: the lesser of the rates
-// of the last seconds and of the last minute. A burst ends, and one refused for
-// its sake could often have been served after it.
+// loadAbove returns the slot time that waits in higher tiers, and the part of the slots
+// that their arrivals will keep busy: the lower of the rates over shortWindow and
+// longWindow. A burst ends, and a request refused because of one could often have been
+// served after it.
 func (g *Group) loadAbove(p *pool, tier int, now monotime.Instant) (work, busy float64) {
 	for t := range tier {
 		q := &p.tiers[t]
@@ -194,7 +197,7 @@
 	return work, busy / float64(p.limit)
 }
 
-// floorsBelow is the part of the slots that the floors of lower tiers may take.
+// floorsBelow returns the part of the slots that the floors of lower tiers may take.
 func (g *Group) floorsBelow(p *pool, tier int) float64 {
 	if !g.policy.Floor {
 		return 0
@@ -208,8 +211,8 @@
 	return share
 }
 
-// fairWorkBefore is the work before a new request of a customer under fair
-// sharing: the customer's own, stretched by what the others may take meanwhile.
+// fairWorkBefore returns the work served before a new request under fair sharing: the
+// customer's own, scaled up by what the other customers may take meanwhile.
 func (g *Group) fairWorkBefore(q *tierQueue, e *entry) float64 {
 	weight := max(e.demand.Customer.Weight, 1e-9)
 	a := q.accounts[e.demand.Customer.Hash]
@@ -219,7 +222,7 @@
 	return (a.work + e.work) * q.weights / weight
 }
 
-// timeToNextProbe is the time until the first ejected engine is probed again.
+// timeToNextProbe returns the time until the first ejected engine is probed again.
 func (p *pool) timeToNextProbe(now monotime.Instant) time.Duration {
 	soonest := noServerRetryAfter
 	for _, e := range p.engines {
@@ -230,7 +233,7 @@
 	return soonest
 }
 
-// nextFree is the expected time until any slot of a full lane gets free.
+// nextFree returns the expected time until any slot of a full pool is freed.
 func (p *pool) nextFree() time.Duration {
 	if p.limit == 0 || p.free > 0 {
 		return 0
@@ -238,7 +241,7 @@
 	return seconds(p.hold.mean / float64(p.limit))
 }
 
-// backlog is the wait that a request of a tier should expect in the lane.
+// backlog returns the wait that a request of a tier should expect in the pool.
 func (g *Group) backlog(p *pool, tier int, now monotime.Instant) time.Duration {
 	if p.limit == 0 {
 		return noServerRetryAfter
--- a/internal/sched/stats.go
+++ b/internal/sched/stats.go
@@ -6,28 +6,28 @@
 	"basilrudder/internal/monotime"
 )
 
-// Counters only grow.
+// Counters are monotonic counters of a group.
 type Counters struct {
-	// Submitted, Granted and Refused count requests and their decisions.
+	// Submitted counts requests, Granted and Refused the decisions about them.
 	Submitted uint64 `json:"submitted"`
 	Granted   uint64 `json:"granted"`
 	Refused   uint64 `json:"refused"`
-	// Expired counts refusals of requests that had waited.
+	// Expired counts requests that were refused after they had waited.
 	Expired uint64 `json:"expired"`
-	// LeasesExpired counts slots that nobody renewed.
+	// LeasesExpired counts slots freed because their holder did not renew them.
 	LeasesExpired uint64 `json:"leases_expired"`
-	// Adopted counts slots taken over from an earlier owner.
+	// Adopted counts slots that an earlier owner had granted.
 	Adopted uint64 `json:"adopted"`
 }
 
-// EngineStats is what the group believes of an engine.
+// EngineStats is the group's view of an engine.
 type EngineStats struct {
 	ID       string `json:"id"`
 	Inflight int    `json:"inflight"`
 	Limit    int    `json:"limit"`
-	// Slow is the pace against the median of its peers; 1 is as fast.
+	// Slow is the engine's slowdown relative to the median of its peers; 1 is as fast.
 	Slow float64 `json:"slow"`
-	// Ejected says that the engine gets no work because it failed.
+	// Ejected reports that the engine gets no work because it failed.
 	Ejected   bool `json:"ejected"`
 	Withdrawn bool `json:"withdrawn"`
 }
@@ -40,7 +40,7 @@
 	Held    int           `json:"held"`
 	Tiers   []int         `json:"waiting_by_tier"`
 	Engines []EngineStats `json:"engines"`
-	// Backlog is the longest wait over the lanes for the top tier.
+	// Backlog is the longest wait of the top tier over all pools.
 	Backlog time.Duration `json:"backlog_ns"`
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// Backlog is the wait that a request for the target should expect.
+// Backlog returns the wait that a new request for the target should expect.
 func (g *Group) Backlog(now monotime.Instant, target string, tier int) time.Duration {
 	p := g.poolByTarget[target]
 	if p == nil {
--- a/internal/sched/takeover.go
+++ b/internal/sched/takeover.go
@@ -2,17 +2,16 @@
 
 import "basilrudder/internal/monotime"
 
-// A new owner of a group starts with empty books, and all waiting requests are
-// asked for again at that moment. Without care it fills the slots that the old
-// owner kept free, and those that are in use but not told of yet, with lower
-// work, and the top tier waits behind it for seconds. Two things prevent that:
-// for a few hundred milliseconds, in which holders that know of the change tell
-// what they hold, only the tiers with headroom get slots; and for one lease, in
-// which holders that learn of it later renew, slots that an engine reports as in
-// use count as used.
+// A new owner of a group starts with no record of the slots in use, and all waiting
+// requests are submitted to it again at once. Unrestricted, it fills the slots that the
+// old owner kept free, and those in use but not reported yet, with lower-tier work, and
+// the top tier waits behind it for seconds. Two rules prevent that. For a few hundred
+// milliseconds, in which holders that have received the change report their slots, only
+// tiers with headroom get slots. For one further lease, in which the remaining holders
+// renew, slots that an engine reports as running count as used.
 
-// BeginTakeover starts the take-over of a group that other holders may be using. Until
-// the instant only the tiers with headroom get slots.
+// BeginTakeover starts the takeover of a group that holders may already be using. Until
+// the given instant only tiers with headroom get slots.
 func (g *Group) BeginTakeover(until monotime.Instant) {
 	g.restrictedUntil = until
 	g.takeoverEnd = until.Add(g.lease)
@@ -22,8 +21,8 @@
 	return g.policy.Headroom && now < g.restrictedUntil
 }
 
-// lowestTierWithHeadroom is the lowest tier that has headroom; the top tier counts
-// in any case.
+// lowestTierWithHeadroom returns the lowest tier that has headroom, or the top tier if
+// none has.
 func (g *Group) lowestTierWithHeadroom() int {
 	lowest := 0
 	for t, share := range g.headroom {
@@ -34,9 +33,9 @@
 	return lowest
 }
 
-// countUnclaimed compares a load report with the books. The reading is old, so
-// slots that came free since it was taken are no longer in use; without that a
-// burst that ends keeps the engine closed until the next report.
+// countUnclaimed derives the slots that are in use but claimed by no holder from the
+// engine's load report. Slots freed since the report was taken are subtracted; otherwise
+// the engine would stay closed after a burst until its next report.
 func (g *Group) countUnclaimed(e *engine, now monotime.Instant) {
 	if now >= g.takeoverEnd {
 		return
@@ -51,19 +50,19 @@
 	g.refreshEngine(e, now)
 }
 
-// recordFreedSlot notes when a slot came free, while a take-over lasts.
+// recordFreedSlot records when a slot was freed during a takeover.
 func (g *Group) recordFreedSlot(e *engine, now monotime.Instant) {
 	if now < g.takeoverEnd {
 		e.freedAt = append(e.freedAt, now)
 	}
 }
 
-// claimed notes that a holder claimed of a slot at the engine.
+// claimed records that a holder reported a slot at the engine.
 func (e *engine) claimed() {
 	e.unclaimed = max(0, e.unclaimed-1)
 }
 
-// endTakeover ends the take-over: every holder has renewed by now.
+// endTakeover ends the takeover once every holder must have renewed.
 func (g *Group) endTakeover(now monotime.Instant) {
 	if now < g.takeoverEnd {
 		return
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -7,37 +7,36 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// What the caller of the top tier sees: a slot at once. The owner of a group
-// died; every waiting request is asked for again at the new one before holders
-// told it what they hold. Lower work waits a moment, the top tier does not.
+// The owner of a group died, and every waiting request is submitted to the new owner
+// before holders have reported their slots. The top tier must get a slot at once; lower
+// tiers wait until the holders have had time to report.
 func TestNewOwnerServesTheTopTierBeforeHoldersReport(t *testing.T) {
 	f := newFixture(t, 2, 2, Default())
 	f.g.BeginTakeover(f.now.Add(400 * time.Millisecond))
 	low := f.submit(2, "ann")
 	top := f.submit(0, "ben")
 	if _, ok := f.granted[low]; ok {
-		t.Error("lower work got a slot before holders could tell")
+		t.Error("a lower tier got a slot before holders could report")
 	}
 	if _, ok := f.granted[top]; !ok {
-		t.Error("the top tier waits")
+		t.Error("the top-tier request waits")
 	}
 	f.advance(500 * time.Millisecond)
 	if _, ok := f.granted[low]; !ok {
-		t.Error("lower work still waits after the take-over")
+		t.Error("the lower tier still waits after the takeover")
 	}
 }
 
-// What the caller of the top tier sees: a slot that is really free. A holder has
-// not heard of the new owner and renews with the old one; the engine reports the
-// slot as in use, so the new owner does not hand it out, until the holder has
-// told or its lease is over.
+// A holder that has not received the change of owner renews with the old one. The engine
+// reports its slots as running, so the new owner must not grant them until the holder
+// reports them or its lease has expired.
 func TestNewOwnerCountsSlotsThatAnEngineReports(t *testing.T) {
 	f := newFixture(t, 1, 2, Default())
 	f.g.BeginTakeover(f.now)
 	f.g.LoadReport(f.now, "s0/e", engineapi.LoadReport{Engine: "e", Running: 2})
 	waits := f.submit(0, "ann")
 	if _, ok := f.granted[waits]; ok {
-		t.Error("got a slot that the engine reports as in use")
+		t.Error("granted a slot that the engine reports as running")
 	}
 	f.g.Adopt(f.now, Ticket{Holder: "other", Seq: 1}, HeldSlot{Engine: "s0/e"})
 	if stats := f.g.Stats(); stats.Held != 1 {
@@ -45,12 +44,12 @@
 	}
 	f.advance(3500 * time.Millisecond)
 	if _, ok := f.granted[waits]; !ok && len(f.refused) == 0 {
-		t.Error("still waits after every lease is over")
+		t.Error("still waits after every lease has expired")
 	}
 }
 
-// What operators see: a class keeps its measured length through a change of the
-// owner. The new owner starts from what its instance measured as an entry.
+// The measured length of a class must survive a change of owner: the new owner starts
+// from what its instance measured as a holder.
 func TestNewOwnerStartsFromItsOwnMeasurements(t *testing.T) {
 	m := NewMeasurements()
 	f := newFixture(t, 1, 2, Default())
@@ -64,13 +63,12 @@
 		t.Errorf("expected hold %v s, want 3", hold)
 	}
 	if got := m.ExpectedHold(class); got != 3*time.Second {
-		t.Errorf("told hold %v, want 3s", got)
+		t.Errorf("reported hold %v, want 3s", got)
 	}
 }
 
-// What the caller sees: a slot as soon as there is one. The engine's report is a
-// second old and from the height of a burst; the slots that came free since do
-// not count as in use.
+// An engine's load report is a second old and dates from the peak of a burst. Slots freed
+// since then must not count as in use.
 func TestSlotsFreedSinceAReportAreFree(t *testing.T) {
 	f := newFixture(t, 1, 2, Default())
 	f.g.BeginTakeover(f.now)
@@ -84,6 +82,6 @@
 	f.g.LoadReport(f.now, "s0/e", engineapi.LoadReport{Engine: "e", Running: 2, AgeMS: 900})
 	top := f.submit(0, "ann")
 	if _, ok := f.granted[top]; !ok {
-		t.Error("no slot, though both are free")
+		t.Error("no slot granted, though both are free")
 	}
 }
