--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -220,7 +220,7 @@
 func (f *limitedFleet) forget(i *linkedInstance) {
 	for server := range f.rates {
 		i.fleet.update("start", func(r *servers.Registry, now monotime.Instant) []string {
-			r.SetBound(server, servers.Bound{At: now})
+			r.SetRateLimit(server, servers.RateLimit{At: now})
 			return []string{server}
 		})
 	}
@@ -287,7 +287,7 @@
 			t.Error("at a peer:", taken)
 		}
 		f.Heard("b", servers.Notice{Pause: time.Second}, now, monotime.Now())
-		if refused, _ := placedOn(f, 50*time.Millisecond); refused != placement.AllBounded {
+		if refused, _ := placedOn(f, 50*time.Millisecond); refused != placement.AllLimited {
 			t.Error("with nobody left:", refused)
 		}
 		time.Sleep(200 * time.Millisecond)
