--- a/internal/gateway/caches.go
+++ b/internal/gateway/caches.go
@@ -58,7 +58,7 @@
 	var lists errgroup.Group
 	lists.SetLimit(maxConcurrentLists)
 	for _, s := range g.ownedEngines() {
-		if g.fleet.board.CacheLearned(s.ID) {
+		if g.fleet.board.CacheReported(s.ID) {
 			continue
 		}
 		lists.Go(func() error {
@@ -104,7 +104,7 @@
 	if len(parts) == 0 {
 		return
 	}
-	g.fleet.board.Learn(s.ID, parts, monotime.Now())
+	g.fleet.board.RecordCachedParts(s.ID, parts, monotime.Now())
 	recent := parts[max(0, len(parts)-partsPerEngine(g.fleet.serverCount())):]
 	g.fleet.updates.addCache(wire.RelayCache{Server: s.ID, Parts: encodeParts(recent)})
 }
@@ -125,7 +125,7 @@
 		p.cachesComplete.Store(true)
 	}
 	for _, cache := range update.Caches {
-		p.fleet.board.Learn(cache.Server, decodeParts(cache.Parts), now)
+		p.fleet.board.RecordCachedParts(cache.Server, decodeParts(cache.Parts), now)
 	}
 }
 
@@ -133,7 +133,7 @@
 // only.
 func (f *fleet) cacheStates() []wire.RelayCache {
 	var out []wire.RelayCache
-	for id, parts := range f.board.Kept(partsPerEngine(f.serverCount())) {
+	for id, parts := range f.board.CachedParts(partsPerEngine(f.serverCount())) {
 		out = append(out, wire.RelayCache{Server: id, Parts: encodeParts(parts)})
 	}
 	return out
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -28,11 +28,11 @@
 	refused atomic.Int64
 
 	mu   sync.Mutex
-	book *crashes.Book
+	book *crashes.Tracker
 }
 
 func newCrashTracker(updates *updateBatcher, log *zap.Logger) *crashTracker {
-	return &crashTracker{log: log, updates: updates, book: crashes.NewBook()}
+	return &crashTracker{log: log, updates: updates, book: crashes.NewTracker()}
 }
 
 // Suspects implements relay.Fleet.
@@ -56,7 +56,7 @@
 func (c *crashTracker) isPoison(request crashes.Fingerprint, now monotime.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := c.book.Culprit(request, now)
+	found := c.book.Poison(request, now)
 	if found {
 		c.refused.Add(1)
 	}
@@ -119,7 +119,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, crash := range c.book.Known() {
+	for _, crash := range c.book.Crashes() {
 		out = append(out, encodeCrash(crash, now))
 	}
 	for request, at := range c.book.ServedAt() {
@@ -153,7 +153,7 @@
 func ageMS(at, now monotime.Instant) int { return int(max(0, now.Sub(at)).Milliseconds()) }
 
 func decodeCrash(received wire.RelayCrash, now monotime.Instant) (out crashes.Crash, ok bool) {
-	if len(received.Request) != len(out.Request) || received.AgeMS < 0 || received.AgeMS > int(crashes.Memory.Milliseconds()) {
+	if len(received.Request) != len(out.Request) || received.AgeMS < 0 || received.AgeMS > int(crashes.Retention.Milliseconds()) {
 		return out, false
 	}
 	copy(out.Request[:], received.Request)
@@ -186,5 +186,5 @@
 func (c *crashTracker) metrics() crashMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return crashMetrics{Suspects: c.book.Len(), PoisonRequests: c.book.Culprits(), Refused: c.refused.Load()}
+	return crashMetrics{Suspects: c.book.Len(), PoisonRequests: c.book.PoisonCount(), Refused: c.refused.Load()}
 }
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -43,7 +43,7 @@
 		reader.updates.flush()
 		follower.installConfig(config(7), "peer")
 		put(follower, "peer", entry("ghost", 3))
-		fd.applyChanges(&Changes{Removals: []servers.Mark{{Name: "left", Revision: 9}}, Revision: 9})
+		fd.applyChanges(&Changes{Removals: []servers.EntryRef{{Name: "left", Revision: 9}}, Revision: 9})
 		reader.updates.flush()
 
 		fd.applyAll(&Changes{
@@ -52,7 +52,7 @@
 		})
 		fd.applyChanges(&Changes{Servers: []servers.Server{entry("new", revision(t, 1, 3))}, Revision: revision(t, 1, 3)})
 		reader.updates.flush()
-		time.Sleep(servers.LapseGrace)
+		time.Sleep(servers.RemovalGrace)
 		for name, f := range map[string]*fleet{"reader": reader, "follower": follower} {
 			f.changeServers(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
 			if diff := cmp.Diff([]string{"a", "new"}, ready(f)); diff != "" {
@@ -80,7 +80,7 @@
 		reader.updates.flush()
 		fd.applyAll(&Changes{Servers: []servers.Server{entryIn("a", "north", revision(t, 1, 1))}, Revision: revision(t, 1, 2)})
 		settle := func() {
-			reader.changeEvacuations(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.SettleEvacuations(monotime.Now()) })
+			reader.changeEvacuations(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.ApplyDeferredEvacuations(monotime.Now()) })
 			reader.updates.flush()
 		}
 		settle()
@@ -90,7 +90,7 @@
 		time.Sleep(3 * time.Second)
 		settle()
 		time.Sleep(3 * time.Second)
-		follower.changeEvacuations(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.SettleEvacuations(monotime.Now()) })
+		follower.changeEvacuations(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.ApplyDeferredEvacuations(monotime.Now()) })
 		if len(reader.evacuatedDataCentres()) != 0 || len(follower.evacuatedDataCentres()) != 0 {
 			t.Error("after it:", reader.evacuatedDataCentres(), follower.evacuatedDataCentres())
 		}
@@ -105,7 +105,7 @@
 		f, fd, _ := newFleet()
 		fd.applyAll(&Changes{Config: config(1), Servers: []servers.Server{entry("a", 1)}, Revision: 1})
 		deliver := deliverUpdatesTo(f)
-		for _, damaged := range []servers.Revision{-1, revision(t, servers.MostEra, 1)} {
+		for _, damaged := range []servers.Revision{-1, revision(t, servers.MaxEra, 1)} {
 			deliver(&wire.RelayNews{
 				Servers:       []wire.RelayServer{{ID: "b", Name: "b", Service: "svc", Revision: int(damaged)}, {ID: "a", Gone: true, Revision: int(damaged)}},
 				ServersListed: int(damaged),
@@ -134,7 +134,7 @@
 		f.Observe("a", placement.Unreachable, monotime.Now())
 		fd.applyAll(&Changes{Servers: []servers.Server{entryIn("a", "north", revision(t, 1, 1))}, Revision: revision(t, 1, 1)})
 		time.Sleep(100 * time.Millisecond)
-		f.throttle.Reached("a", f.coldLimit("svc"), monotime.Now())
+		f.throttle.MarkReachable("a", f.coldLimit("svc"), monotime.Now())
 		time.Sleep(600 * time.Millisecond)
 		f.confirmedByStore.Store(int64(monotime.Now()))
 		if n := countPlaced(t, f); n < 4 || n > 6 {
--- a/internal/gateway/evacuations.go
+++ b/internal/gateway/evacuations.go
@@ -19,7 +19,7 @@
 	now := monotime.Now()
 	f.changeEvacuations(from, func(r *servers.Registry) (changed []servers.Evacuation) {
 		for _, e := range list {
-			if r.Plausible(e.Revision) && r.Evacuate(e, now) {
+			if r.Plausible(e.Revision) && r.ApplyEvacuation(e, now) {
 				changed = append(changed, e)
 			}
 		}
@@ -32,7 +32,7 @@
 // evacuation ended count as cold.
 func (f *fleet) changeEvacuations(from string, change func(r *servers.Registry) []servers.Evacuation) {
 	now := monotime.Now()
-	coldStart := func(service string) time.Duration { return f.coldLimit(service).Lasts }
+	coldStart := func(service string) time.Duration { return f.coldLimit(service).Duration }
 	f.mu.Lock()
 	before := f.registry.Latest()
 	changed := change(f.registry)
--- a/internal/gateway/feed.go
+++ b/internal/gateway/feed.go
@@ -209,7 +209,7 @@
 		return
 	}
 	f.fleet.mu.Lock()
-	f.fleet.registry.StoreReturned(monotime.Now())
+	f.fleet.registry.StoreRecovered(monotime.Now())
 	f.fleet.mu.Unlock()
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -130,7 +130,7 @@
 	g.fleet = &fleet{
 		self:     s.Instance.ID,
 		log:      cfg.Log,
-		board:    placement.NewBoard(pace.Neutral, s.Instance.DataCentre),
+		board:    placement.NewBoard(pace.DefaultPrior, s.Instance.DataCentre),
 		budget:   newRetryBudget(s.Retries.Ratio, s.Retries.Burst, seconds(s.Retries.WindowS)),
 		registry: servers.New(),
 		updates:  newUpdateBatcher(),
@@ -140,7 +140,7 @@
 	}
 	g.fleet.crashes = newCrashTracker(g.fleet.updates, cfg.Log)
 	g.fleet.resetConfirmations()
-	g.fleet.board.SetNoise(placementJitter(0, 1))
+	g.fleet.board.SetCostJitter(placementJitter(0, 1))
 	g.feed = &feed{
 		source: cfg.Source, fleet: g.fleet, log: cfg.Log,
 		minWatch: milliseconds(s.Store.WatchMS), answerTimeout: milliseconds(s.Store.TimeoutMS),
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -96,7 +96,7 @@
 func newFleet() (*fleet, *feed, *fakeSource) {
 	source := &fakeSource{}
 	f := &fleet{
-		self: "me", log: zap.NewNop(), board: placement.NewBoard(pace.Neutral, "here"),
+		self: "me", log: zap.NewNop(), board: placement.NewBoard(pace.DefaultPrior, "here"),
 		budget: newRetryBudget(0.2, 56, 10*time.Second), members: func() int { return 8 },
 		registry: servers.New(), updates: newUpdateBatcher(),
 		throttle: throttle.New("me", monotime.Now()),
@@ -128,7 +128,7 @@
 		down := result{err: errors.New("down"), after: time.Second}
 		source.all = []result{{changes: &Changes{Config: config(1), Servers: []servers.Server{entry("a", 1), entry("b", 2)}, Revision: 2}}}
 		source.watch = []result{down, down, down, down,
-			{changes: &Changes{Removals: []servers.Mark{{Name: "a", Revision: 3}, {Name: "b", Revision: 4}}, Revision: 4}},
+			{changes: &Changes{Removals: []servers.EntryRef{{Name: "a", Revision: 3}, {Name: "b", Revision: 4}}, Revision: 4}},
 			{changes: &Changes{Servers: []servers.Server{entry("a", 5)}, Revision: 5}, after: time.Second}}
 		ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second)
 		defer cancel()
@@ -136,7 +136,7 @@
 		if diff := cmp.Diff([]string{"a", "b"}, ready(f)); diff != "" {
 			t.Error("within the grace", diff)
 		}
-		time.Sleep(servers.LapseGrace)
+		time.Sleep(servers.RemovalGrace)
 		f.changeServers(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
 		if diff := cmp.Diff([]string{"a"}, ready(f)); diff != "" {
 			t.Error("after the grace", diff)
@@ -150,7 +150,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
 		source.all = []result{{changes: &Changes{Servers: []servers.Server{entry("a", 1)}, Revision: 1}}}
-		source.watch = []result{{err: errors.New("timeout")}, {changes: &Changes{Removals: []servers.Mark{{Name: "a", Revision: 2}}, Revision: 2}}}
+		source.watch = []result{{err: errors.New("timeout")}, {changes: &Changes{Removals: []servers.EntryRef{{Name: "a", Revision: 2}}, Revision: 2}}}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_ = fd.run(ctx)
@@ -504,7 +504,7 @@
 		for k := range 40 {
 			kept = append(kept, placement.Part{ID: fmt.Sprint(id, "-", k), Tokens: 1000})
 		}
-		f.board.Learn(id, kept, monotime.Now())
+		f.board.RecordCachedParts(id, kept, monotime.Now())
 	}
 	sent := 0
 	for _, cache := range f.cacheStates() {
--- a/internal/gateway/paces.go
+++ b/internal/gateway/paces.go
@@ -28,7 +28,7 @@
 // sendPaceStats sends this instance's statistics of engine pace to the others, when due.
 func (g *Gateway) sendPaceStats(now monotime.Instant) {
 	interval := max(paceStatsInterval, time.Duration(g.peers.count())*paceStatsPerPeer)
-	if g.fleet.board.Learned() < fewSamples {
+	if g.fleet.board.MinPaceSamples() < fewSamples {
 		interval = earlyPaceStatsInterval
 	}
 	if now.Sub(g.paceStatsSentAt) < interval {
@@ -42,7 +42,7 @@
 
 func (f *fleet) paceStats() []wire.RelayEvidence {
 	var out []wire.RelayEvidence
-	for service, e := range f.board.Evidence() {
+	for service, e := range f.board.PaceStatistics() {
 		out = append(out, wire.RelayEvidence{
 			Service: service, StepSamples: e.StepSamples, FirstSamples: e.FirstSamples, Sums: e.Sums,
 		})
@@ -53,8 +53,8 @@
 // applyPaceStats applies the statistics of engine pace that a peer sent.
 func (p *peers) applyPaceStats(from string, update *wire.RelayNews) {
 	for _, e := range update.Evidence {
-		stats := pace.Evidence{StepSamples: e.StepSamples, FirstSamples: e.FirstSamples, Sums: e.Sums}
-		if !p.fleet.board.Hear(from, e.Service, stats) {
+		stats := pace.Statistics{StepSamples: e.StepSamples, FirstSamples: e.FirstSamples, Sums: e.Sums}
+		if !p.fleet.board.MergePaceStatistics(from, e.Service, stats) {
 			p.log.Warn("evidence_refused", zap.String("peer", from), zap.String("service", e.Service), zap.Int("numbers", len(e.Sums)))
 		}
 	}
@@ -83,7 +83,7 @@
 // size beside a typical number of runs.
 func pacesDiffer(a, b pace.Pace) bool {
 	const unread, prompt, runs, output = 2000, 8000, 20, 200
-	before := float64(a.First + a.Prompt(unread, prompt, runs) + output*a.Plain(runs))
-	after := float64(b.First + b.Prompt(unread, prompt, runs) + output*b.Plain(runs))
+	before := float64(a.First + a.Prompt(unread, prompt, runs) + output*a.DecodeStep(runs))
+	after := float64(b.First + b.Prompt(unread, prompt, runs) + output*b.DecodeStep(runs))
 	return math.Abs(after-before) > minPaceChange*before
 }
--- a/internal/gateway/periodic.go
+++ b/internal/gateway/periodic.go
@@ -46,13 +46,13 @@
 		case <-ticker.C:
 		}
 		g.fleet.changeServers(fromTimer, func(r *servers.Registry, now monotime.Instant) []string { return r.Expire(now) })
-		g.fleet.changeEvacuations(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.SettleEvacuations(monotime.Now()) })
+		g.fleet.changeEvacuations(fromTimer, func(r *servers.Registry) []servers.Evacuation { return r.ApplyDeferredEvacuations(monotime.Now()) })
 		g.checkIsolation()
 		g.sendPaceStats(monotime.Now())
 		g.peers.tick(monotime.Now())
 		instances := g.peers.count()
 		g.fleet.board.SetPeers(instances-1, g.peers.staleness())
-		g.fleet.board.SetNoise(placementJitter(monotime.Now().Sub(g.started), instances))
+		g.fleet.board.SetCostJitter(placementJitter(monotime.Now().Sub(g.started), instances))
 		if n%ticksPerSweep == 0 {
 			g.relay.Sweep(g.fleet.hasServer)
 			g.fleet.crashes.expire(monotime.Now())
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -25,7 +25,7 @@
 	f.mu.Unlock()
 	candidates, throttled := f.candidates(list, published, &work, excluded, now)
 	if len(candidates) == 0 && throttled {
-		return relay.Target{}, placement.AllBounded
+		return relay.Target{}, placement.AllLimited
 	}
 	for _, s := range sources {
 		if !f.regions.allow(work.Homes, s.DataCentre) {
@@ -93,12 +93,12 @@
 // are left out because they are at their limit.
 func (f *fleet) candidates(list []servers.Server, service *routing.Service, work *placement.Work, excluded map[string]bool, now monotime.Instant) (out []placement.Candidate, throttled bool) {
 	request := f.limiterRequest(service.Name, work, now)
-	request.Scarce = f.allThrottled(list, request, now)
+	request.AllLimited = f.allThrottled(list, request, now)
 	out = make([]placement.Candidate, 0, len(list))
 	for _, s := range list {
 		switch {
 		case excluded[s.ID], !f.regions.allow(work.Homes, s.DataCentre):
-		case !f.throttle.Open(s.ID, request, now):
+		case !f.throttle.Allows(s.ID, request, now):
 			throttled = true
 		default:
 			out = append(out, candidate(s, service))
@@ -108,22 +108,22 @@
 }
 
 // limiterRequest returns what the limiter is asked for a request.
-func (f *fleet) limiterRequest(service string, work *placement.Work, now monotime.Instant) throttle.Ask {
-	return throttle.Ask{Limit: f.coldLimit(service), Priority: work.Priority, StoreWord: f.serversConfirmedAt(now)}
+func (f *fleet) limiterRequest(service string, work *placement.Work, now monotime.Instant) throttle.Request {
+	return throttle.Request{ColdLimit: f.coldLimit(service), Priority: work.Priority, StoreConfirmedAt: f.serversConfirmedAt(now)}
 }
 
 // coldLimit returns the limit of cold servers of a service; no limit if none is
 // published.
-func (f *fleet) coldLimit(service string) throttle.Limit {
+func (f *fleet) coldLimit(service string) throttle.ColdLimit {
 	table := f.table.Load()
 	if table == nil {
-		return throttle.Limit{}
+		return throttle.ColdLimit{}
 	}
 	published := table.Service(service)
 	if published == nil {
-		return throttle.Limit{}
+		return throttle.ColdLimit{}
 	}
-	return throttle.Limit{Rate: published.ColdRate, Lasts: published.ColdStart}
+	return throttle.ColdLimit{Rate: published.ColdRate, Duration: published.ColdStart}
 }
 
 // coldServers returns the ids of the servers that are cold now.
@@ -140,9 +140,9 @@
 }
 
 // allThrottled reports whether each server of a list has a limit now.
-func (f *fleet) allThrottled(list []servers.Server, ask throttle.Ask, now monotime.Instant) bool {
+func (f *fleet) allThrottled(list []servers.Server, ask throttle.Request, now monotime.Instant) bool {
 	for _, s := range list {
-		if !f.throttle.Bounded(s.ID, ask, now) {
+		if !f.throttle.Limited(s.ID, ask, now) {
 			return false
 		}
 	}
--- a/internal/gateway/serverstate.go
+++ b/internal/gateway/serverstate.go
@@ -33,7 +33,7 @@
 		Slots: s.Slots, Draining: s.Draining, Invalid: s.Invalid, Revision: int(s.Revision),
 		ColdMS: int(max(0, f.registry.ColdUntil(id).Sub(now)).Milliseconds()),
 	}
-	encodeLimit(&state, f.registry.Bound(id), now)
+	encodeLimit(&state, f.registry.RateLimit(id), now)
 	return state, true
 }
 
@@ -142,13 +142,13 @@
 func (f *fleet) latestRevision() (revision servers.Revision, unconfirmed int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.registry.Latest(), f.registry.Doubtful()
+	return f.registry.Latest(), f.registry.CountInGrace()
 }
 
 // applyServerState passes a changed server on to the placement board and the limiter.
 func (f *fleet) applyServerState(state *wire.RelayServer, now monotime.Instant) {
 	if state.Gone {
-		f.board.Forget(state.ID)
+		f.board.RemoveServer(state.ID)
 		f.throttle.Forget(state.ID)
 		return
 	}
@@ -158,9 +158,9 @@
 	}
 	f.throttle.SetCold(state.ID, until)
 	if state.Limited {
-		f.throttle.SetNamed(state.ID, state.Rate)
+		f.throttle.SetRateLimit(state.ID, state.Rate)
 	} else {
-		f.throttle.ClearNamed(state.ID)
+		f.throttle.ClearRateLimit(state.ID)
 	}
 }
 
@@ -169,11 +169,11 @@
 func (f *fleet) rebuildServerLists(table *routing.Table) {
 	published := func(service string) bool { return table == nil || table.Service(service) != nil }
 	f.byService = make(map[string][]servers.Server)
-	for _, s := range f.registry.Taking(published) {
+	for _, s := range f.registry.Accepting(published) {
 		f.byService[s.Service] = append(f.byService[s.Service], s)
 	}
 	f.sources = make(map[string][]servers.Server)
-	for _, s := range f.registry.Sheltered(published) {
+	for _, s := range f.registry.EvacuatedServers(published) {
 		f.sources[s.Service] = append(f.sources[s.Service], s)
 	}
 }
--- a/internal/gateway/source.go
+++ b/internal/gateway/source.go
@@ -24,9 +24,9 @@
 	// Servers holds the entries as they were written.
 	Servers []servers.Server
 	// Removals holds the entries that were removed or expired.
-	Removals []servers.Mark
+	Removals []servers.EntryRef
 	// Invalid holds the entries that cannot be read.
-	Invalid []servers.Mark
+	Invalid []servers.EntryRef
 	// Evacuations holds those that began or, in a watch, ended.
 	Evacuations []servers.Evacuation
 	// Revision is the revision up to which the changes are complete.
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -67,10 +67,10 @@
 	}
 	for _, r := range update.Begun {
 		board.Begin(placement.RunID{Instance: origin, Number: r.Number}, r.Server, decodeRun(r), r.Unread, now)
-		p.fleet.throttle.Note(r.Server, now)
+		p.fleet.throttle.RecordRequest(r.Server, now)
 	}
 	for _, number := range update.First {
-		board.First(placement.RunID{Instance: origin, Number: number}, now)
+		board.FirstEvent(placement.RunID{Instance: origin, Number: number}, now)
 	}
 	for _, number := range update.Ended {
 		board.End(placement.RunID{Instance: origin, Number: number}, now)
@@ -85,11 +85,11 @@
 	for _, r := range update.Begun {
 		states = append(states, placement.RunState{Number: r.Number, Server: r.Server, Work: decodeRun(r), Unread: r.Unread})
 	}
-	for _, s := range board.Keep(origin, states, now) {
+	for _, s := range board.ReconcileRuns(origin, states, now) {
 		board.Begin(placement.RunID{Instance: origin, Number: s.Number}, s.Server, s.Work, s.Unread, now)
 	}
 	for _, number := range update.First {
-		board.First(placement.RunID{Instance: origin, Number: number}, now)
+		board.FirstEvent(placement.RunID{Instance: origin, Number: number}, now)
 	}
 }
 
@@ -225,7 +225,7 @@
 			}
 			change := servers.Unchanged
 			if s.Gone {
-				change = r.Bury(s.ID, servers.Revision(s.Revision), now)
+				change = r.MarkGone(s.ID, servers.Revision(s.Revision), now)
 			} else {
 				change = r.Put(servers.Server{
 					ID: s.ID, Name: s.Name, Born: int64(s.Born), Service: s.Service, Address: s.Address, DataCentre: s.DataCentre,
@@ -233,13 +233,13 @@
 					ColdLeft: milliseconds(s.ColdMS),
 				}, now)
 			}
-			bound := r.SetBound(s.ID, decodeLimit(&s, now))
+			bound := r.SetRateLimit(s.ID, decodeLimit(&s, now))
 			if change != servers.Unchanged || bound != servers.Unchanged {
 				ids = append(ids, s.ID)
 			}
 		}
 		if listed != 0 && r.Plausible(listed) {
-			ids = append(ids, r.TakeListed(present, listed, now)...)
+			ids = append(ids, r.ApplyPeerList(present, listed, now)...)
 		}
 		return ids
 	})
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -1,3 +1,5 @@
+// Package placement models the load, caches and speed of all servers, and chooses a server for
+// each request.
 package placement
 
 import (
@@ -10,19 +12,21 @@
 )
 
 const (
-	// runLife bounds how long a run is believed in without its end being told:
-	// above the longest deadline of a request, so that lost news heal.
-	runLife = 20 * time.Second
-	// cacheShare is the part of an engine's memory believed to hold cached
-	// parts; the rest is in use by running requests.
+	// maxRunAge is the age at which a run whose end was not reported is ended. It is
+	// above the longest deadline of a request; a shorter one would end runs that still
+	// run. It bounds how long a lost update keeps a run on a server.
+	maxRunAge = 20 * time.Second
+	// cacheShare is the part of an engine's memory assumed to hold cached parts; running
+	// requests use the rest. A larger share counts parts as cached that the engine has
+	// evicted, a smaller one has cached parts read again.
 	cacheShare = 0.75
 )
 
 // Board is the model of all servers. It is safe for concurrent use.
 type Board struct {
-	prior pace.Pace
-	home  string // data centre of this instance
-	noise float64
+	prior      pace.Pace
+	home       string // data centre of this instance
+	costJitter float64
 
 	mu         sync.Mutex
 	rand       *rand.Rand
@@ -30,49 +34,50 @@
 	servers    map[string]*server
 	kinds      map[string]*engineKind // by service
 	runs       map[RunID]*run
-	// used is when a part of a prompt was last sent to any server.
-	used map[string]monotime.Instant
-	// gaps are the bounds of pauses in use, with their last use.
-	gaps map[time.Duration]monotime.Instant
+	// partUsedAt is when each part of a prompt was last sent to any server.
+	partUsedAt map[string]monotime.Instant
+	// gapLimitUsedAt is when each limit of pauses (Work.MaxGap) was last used.
+	gapLimitUsedAt map[time.Duration]monotime.Instant
 	// goals are the times to the first event for full credit, by kind of stream.
 	goals map[streamKind]time.Duration
-	// meanRead is the mean share of reading of the engines that are being chosen
-	// from, meanHazard their mean rate of pauses too long for the request, and
-	// meanUrgent the mean share of reading that is more urgent than it.
+	// Means over the engines that a request can be placed on, set for each choice:
+	// meanRead of the share of time spent reading, meanHazard of the rate of pauses too
+	// long for the request, and meanUrgent of the share of time spent reading more urgent
+	// prompts.
 	meanRead, meanHazard, meanUrgent float64
-	swept                            monotime.Instant
+	sweptAt                          monotime.Instant
 }
 
-// NewBoard returns an empty Board for an instance in a data centre. prior is
-// assumed of the engines of each service until it is learned how fast they are.
+// NewBoard returns an empty Board for an instance in a data centre. prior is the assumed
+// pace of the engines of each service until samples are taken.
 func NewBoard(prior pace.Pace, dataCentre string) *Board {
 	return &Board{
-		prior:   prior,
-		home:    dataCentre,
-		rand:    newRand(),
-		servers: make(map[string]*server),
-		kinds:   make(map[string]*engineKind),
-		runs:    make(map[RunID]*run),
-		used:    make(map[string]monotime.Instant),
-		gaps:    make(map[time.Duration]monotime.Instant),
-		goals:   make(map[streamKind]time.Duration),
+		prior:          prior,
+		home:           dataCentre,
+		rand:           newRand(),
+		servers:        make(map[string]*server),
+		kinds:          make(map[string]*engineKind),
+		runs:           make(map[RunID]*run),
+		partUsedAt:     make(map[string]monotime.Instant),
+		gapLimitUsedAt: make(map[time.Duration]monotime.Instant),
+		goals:          make(map[streamKind]time.Duration),
 	}
 }
 
-// Seed has all choices by chance follow from a number, for runs that can be repeated.
+// Seed seeds all random choices, for reproducible runs.
 func (b *Board) Seed(seed uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.rand = rand.New(rand.NewPCG(seed, seed))
 }
 
-// SetNoise has up to so much added to the cost of each server, by chance, each
-// time one is chosen. Instances that know each other's choices late would all
-// choose the same one otherwise.
-func (b *Board) SetNoise(noise float64) {
+// SetCostJitter sets the maximum random amount that is added to the cost of each server
+// at each choice. Without it, instances that receive each other's choices late would all
+// choose the same server.
+func (b *Board) SetCostJitter(jitter float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.noise = noise
+	b.costJitter = jitter
 }
 
 // Candidate is a server that may take a request.
@@ -81,20 +86,22 @@
 	ID string
 	// Service it belongs to.
 	Service string
-	// DataCentre it stands in.
+	// DataCentre it is located in.
 	DataCentre string
-	// Slots is the number of requests it runs at once.
+	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// MemoryTokens is its room for prompts; 0 when it is no engine.
+	// MemoryTokens is the capacity of its memory in tokens; 0 for a server that is no
+	// engine.
 	MemoryTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// TokenBytes is the memory of one token of a prompt; 0 when parts of a
-	// prompt can't be fetched from another engine.
+	// TokenBytes is the memory of one token of a prompt; 0 when parts of a prompt can't
+	// be fetched from another engine.
 	TokenBytes int
-	// LinkMbps is how fast that memory travels, in Mbit/s.
+	// LinkMbps is the rate at which that memory is transferred, in Mbit/s.
 	LinkMbps float64
-	// SourceOnly servers take no requests now; parts of prompts may be fetched from them.
+	// SourceOnly marks a server that takes no requests, but from which parts of prompts
+	// may be fetched.
 	SourceOnly bool
 }
 
@@ -102,9 +109,9 @@
 	s := b.servers[c.ID]
 	if s == nil {
 		s = &server{
-			id: c.ID, runs: make(map[RunID]*run), holders: make(map[string]int), sums: newSums(), cache: newPartCache(),
+			id: c.ID, runs: make(map[RunID]*run), partHolders: make(map[string]int), streamCounts: newStreamCounts(), cache: newPartCache(),
 			kind: b.kindOf(c.Service), slow: 1,
-			hazards: make(map[time.Duration]*hazard), punctual: make(map[streamKind]*punctual),
+			hazards: make(map[time.Duration]*hazard), onTime: make(map[streamKind]*onTimeStreams),
 		}
 		b.servers[c.ID] = s
 	}
@@ -117,8 +124,8 @@
 	return s
 }
 
-// Forget drops the model of an incarnation that is gone.
-func (b *Board) Forget(id string) {
+// RemoveServer removes the model of an incarnation that is gone, and its runs.
+func (b *Board) RemoveServer(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[id]
@@ -131,109 +138,111 @@
 	delete(b.servers, id)
 }
 
-// Begin notes that a request was sent to a server, by this instance or a peer.
+// Begin records that this instance or a peer sent a request to a server. unread is the
+// number of prompt tokens that the server has to read.
 func (b *Board) Begin(id RunID, serverID string, work Work, unread int, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sweep(now)
 	if b.runs[id] == nil && work.Prompt > 0 {
-		b.contention.begun[counted(work.Priority)].add(now)
+		b.contention.begun[priorityIndex(work.Priority)].add(now)
 		b.server(Candidate{ID: serverID}).arrivals.add(now)
 	}
-	b.end(id, now) // told again over a new link
+	b.end(id, now) // a peer reports its runs again over a new link
 	s := b.server(Candidate{ID: serverID})
-	s.tick(now)
+	s.advance(now)
 	s.begun++
-	s.urgencyAt = 0
+	s.delayCostAt = 0
 	r := &run{server: s, work: work, unread: unread, begun: now, order: s.begun, alone: len(s.queue.runs) == 0}
 	readTo := now
 	if unread > 0 {
 		speed := s.pace(now)
-		readTo = now.Add(s.queue.ahead(&work, now) + speed.Prompt(unread, work.Prompt, len(s.runs)))
-		r.left = readingTime(&speed, unread, work.Prompt, len(s.runs))
+		readTo = now.Add(s.queue.timeAhead(&work, now) + speed.Prompt(unread, work.Prompt, len(s.runs)))
+		r.readLeft = readingTime(&speed, unread, work.Prompt, len(s.runs))
 		s.queue.add(r)
-		s.queue.arrive(work.Priority, r.left, now)
-		s.kind.noteReading(speed.Read(unread, work.Prompt))
+		s.queue.recordArrival(work.Priority, r.readLeft, now)
+		s.kind.recordReadTime(speed.Read(unread, work.Prompt))
 	}
 	if work.Left > 0 {
 		r.deadline = now.Add(work.Left)
 	}
-	if s.queue.headedBy(r) {
+	if s.queue.startsWith(r) {
 		r.headAt = now
 	}
-	b.notePauses(s, r, now)
+	b.recordPauses(s, r, now)
 	s.runs[id] = r
 	b.runs[id] = r
-	s.hold(&r.work)
-	s.sums.add(r)
+	s.holdMemory(&r.work)
+	s.streamCounts.add(r)
 	s.cache.add(work.Parts, readTo, int(cacheShare*float64(s.memory)))
 	for _, part := range work.Parts {
-		b.used[part.ID] = now
+		b.partUsedAt[part.ID] = now
 	}
 }
 
-// Learn notes that an engine keeps parts, least recently used first.
-func (b *Board) Learn(serverID string, parts []Part, now monotime.Instant) {
+// RecordCachedParts records that an engine has cached parts, least recently used first.
+func (b *Board) RecordCachedParts(serverID string, parts []Part, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.server(Candidate{ID: serverID})
-	s.learned = true
+	s.cacheReported = true
 	for _, part := range parts {
 		s.cache.add([]Part{part}, now, int(cacheShare*float64(s.memory)))
 	}
 }
 
-// CacheLearned reports whether an engine or a peer told what the engine keeps.
-func (b *Board) CacheLearned(serverID string) bool {
+// CacheReported reports whether an engine or a peer has reported the cached parts of the
+// engine.
+func (b *Board) CacheReported(serverID string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[serverID]
-	return s != nil && s.learned
+	return s != nil && s.cacheReported
 }
 
-// Kept returns what engines are believed to keep: of each at most so many parts,
-// least recently used first.
-func (b *Board) Kept(most int) map[string][]Part {
+// CachedParts returns the parts that the engines are assumed to cache, for each engine at
+// most limit parts, least recently used first.
+func (b *Board) CachedParts(limit int) map[string][]Part {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := make(map[string][]Part)
 	for id, s := range b.servers {
-		if parts := s.cache.newest(most); len(parts) > 0 {
+		if parts := s.cache.newest(limit); len(parts) > 0 {
 			out[id] = parts
 		}
 	}
 	return out
 }
 
-// First notes that a run gave its first event: its prompt has been read.
-func (b *Board) First(id RunID, now monotime.Instant) {
+// FirstEvent records the first event of a run: its prompt has been read.
+func (b *Board) FirstEvent(id RunID, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.runs[id]; r != nil && !r.first {
-		r.server.queue.leave(r, now)
+		r.server.queue.remove(r, now)
 		r.first, r.firstAt = true, now
-		r.server.workedAt = now
-		r.server.noteOvertaken(r, now)
+		r.server.lastEventAt = now
+		r.server.recordBypassed(r, now)
 		speed := r.server.pace(now)
-		r.server.noteRead(speed.Read(r.unread, r.work.Prompt), now)
+		r.server.recordRead(speed.Read(r.unread, r.work.Prompt), now)
 		r.server.done.read += float64(r.unread)
 		r.server.done.pairsM += pace.Pairs(r.unread, r.work.Prompt)
 		r.server.cache.ready(r.work.Parts, now)
 	}
 }
 
-// OwnFirst is First for a run of this instance, which also shows how long a first
-// event takes. That of others is known too late to measure it.
-func (b *Board) OwnFirst(id RunID, now monotime.Instant) {
-	b.First(id, now)
+// OwnFirstEvent is FirstEvent for a run of this instance, and also learns the time to
+// first events from it. Reports of other instances arrive too late for that.
+func (b *Board) OwnFirstEvent(id RunID, now monotime.Instant) {
+	b.FirstEvent(id, now)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.runs[id]; r != nil {
-		r.server.learnFirst(r, now)
+		r.server.observeFirst(r, now)
 	}
 }
 
-// End notes that a run is over, however it ended.
+// End records the end of a run, whatever its outcome.
 func (b *Board) End(id RunID, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -248,18 +257,18 @@
 	if r == nil {
 		return
 	}
-	r.server.queue.leave(r, now)
-	r.server.tick(now)
-	r.server.learnSteps(&r.watch.calm)
-	r.server.letGo(&r.work)
-	r.server.sums.remove(r)
-	r.server.leavePunctual(r)
+	r.server.queue.remove(r, now)
+	r.server.advance(now)
+	r.server.observeSteps(&r.watch.noReading)
+	r.server.releaseMemory(&r.work)
+	r.server.streamCounts.remove(r)
+	r.server.removeOnTime(r)
 	delete(b.runs, id)
 	delete(r.server.runs, id)
 }
 
-// InstanceGone ends the runs of an instance whose process is gone: servers drop
-// a request when its connection closes.
+// InstanceGone ends the runs of an instance whose process is gone: servers drop a request
+// when its connection closes.
 func (b *Board) InstanceGone(instance string, now monotime.Instant) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -270,30 +279,31 @@
 	}
 }
 
-// sweep ends runs whose end was never told, and forgets parts out of use.
+// sweep ends runs older than maxRunAge and removes parts and limits of pauses that are no
+// longer used. It runs at most once a second.
 func (b *Board) sweep(now monotime.Instant) {
-	if now.Sub(b.swept) < time.Second {
+	if now.Sub(b.sweptAt) < time.Second {
 		return
 	}
-	b.swept = now
+	b.sweptAt = now
 	for id, r := range b.runs {
-		if now.Sub(r.begun) > runLife {
+		if now.Sub(r.begun) > maxRunAge {
 			b.end(id, now)
 		}
 	}
-	for most, at := range b.gaps {
-		if now.Sub(at) > gapMemory {
-			delete(b.gaps, most)
+	for limit, at := range b.gapLimitUsedAt {
+		if now.Sub(at) > gapLimitMaxAge {
+			delete(b.gapLimitUsedAt, limit)
 		}
 	}
-	for id, at := range b.used {
+	for id, at := range b.partUsedAt {
 		if now.Sub(at) > rereadWindow {
-			delete(b.used, id)
+			delete(b.partUsedAt, id)
 		}
 	}
 }
 
-// Running returns the number of runs known on a server.
+// Running returns the number of tracked runs on a server.
 func (b *Board) Running(serverID string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
