--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -44,14 +44,14 @@
 	mu       sync.Mutex
 	started  monotime.Instant // the first tick
 	rec      *orders.Reconciler
-	loads    *orders.Loads
+	loads    *orders.LoadPermits
 	revision uint64
 	version  uint64
 	behind   bool
 }
 
 func newOrderer(self string, n *node.Node, clients *upstream.Client, tasks *sync.WaitGroup, log *zap.Logger) *orderer {
-	loads := orders.NewLoads(self, orders.DefaultLease)
+	loads := orders.NewLoadPermits(self, orders.DefaultLease)
 	return &orderer{
 		node:    n,
 		clients: clients,
@@ -176,7 +176,7 @@
 	// Behind says that engines have seen a newer revision than this instance.
 	Behind bool `json:"behind"`
 	// Loads from the weight store.
-	Loads orders.LoadStats `json:"loads"`
+	Loads orders.LoadPermitStats `json:"loads"`
 }
 
 func (o *orderer) status(now monotime.Instant) OrderStatus {
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -35,16 +35,16 @@
 		{"north", []string{"north"}, nil, "a"},
 		{"south", []string{"south"}, nil, "b"},
 		{"north without its server", []string{"north"}, map[string]bool{"a": true}, ""},
-		{"no region in common", routing.Homes(&routing.Route{Homes: []string{"north"}}, &routing.Customer{Homes: []string{"south"}}), nil, ""},
-		{"both in common", routing.Homes(&routing.Route{Homes: []string{"north", "south"}}, &routing.Customer{Homes: []string{"south"}}), nil, "b"},
-		{"customer alone", routing.Homes(&routing.Route{}, &routing.Customer{Homes: []string{"south"}}), nil, "b"},
+		{"no region in common", routing.AllowedRegions(&routing.Route{AllowedRegions: []string{"north"}}, &routing.Customer{AllowedRegions: []string{"south"}}), nil, ""},
+		{"both in common", routing.AllowedRegions(&routing.Route{AllowedRegions: []string{"north", "south"}}, &routing.Customer{AllowedRegions: []string{"south"}}), nil, "b"},
+		{"customer alone", routing.AllowedRegions(&routing.Route{}, &routing.Customer{AllowedRegions: []string{"south"}}), nil, "b"},
 	} {
 		target, refusal := f.Place("svc", placement.Work{Homes: c.homes}, c.excluded, monotime.Now())
 		if target.ID != c.want || (refusal == placement.Chosen) != (c.want != "") {
 			t.Errorf("%s: %q %v", c.name, target.ID, refusal)
 		}
 	}
-	if homes := routing.Homes(&routing.Route{}, nil); homes != nil {
+	if homes := routing.AllowedRegions(&routing.Route{}, nil); homes != nil {
 		t.Errorf("bound to %v without any", homes)
 	}
 }
--- a/internal/node/envelope.go
+++ b/internal/node/envelope.go
@@ -34,7 +34,7 @@
 		n.onRefuse(now, from, m)
 	}
 	for _, m := range env.Queued {
-		n.picker.Observe(m.Group, m.Tier, milliseconds(m.BacklogMS), now)
+		n.picker.ObserveBacklog(m.Group, m.Tier, milliseconds(m.BacklogMS), now)
 	}
 	for _, m := range env.PermitAsks {
 		n.onPermitAsk(now, from, m)
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -22,7 +22,7 @@
 		n.release(now, from, g.Group, uint64(g.Seq), sched.Result{Outcome: sched.Unused})
 		return
 	}
-	n.picker.Observe(g.Group, r.tier, milliseconds(g.BacklogMS), now)
+	n.picker.ObserveBacklog(g.Group, r.tier, milliseconds(g.BacklogMS), now)
 	if n.gate.closed {
 		r.held = true
 		n.release(now, from, g.Group, r.seq, sched.Result{Outcome: sched.Unused})
@@ -71,7 +71,7 @@
 	r.progress = NewProgress()
 	r.charged = 0
 	r.limited = 0
-	n.picker.Ran(now, r.Prefix, r.group)
+	n.picker.RecordPrefix(now, r.Prefix, r.group)
 	r.queued += now.Sub(r.askedAt)
 	n.recordDecision(now, r, "started", n.whyGranted(now, r), r.believed.age)
 	n.eff.Start(n.attemptOf(r))
@@ -83,7 +83,7 @@
 	if r == nil || r.state != stateWaiting || r.owner != from || r.group.Name != f.Group {
 		return
 	}
-	n.picker.Observe(f.Group, r.tier, milliseconds(f.BacklogMS), now)
+	n.picker.ObserveBacklog(f.Group, r.tier, milliseconds(f.BacklogMS), now)
 	err := verdict.New(verdict.NotRun, verdict.Reason(f.Reason), "no server can serve the request in time").
 		After(milliseconds(f.RetryAfterMS))
 	r.skip = append(r.skip, f.Group)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -187,7 +187,7 @@
 	n.catalog.Store(cat)
 	n.budget.share = cat.Rules.RetryBudget
 	n.ids.SetLifetime(IDLifetime + time.Duration(cat.Rules.DirectoryTTLS)*time.Second)
-	n.picker.Forget(cat)
+	n.picker.Prune(cat)
 	n.reconfigureOwned(now, cat)
 	n.reroute(now, n.stale)
 }
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -136,8 +136,8 @@
 	n.ask(now, r)
 }
 
-func (n *Node) askFor(r *request) route.Ask {
-	return route.Ask{
+func (n *Node) askFor(r *request) route.Request {
+	return route.Request{
 		Target:       r.Class.Target,
 		DataCentre:   n.cfg.DataCentre,
 		Tier:         r.tier,
--- a/internal/node/why.go
+++ b/internal/node/why.go
@@ -18,7 +18,7 @@
 }
 
 func (n *Node) beliefOf(now monotime.Instant, r *request) belief {
-	backlog, age, known := n.picker.Told(now, r.group.Name, r.tier)
+	backlog, age, known := n.picker.LastBacklog(now, r.group.Name, r.tier)
 	if !known {
 		return belief{}
 	}
--- a/internal/orders/bench_test.go
+++ b/internal/orders/bench_test.go
@@ -13,8 +13,8 @@
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range []int{7, 2400} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			w := newWorld(true, engines, engines)
-			r := newInstance(w, revision(1, engines, "m@1"), NewIssuer(engines, lease))
+			w := newTestFleet(true, engines, engines)
+			r := newInstance(w, catalogWith(1, engines, "m@1"), NewIssuer(engines, lease))
 			w.run(time.Minute, r)
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/orders/wanted.go
+++ b/internal/orders/desired.go
@@ -13,37 +13,37 @@
 // defaultVersion of a model without a published version.
 const defaultVersion = "1"
 
-// wanted is what an engine should hold. It follows from the catalog alone, so
+// desiredState is what an engine should hold. It follows from the catalog alone, so
 // two instances at the same revision send the same order.
-type wanted struct {
+type desiredState struct {
 	models []string // name@version, sorted
 	role   string
 }
 
-// wantedOf returns what the engine should hold, or false for the worker pool of
+// desiredStateOf returns what the engine should hold, or false for the worker pool of
 // an application server, which gets no orders.
 //
 // The engines of a withdrawn server are told so: an instance that slept or was
 // cut off does not know of the withdrawal, and its work must be refused where it
 // arrives. They keep their models, which costs nothing and lets them come back.
-func wantedOf(cat *catalog.Catalog, engine *catalog.Engine) (wanted, bool) {
+func desiredStateOf(cat *catalog.Catalog, engine *catalog.Engine) (desiredState, bool) {
 	server := engine.Server.Spec
 	if server.Kind != inventory.ServerKindModel {
-		return wanted{}, false
+		return desiredState{}, false
 	}
-	w := wanted{models: []string{}, role: string(engine.Spec.Role)}
-	if w.role == "" {
-		w.role = string(inventory.RoleMixed)
+	s := desiredState{models: []string{}, role: string(engine.Spec.Role)}
+	if s.role == "" {
+		s.role = string(inventory.RoleMixed)
 	}
 	if server.Withdrawn {
-		w.role = enginehttp.RoleWithdrawn
+		s.role = enginehttp.RoleWithdrawn
 	}
 	for _, name := range engine.Spec.Models {
-		w.models = append(w.models, withVersion(cat, name))
+		s.models = append(s.models, withVersion(cat, name))
 	}
-	slices.Sort(w.models)
-	w.models = slices.Compact(w.models)
-	return w, true
+	slices.Sort(s.models)
+	s.models = slices.Compact(s.models)
+	return s, true
 }
 
 func withVersion(cat *catalog.Catalog, name string) string {
@@ -58,25 +58,25 @@
 	return name + "@" + defaultVersion
 }
 
-func (w wanted) equal(other wanted) bool {
-	return w.role == other.role && slices.Equal(w.models, other.models)
+func (s desiredState) equal(other desiredState) bool {
+	return s.role == other.role && slices.Equal(s.models, other.models)
 }
 
 // difference is what separates a report from what is wanted.
 type difference struct {
 	// missing models that the engine neither holds nor loads.
 	missing bool
-	// other says that the engine has models or a role it should not have.
-	other bool
+	// unexpected says that the engine has models or a role it should not have.
+	unexpected bool
 }
 
 func (d difference) any() bool {
-	return d.missing || d.other
+	return d.missing || d.unexpected
 }
 
-func (w wanted) compare(report *engineapi.OrderAnswer) difference {
+func (s desiredState) compare(report *engineapi.OrderAnswer) difference {
 	var d difference
-	for _, model := range w.models {
+	for _, model := range s.models {
 		if !slices.Contains(report.Models, model) && !slices.Contains(report.Loading, model) {
 			d.missing = true
 		}
@@ -85,12 +85,12 @@
 	if role == "" {
 		role = string(inventory.RoleMixed)
 	}
-	d.other = role != w.role || hasOther(report.Loading, w.models) ||
+	d.unexpected = role != s.role || hasUnexpected(report.Loading, s.models) ||
 		// While models load, the old ones go on serving.
-		len(report.Loading) == 0 && hasOther(report.Models, w.models)
+		len(report.Loading) == 0 && hasUnexpected(report.Models, s.models)
 	return d
 }
 
-func hasOther(have, want []string) bool {
-	return slices.ContainsFunc(have, func(model string) bool { return !slices.Contains(want, model) })
+func hasUnexpected(reported, desired []string) bool {
+	return slices.ContainsFunc(reported, func(model string) bool { return !slices.Contains(desired, model) })
 }
--- a/internal/orders/world_test.go
+++ b/internal/orders/fleet_test.go
@@ -18,9 +18,9 @@
 	lease    = 15 * time.Second
 )
 
-// world is a fleet of engines, the store they load from, and instances that
+// testFleet is a fleet of engines, the store they load from, and instances that
 // look after them, in virtual time.
-type world struct {
+type testFleet struct {
 	now         monotime.Instant
 	store       *enginemodel.WeightStore
 	engines     map[string]*enginemodel.Holding
@@ -28,9 +28,9 @@
 	orders      map[string]int // by engine
 }
 
-func newWorld(checks bool, servers int, atOnce int) *world {
-	w := &world{
-		store:       enginemodel.NewWeightStore(atOnce, loadTime),
+func newTestFleet(checks bool, servers int, maxLoads int) *testFleet {
+	w := &testFleet{
+		store:       enginemodel.NewWeightStore(maxLoads, loadTime),
 		engines:     make(map[string]*enginemodel.Holding),
 		unreachable: make(map[string]bool),
 		orders:      make(map[string]int),
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("s%02d/e0", i)
 }
 
-// revision compiles a catalog in which every engine should hold the model.
-func revision(number uint64, servers int, model string) *catalog.Catalog {
+// catalogWith compiles a catalog in which every engine should hold the model.
+func catalogWith(number uint64, servers int, model string) *catalog.Catalog {
 	inv := &inventory.Inventory{}
 	for i := range servers {
 		inv.Servers = append(inv.Servers, inventory.Server{
@@ -59,10 +59,10 @@
 	return catalog.Compile(number, inv)
 }
 
-func all(*catalog.Engine) bool { return true }
+func ownsAll(*catalog.Engine) bool { return true }
 
 // run lets the instances act for a while.
-func (w *world) run(d time.Duration, instances ...*Reconciler) {
+func (w *testFleet) run(d time.Duration, instances ...*Reconciler) {
 	end := w.now.Add(d)
 	for ; w.now < end; w.now = w.now.Add(tick) {
 		for _, r := range instances {
@@ -71,14 +71,14 @@
 	}
 }
 
-func (w *world) step(r *Reconciler) {
+func (w *testFleet) step(r *Reconciler) {
 	for _, action := range r.Tick(w.now, nil) {
-		w.do(r, action)
+		w.perform(r, action)
 	}
 }
 
-// do carries an action out and hands the result to the instance.
-func (w *world) do(r *Reconciler, action Action) {
+// perform carries an action out and hands the result to the instance.
+func (w *testFleet) perform(r *Reconciler, action Action) {
 	id := action.Engine.ID
 	if w.unreachable[id] {
 		r.OnFailure(w.now, id)
@@ -92,7 +92,7 @@
 	r.OnReport(w.now, id, w.engines[id].Order(w.now, action.Order))
 }
 
-func (w *world) wantHolds(t *testing.T, model string) {
+func (w *testFleet) assertAllHold(t *testing.T, model string) {
 	t.Helper()
 	for id, engine := range w.engines {
 		if report := engine.Report(w.now); !slices.Equal(report.Models, []string{model}) {
@@ -102,8 +102,8 @@
 }
 
 // newInstance returns an instance that owns every engine.
-func newInstance(w *world, cat *catalog.Catalog, permit Permit) *Reconciler {
+func newInstance(w *testFleet, cat *catalog.Catalog, permit LoadLimiter) *Reconciler {
 	r := New(Config{}, permit)
-	r.Reconfigure(w.now, cat, all)
+	r.Reconfigure(w.now, cat, ownsAll)
 	return r
 }
--- a/internal/orders/loads.go
+++ b/internal/orders/loads.go
@@ -14,131 +14,131 @@
 	DefaultLease = 9 * time.Second
 	// renewalsPerLease lets two lost messages in a row cost no permit.
 	renewalsPerLease = 3
-	// wantEvery is how often an instance asks while an engine waits to load.
-	wantEvery = time.Second
-	// askGap is the least time between two messages to the issuer.
-	askGap = 200 * time.Millisecond
+	// waitingAskInterval is how often an instance asks while an engine waits to load.
+	waitingAskInterval = time.Second
+	// minAskInterval is the least time between two messages to the issuer.
+	minAskInterval = 200 * time.Millisecond
 )
 
-// Loads is one instance's part in the permits for loads over the fleet. The
+// LoadPermits is one instance's part in the permits for loads over the fleet. The
 // instance that all members take for the issuer keeps the book; the others tell
 // it in one message all that they hold and want, so that a lost or repeated
 // message changes nothing. It is a Permit, and not safe for concurrent use.
-type Loads struct {
+type LoadPermits struct {
 	lease   time.Duration
 	self    string
 	issuer  string
 	limit   int
 	live    int
 	total   int
-	entries map[string]*load
+	entries map[string]*loadEntry
 
 	seq     int
 	askedAt monotime.Instant
 	// changed says that the issuer does not know yet what entries say.
 	changed bool
 
-	// book is used while this instance is the issuer.
-	book *Issuer
-	// holders tells which engines each instance last named.
-	holders map[string][]string
-	// learnUntil is until when a new issuer gives nothing: the permits of an
+	// localIssuer is used while this instance is the issuer.
+	localIssuer *Issuer
+	// grantedTo tells which engines each instance last named.
+	grantedTo map[string][]string
+	// noGrantsUntil is until when a new issuer gives nothing: the permits of an
 	// earlier issuer are renewed here by then, or have lapsed.
-	learnUntil monotime.Instant
+	noGrantsUntil monotime.Instant
 }
 
-// load is an engine that loads or wants to.
-type load struct {
-	// allowedUntil is when a permit that was not renewed lapses.
-	allowedUntil monotime.Instant
-	loading      bool
+// loadEntry is an engine that loads or wants to.
+type loadEntry struct {
+	// permitUntil is when a permit that was not renewed lapses.
+	permitUntil monotime.Instant
+	loading     bool
 	// usedAt is when the engine was last asked for or seen loading.
 	usedAt monotime.Instant
 }
 
-// NewLoads returns the part of the instance self.
-func NewLoads(self string, lease time.Duration) *Loads {
-	return &Loads{
+// NewLoadPermits returns the part of the instance self.
+func NewLoadPermits(self string, lease time.Duration) *LoadPermits {
+	return &LoadPermits{
 		lease:   lease,
 		self:    self,
-		entries: make(map[string]*load),
+		entries: make(map[string]*loadEntry),
 	}
 }
 
 // SetIssuer tells which instance issues, and how many permits live of total
 // instances may give out together.
-func (l *Loads) SetIssuer(now monotime.Instant, issuer string, limit, live, total int) {
+func (l *LoadPermits) SetIssuer(now monotime.Instant, issuer string, limit, live, total int) {
 	l.limit, l.live, l.total = limit, live, total
 	if issuer != l.issuer {
 		l.issuer = issuer
 		l.changed = len(l.entries) > 0
-		l.book = nil
-		l.holders = nil
+		l.localIssuer = nil
+		l.grantedTo = nil
 		if issuer == l.self {
-			l.takeOver(now)
+			l.becomeIssuer(now)
 		}
 	}
-	if l.book != nil {
-		l.book.SetLimit(limit)
-		l.book.SetShare(live, total)
+	if l.localIssuer != nil {
+		l.localIssuer.SetLimit(limit)
+		l.localIssuer.SetShare(live, total)
 	}
 }
 
-func (l *Loads) takeOver(now monotime.Instant) {
-	l.book = NewIssuer(l.limit, l.lease)
-	l.holders = make(map[string][]string)
-	l.learnUntil = now.Add(l.lease)
+func (l *LoadPermits) becomeIssuer(now monotime.Instant) {
+	l.localIssuer = NewIssuer(l.limit, l.lease)
+	l.grantedTo = make(map[string][]string)
+	l.noGrantsUntil = now.Add(l.lease)
 	for id, e := range l.entries {
 		if e.holds(now) {
-			l.book.Hold(now, id)
+			l.localIssuer.Hold(now, id)
 		}
 	}
 }
 
-func (e *load) holds(now monotime.Instant) bool {
-	return e.loading || now.Before(e.allowedUntil)
+func (e *loadEntry) holds(now monotime.Instant) bool {
+	return e.loading || now.Before(e.permitUntil)
 }
 
-// Ask implements Permit.
-func (l *Loads) Ask(now monotime.Instant, key string) bool {
+// TryAcquire implements Permit.
+func (l *LoadPermits) TryAcquire(now monotime.Instant, key string) bool {
 	e := l.entry(now, key)
-	if l.book != nil {
-		if now.Before(l.learnUntil) || !l.book.Ask(now, key) {
+	if l.localIssuer != nil {
+		if now.Before(l.noGrantsUntil) || !l.localIssuer.TryAcquire(now, key) {
 			return e.holds(now)
 		}
-		e.allowedUntil = now.Add(l.lease)
+		e.permitUntil = now.Add(l.lease)
 	}
 	return e.holds(now)
 }
 
 // Hold implements Permit.
-func (l *Loads) Hold(now monotime.Instant, key string) {
+func (l *LoadPermits) Hold(now monotime.Instant, key string) {
 	e := l.entry(now, key)
 	if !e.loading {
 		e.loading = true
 		l.changed = true
 	}
-	if l.book != nil {
-		l.book.Hold(now, key)
+	if l.localIssuer != nil {
+		l.localIssuer.Hold(now, key)
 	}
 }
 
-// Done implements Permit.
-func (l *Loads) Done(now monotime.Instant, key string) {
+// Release implements Permit.
+func (l *LoadPermits) Release(now monotime.Instant, key string) {
 	if l.entries[key] == nil {
 		return
 	}
 	delete(l.entries, key)
 	l.changed = true
-	if l.book != nil {
-		l.book.Done(now, key)
+	if l.localIssuer != nil {
+		l.localIssuer.Release(now, key)
 	}
 }
 
-func (l *Loads) entry(now monotime.Instant, key string) *load {
+func (l *LoadPermits) entry(now monotime.Instant, key string) *loadEntry {
 	e := l.entries[key]
 	if e == nil {
-		e = &load{}
+		e = &loadEntry{}
 		l.entries[key] = e
 		l.changed = true
 	}
@@ -147,7 +147,7 @@
 }
 
 // Tick returns the message that is due to the issuer, if any.
-func (l *Loads) Tick(now monotime.Instant) (issuer string, ask *wire.LoadAsk) {
+func (l *LoadPermits) Tick(now monotime.Instant) (issuer string, ask *wire.LoadAsk) {
 	for id, e := range l.entries {
 		if now.Sub(e.usedAt) >= l.lease {
 			delete(l.entries, id)
@@ -160,24 +160,24 @@
 	l.seq++
 	l.askedAt = now
 	l.changed = false
-	return l.issuer, l.message(now)
+	return l.issuer, l.newAsk(now)
 }
 
-func (l *Loads) askDue(now monotime.Instant) bool {
+func (l *LoadPermits) askDue(now monotime.Instant) bool {
 	since := now.Sub(l.askedAt)
 	switch {
 	case l.changed:
-		return since >= askGap
+		return since >= minAskInterval
 	case len(l.entries) == 0:
 		return false
 	case l.waiting(now):
-		return since >= wantEvery
+		return since >= waitingAskInterval
 	default:
 		return since >= l.lease/renewalsPerLease
 	}
 }
 
-func (l *Loads) waiting(now monotime.Instant) bool {
+func (l *LoadPermits) waiting(now monotime.Instant) bool {
 	for _, e := range l.entries {
 		if !e.holds(now) {
 			return true
@@ -186,7 +186,7 @@
 	return false
 }
 
-func (l *Loads) message(now monotime.Instant) *wire.LoadAsk {
+func (l *LoadPermits) newAsk(now monotime.Instant) *wire.LoadAsk {
 	ask := &wire.LoadAsk{Seq: l.seq}
 	for id, e := range l.entries {
 		if e.holds(now) {
@@ -202,33 +202,33 @@
 
 // OnAsk takes the message of another instance. It returns nil when this one is
 // not the issuer: the two see different members, and one of them will learn.
-func (l *Loads) OnAsk(now monotime.Instant, from string, ask *wire.LoadAsk) *wire.LoadGive {
-	if l.book == nil {
+func (l *LoadPermits) OnAsk(now monotime.Instant, from string, ask *wire.LoadAsk) *wire.LoadGive {
+	if l.localIssuer == nil {
 		return nil
 	}
 	give := &wire.LoadGive{Seq: ask.Seq, LeaseMS: int(l.lease / time.Millisecond)}
-	l.endDropped(now, from, ask)
+	l.releaseDropped(now, from, ask)
 	for _, id := range ask.Holds {
-		l.book.Hold(now, id)
+		l.localIssuer.Hold(now, id)
 		give.Engines = append(give.Engines, id)
 	}
 	for _, id := range ask.Wants {
-		if !now.Before(l.learnUntil) && l.book.Ask(now, id) {
+		if !now.Before(l.noGrantsUntil) && l.localIssuer.TryAcquire(now, id) {
 			give.Engines = append(give.Engines, id)
 		}
 	}
-	l.holders[from] = give.Engines
+	l.grantedTo[from] = give.Engines
 	if len(give.Engines) == 0 {
-		delete(l.holders, from)
+		delete(l.grantedTo, from)
 	}
 	return give
 }
 
-// endDropped takes back the permits that the holder named before and not now.
-func (l *Loads) endDropped(now monotime.Instant, from string, ask *wire.LoadAsk) {
-	for _, id := range l.holders[from] {
+// releaseDropped takes back the permits that the holder named before and not now.
+func (l *LoadPermits) releaseDropped(now monotime.Instant, from string, ask *wire.LoadAsk) {
+	for _, id := range l.grantedTo[from] {
 		if !slices.Contains(ask.Holds, id) && !slices.Contains(ask.Wants, id) {
-			l.book.Done(now, id)
+			l.localIssuer.Release(now, id)
 		}
 	}
 }
@@ -236,20 +236,20 @@
 // OnGive takes the issuer's answer. The lease runs from the sending of the
 // question, which is before the issuer's own began; an answer to an older
 // question says nothing any more.
-func (l *Loads) OnGive(now monotime.Instant, from string, give *wire.LoadGive) {
+func (l *LoadPermits) OnGive(now monotime.Instant, from string, give *wire.LoadGive) {
 	until := l.askedAt.Add(time.Duration(give.LeaseMS) * time.Millisecond)
 	if from != l.issuer || give.Seq != l.seq || !now.Before(until) {
 		return
 	}
 	for _, id := range give.Engines {
 		if e := l.entries[id]; e != nil {
-			e.allowedUntil = until
+			e.permitUntil = until
 		}
 	}
 }
 
-// LoadStats is the state of an instance's permits.
-type LoadStats struct {
+// LoadPermitStats is the state of an instance's permits.
+type LoadPermitStats struct {
 	// Issuer of permits.
 	Issuer string `json:"issuer"`
 	// Holding and Waiting engines of this instance.
@@ -260,8 +260,8 @@
 }
 
 // Stats returns the state.
-func (l *Loads) Stats(now monotime.Instant) LoadStats {
-	stats := LoadStats{Issuer: l.issuer}
+func (l *LoadPermits) Stats(now monotime.Instant) LoadPermitStats {
+	stats := LoadPermitStats{Issuer: l.issuer}
 	for _, e := range l.entries {
 		if e.holds(now) {
 			stats.Holding++
@@ -269,8 +269,8 @@
 			stats.Waiting++
 		}
 	}
-	if l.book != nil {
-		stats.Given = l.book.Held(now)
+	if l.localIssuer != nil {
+		stats.Given = l.localIssuer.Held(now)
 	}
 	return stats
 }
--- a/internal/orders/loads_test.go
+++ b/internal/orders/loads_test.go
@@ -15,13 +15,13 @@
 type member struct {
 	id    string
 	rec   *Reconciler
-	loads *Loads
+	loads *LoadPermits
 }
 
 // loadFleet is a few instances before one weight store, in virtual time. Each
 // message between them is lost with the probability loss.
 type loadFleet struct {
-	*world
+	*testFleet
 	cat     *catalog.Catalog
 	members []*member
 	loss    float64
@@ -31,20 +31,20 @@
 
 func newLoadFleet(instances, engines, limit int) *loadFleet {
 	f := &loadFleet{
-		world: newWorld(true, engines, engines),
-		cat:   revision(1, engines, "m@1"),
-		rng:   rand.New(rand.NewPCG(1, 1)),
+		testFleet: newTestFleet(true, engines, engines),
+		cat:       catalogWith(1, engines, "m@1"),
+		rng:       rand.New(rand.NewPCG(1, 1)),
 	}
 	for i := range instances {
-		loads := NewLoads(fmt.Sprintf("i%d", i), DefaultLease)
+		loads := NewLoadPermits(fmt.Sprintf("i%d", i), DefaultLease)
 		f.members = append(f.members, &member{id: loads.self, loads: loads, rec: New(Config{}, loads)})
 	}
-	f.agree(limit)
+	f.assignIssuerAndOwners(limit)
 	return f
 }
 
-// agree makes the first member the issuer and shares the engines out.
-func (f *loadFleet) agree(limit int) {
+// assignIssuerAndOwners makes the first member the issuer and shares the engines out.
+func (f *loadFleet) assignIssuerAndOwners(limit int) {
 	for i, m := range f.members {
 		m.loads.SetIssuer(f.now, f.members[0].id, limit, len(f.members), len(f.members))
 		owned := make(map[string]bool)
@@ -84,7 +84,7 @@
 		f := newLoadFleet(5, 20, 2)
 		f.loss = loss
 		f.run(10*loadTime + 2*time.Minute)
-		f.wantHolds(t, "m@1")
+		f.assertAllHold(t, "m@1")
 		if peak, loads := f.store.Peak(), f.store.Loads(); peak > 2 || loads != 20 {
 			t.Errorf("loss %v: %d loads, %d at once, want 20 and at most 2", loss, loads, peak)
 		}
@@ -101,16 +101,16 @@
 // dies with permits given out, while its own engine loads. The next issuer has
 // an empty book: were it to give permits at once, the loads under way would
 // come on top.
-func TestIssuerDiesDuringARollout(t *testing.T) {
+func TestNewIssuerKeepsTheLimitDuringARollout(t *testing.T) {
 	f := newLoadFleet(5, 20, 2)
 	f.run(DefaultLease + loadTime/2)
 	if f.store.Loads() == 0 {
 		t.Fatal("nothing loads yet")
 	}
 	f.members = f.members[1:]
-	f.agree(2)
+	f.assignIssuerAndOwners(2)
 	f.run(10*loadTime + 2*time.Minute)
-	f.wantHolds(t, "m@1")
+	f.assertAllHold(t, "m@1")
 	if peak, loads := f.store.Peak(), f.store.Loads(); peak > 2 || loads != 20 {
 		t.Errorf("%d loads, %d at once, want 20 and at most 2", loads, peak)
 	}
@@ -119,22 +119,22 @@
 // An instance waits for a permit that the issuer gives in answer to an old
 // question. It was asked before a pause, so the lease is over at the issuer and
 // the place may be somebody else's.
-func TestAnswerToAnOldQuestionGivesNothing(t *testing.T) {
-	l := NewLoads("a", DefaultLease)
+func TestLateAnswerGrantsNoPermit(t *testing.T) {
+	l := NewLoadPermits("a", DefaultLease)
 	l.SetIssuer(0, "b", 1, 2, 2)
-	l.Ask(0, "e")
-	issuer, ask := l.Tick(monotime.Instant(askGap))
+	l.TryAcquire(0, "e")
+	issuer, ask := l.Tick(monotime.Instant(minAskInterval))
 	if issuer != "b" || ask == nil || len(ask.Wants) != 1 {
 		t.Fatalf("asked %s for %+v", issuer, ask)
 	}
 	give := &wire.LoadGive{Seq: ask.Seq, Engines: []string{"e"}, LeaseMS: int(DefaultLease / time.Millisecond)}
-	late := monotime.Instant(askGap).Add(DefaultLease)
+	late := monotime.Instant(minAskInterval).Add(DefaultLease)
 	l.OnGive(late, "b", give)
-	if l.Ask(late, "e") {
+	if l.TryAcquire(late, "e") {
 		t.Error("a permit whose lease is over was taken")
 	}
-	l.OnGive(monotime.Instant(2*askGap), "b", give)
-	if !l.Ask(monotime.Instant(2*askGap), "e") {
+	l.OnGive(monotime.Instant(2*minAskInterval), "b", give)
+	if !l.TryAcquire(monotime.Instant(2*minAskInterval), "e") {
 		t.Error("a permit in its lease was not taken")
 	}
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -11,13 +11,13 @@
 )
 
 func TestEnginesConvergeAndThenGetNoMoreOrders(t *testing.T) {
-	w := newWorld(true, 3, 3)
-	r := newInstance(w, revision(1, 3, "m@1"), NewIssuer(3, lease))
+	w := newTestFleet(true, 3, 3)
+	r := newInstance(w, catalogWith(1, 3, "m@1"), NewIssuer(3, lease))
 	w.run(time.Minute, r)
-	w.wantHolds(t, "m@1")
-	r.Reconfigure(w.now, revision(2, 3, "m@2"), all)
+	w.assertAllHold(t, "m@1")
+	r.Reconfigure(w.now, catalogWith(2, 3, "m@2"), ownsAll)
 	w.run(time.Hour, r)
-	w.wantHolds(t, "m@2")
+	w.assertAllHold(t, "m@2")
 	if sent := r.Stats().Sent; sent != 6 {
 		t.Errorf("%d orders, want one per engine and revision", sent)
 	}
@@ -27,20 +27,20 @@
 // another instance had all engines load revision 2. An engine that checks
 // fencing numbers refuses; the woken instance learns from the refusal that it
 // is behind and sends nothing more.
-func TestStaleOrderToACheckingEngine(t *testing.T) {
-	w := newWorld(true, 1, 1)
-	stale := newInstance(w, revision(1, 1, "m@1"), NewIssuer(1, lease))
+func TestCheckingEngineRefusesStaleOrder(t *testing.T) {
+	w := newTestFleet(true, 1, 1)
+	stale := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
 	prepared := prepareOrder(t, w, stale)
-	fresh := newInstance(w, revision(2, 1, "m@2"), NewIssuer(1, lease))
+	fresh := newInstance(w, catalogWith(2, 1, "m@2"), NewIssuer(1, lease))
 	w.run(time.Minute, fresh)
-	w.do(stale, prepared)
-	w.wantHolds(t, "m@2")
+	w.perform(stale, prepared)
+	w.assertAllHold(t, "m@2")
 	if !stale.Behind() || stale.Stats().Refused != 1 {
 		t.Errorf("behind %v, %+v", stale.Behind(), stale.Stats())
 	}
 	before := w.orders[engineID(0)]
 	w.run(time.Minute, stale, fresh)
-	w.wantHolds(t, "m@2")
+	w.assertAllHold(t, "m@2")
 	if after := w.orders[engineID(0)]; after != before {
 		t.Errorf("%d more orders", after-before)
 	}
@@ -50,24 +50,24 @@
 // order and drops the right model. The instance in charge sees it in the next
 // report and orders again; the engine is right after one resync and one load.
 func TestStaleOrderToANonCheckingEngineIsCorrected(t *testing.T) {
-	w := newWorld(false, 1, 1)
-	stale := newInstance(w, revision(1, 1, "m@1"), NewIssuer(1, lease))
+	w := newTestFleet(false, 1, 1)
+	stale := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
 	prepared := prepareOrder(t, w, stale)
-	fresh := newInstance(w, revision(2, 1, "m@2"), NewIssuer(1, lease))
+	fresh := newInstance(w, catalogWith(2, 1, "m@2"), NewIssuer(1, lease))
 	w.run(time.Minute, fresh)
-	w.do(stale, prepared)
+	w.perform(stale, prepared)
 	if report := w.engines[engineID(0)].Report(w.now); len(report.Loading) == 0 {
 		t.Fatalf("the engine did not obey the stale order: %+v", report)
 	}
 	w.run(DefaultResync+2*loadTime+time.Second, fresh)
-	w.wantHolds(t, "m@2")
+	w.assertAllHold(t, "m@2")
 	if corrected := fresh.Stats().Corrected; corrected != 1 {
 		t.Errorf("corrected %d times, want once", corrected)
 	}
 }
 
 // prepareOrder lets an instance decide on an order, which it does not send.
-func prepareOrder(t *testing.T, w *world, r *Reconciler) Action {
+func prepareOrder(t *testing.T, w *testFleet, r *Reconciler) Action {
 	t.Helper()
 	w.step(r)
 	actions := r.Tick(w.now, nil)
@@ -81,22 +81,22 @@
 // stale order then passes the check; the next report shows it and the instance
 // in charge corrects it.
 func TestStaleOrderAfterAnEngineRestartIsCorrected(t *testing.T) {
-	w := newWorld(true, 1, 1)
-	stale := newInstance(w, revision(1, 1, "m@1"), NewIssuer(1, lease))
+	w := newTestFleet(true, 1, 1)
+	stale := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
 	prepared := prepareOrder(t, w, stale)
-	fresh := newInstance(w, revision(2, 1, "m@2"), NewIssuer(1, lease))
+	fresh := newInstance(w, catalogWith(2, 1, "m@2"), NewIssuer(1, lease))
 	w.run(time.Minute, fresh)
 	w.engines[engineID(0)].Restart()
-	w.do(stale, prepared)
+	w.perform(stale, prepared)
 	w.run(time.Minute, fresh)
-	w.wantHolds(t, "m@2")
+	w.assertAllHold(t, "m@2")
 }
 
 // A process that was paused must ask before it orders: what it believed of the
 // engines is from before the pause.
-func TestAfterAPauseEnginesAreAskedFirst(t *testing.T) {
-	w := newWorld(false, 1, 1)
-	r := newInstance(w, revision(1, 1, "m@1"), NewIssuer(1, lease))
+func TestNoOrderAfterAPauseBeforeAReport(t *testing.T) {
+	w := newTestFleet(false, 1, 1)
+	r := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
 	w.step(r)
 	w.now = w.now.Add(time.Minute)
 	r.OnPaused(w.now)
@@ -107,20 +107,20 @@
 }
 
 func TestOldCatalogChangesNothing(t *testing.T) {
-	w := newWorld(true, 1, 1)
-	r := newInstance(w, revision(2, 1, "m@2"), NewIssuer(1, lease))
-	r.Reconfigure(w.now, revision(1, 1, "m@1"), all)
+	w := newTestFleet(true, 1, 1)
+	r := newInstance(w, catalogWith(2, 1, "m@2"), NewIssuer(1, lease))
+	r.Reconfigure(w.now, catalogWith(1, 1, "m@1"), ownsAll)
 	w.run(time.Minute, r)
-	w.wantHolds(t, "m@2")
+	w.assertAllHold(t, "m@2")
 }
 
 // A new version for twenty engines, and a store that takes two loads at once.
 // More at once would slow every load and could lose them all to timeouts.
 func TestLoadsStayWithinTheStoresLimit(t *testing.T) {
-	w := newWorld(true, 20, 2)
-	r := newInstance(w, revision(1, 20, "m@1"), NewIssuer(2, lease))
+	w := newTestFleet(true, 20, 2)
+	r := newInstance(w, catalogWith(1, 20, "m@1"), NewIssuer(2, lease))
 	w.run(10*loadTime+time.Minute, r)
-	w.wantHolds(t, "m@1")
+	w.assertAllHold(t, "m@1")
 	if peak := w.store.Peak(); peak != 2 {
 		t.Errorf("%d loads at once, want 2", peak)
 	}
@@ -130,8 +130,8 @@
 // issuer that knows nothing of the other, before one store with a limit of
 // two. Each part uses its share, so that the limit holds over both.
 func TestPartitionedPartsShareTheLimit(t *testing.T) {
-	w := newWorld(true, 20, 2)
-	cat := revision(1, 20, "m@1")
+	w := newTestFleet(true, 20, 2)
+	cat := catalogWith(1, 20, "m@1")
 	var parts []*Reconciler
 	for i, live := range []int{5, 3} {
 		issuer := NewIssuer(2, lease)
@@ -145,7 +145,7 @@
 		parts = append(parts, r)
 	}
 	w.run(time.Hour, parts...)
-	w.wantHolds(t, "m@1")
+	w.assertAllHold(t, "m@1")
 	if peak := w.store.Peak(); peak > 2 {
 		t.Errorf("%d loads at once, want at most 2", peak)
 	}
@@ -154,13 +154,13 @@
 // The owner of an engine dies while the engine loads. The next owner finds the
 // load under way: it must count it against the limit and not start another.
 func TestNewOwnerFollowsALoadUnderWay(t *testing.T) {
-	w := newWorld(true, 2, 1)
-	cat := revision(1, 2, "m@1")
+	w := newTestFleet(true, 2, 1)
+	cat := catalogWith(1, 2, "m@1")
 	first := newInstance(w, cat, NewIssuer(1, lease))
 	w.run(loadTime/2, first)
 	next := newInstance(w, cat, NewIssuer(1, lease))
 	w.run(time.Minute, next)
-	w.wantHolds(t, "m@1")
+	w.assertAllHold(t, "m@1")
 	if peak, loads := w.store.Peak(), w.store.Loads(); peak != 1 || loads != 2 {
 		t.Errorf("%d loads, %d at once, want 2 and 1", loads, peak)
 	}
@@ -169,16 +169,16 @@
 // An engine does not answer for a while. It is asked more and more seldom, and
 // gets its order once it answers.
 func TestUnreachableEngineIsRetried(t *testing.T) {
-	w := newWorld(true, 2, 2)
+	w := newTestFleet(true, 2, 2)
 	w.unreachable[engineID(0)] = true
-	r := newInstance(w, revision(1, 2, "m@1"), NewIssuer(2, lease))
+	r := newInstance(w, catalogWith(1, 2, "m@1"), NewIssuer(2, lease))
 	asked := 0
 	for range 600 {
 		for _, action := range r.Tick(w.now, nil) {
 			if action.Engine.ID == engineID(0) {
 				asked++
 			}
-			w.do(r, action)
+			w.perform(r, action)
 		}
 		w.now = w.now.Add(tick)
 	}
@@ -187,26 +187,26 @@
 	}
 	w.unreachable = map[string]bool{}
 	w.run(time.Minute, r)
-	w.wantHolds(t, "m@1")
+	w.assertAllHold(t, "m@1")
 }
 
 // The answer to an action never comes. The engine is asked again after the
 // timeout.
-func TestLostAnswerIsGivenUp(t *testing.T) {
-	w := newWorld(true, 1, 1)
-	r := newInstance(w, revision(1, 1, "m@1"), NewIssuer(1, lease))
+func TestLostAnswerIsRetriedAfterTheTimeout(t *testing.T) {
+	w := newTestFleet(true, 1, 1)
+	r := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
 	if lost := r.Tick(w.now, nil); len(lost) != 1 {
 		t.Fatalf("actions: %+v", lost)
 	}
 	w.run(time.Minute, r)
-	w.wantHolds(t, "m@1")
+	w.assertAllHold(t, "m@1")
 }
 
 // An engine takes every order and changes nothing. Each order may cost the
 // store a load, so they come ever more seldom.
 func TestEngineThatDoesNotChangeGetsFewOrders(t *testing.T) {
-	w := newWorld(false, 1, 1)
-	r := newInstance(w, revision(1, 1, "m@1"), NewIssuer(1, lease))
+	w := newTestFleet(false, 1, 1)
+	r := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
 	orders := 0
 	for range 6000 {
 		for _, action := range r.Tick(w.now, nil) {
@@ -222,13 +222,13 @@
 	}
 }
 
-func TestIssuerTakesBackThePermitsOfTheDead(t *testing.T) {
+func TestPermitThatIsNotRenewedExpires(t *testing.T) {
 	issuer := NewIssuer(1, lease)
-	if !issuer.Ask(0, "a") || issuer.Ask(0, "b") {
+	if !issuer.TryAcquire(0, "a") || issuer.TryAcquire(0, "b") {
 		t.Error("want one permit")
 	}
 	late := monotime.Instant(lease)
-	if !issuer.Ask(late, "b") {
+	if !issuer.TryAcquire(late, "b") {
 		t.Error("the permit of a dead holder is still held")
 	}
 }
@@ -242,10 +242,10 @@
 			issuer.SetShare(live, 8)
 			busy, end := time.Duration(0), monotime.Instant(time.Hour)
 			for now := monotime.Instant(0); now < end; now = now.Add(tick) {
-				if issuer.Ask(now, "load") {
+				if issuer.TryAcquire(now, "load") {
 					now = now.Add(loadTime)
 					busy += loadTime
-					issuer.Done(now, "load")
+					issuer.Release(now, "load")
 				}
 			}
 			share := 2 * float64(live) / 8
--- a/internal/orders/permit.go
+++ b/internal/orders/permit.go
@@ -6,16 +6,16 @@
 	"basilrudder/internal/monotime"
 )
 
-// Permit limits the loads from the weight store over the fleet. A key names
+// LoadLimiter limits the loads from the weight store over the fleet. A key names
 // the engine that loads.
-type Permit interface {
-	// Ask reports whether the load may start. Asking again renews a permit that
+type LoadLimiter interface {
+	// TryAcquire reports whether the load may start. Asking again renews a permit that
 	// was given.
-	Ask(now monotime.Instant, key string) bool
+	TryAcquire(now monotime.Instant, key string) bool
 	// Hold records a load that goes on already, whoever allowed it.
 	Hold(now monotime.Instant, key string)
-	// Done gives a permit back.
-	Done(now monotime.Instant, key string)
+	// Release gives a permit back.
+	Release(now monotime.Instant, key string)
 }
 
 // Issuer gives permits out. One member of the fleet, or of each part of a
@@ -24,19 +24,19 @@
 	limit       int
 	live, total int
 	lease       time.Duration
-	held        map[string]held
-	// restUntil is when a share below one load allows the next.
-	restUntil monotime.Instant
+	held        map[string]heldPermit
+	// pauseUntil is when a share below one load allows the next.
+	pauseUntil monotime.Instant
 }
 
-type held struct {
+type heldPermit struct {
 	since, until monotime.Instant
 }
 
 // NewIssuer returns an issuer of limit permits, each of which lapses when it
 // was not renewed for the lease.
 func NewIssuer(limit int, lease time.Duration) *Issuer {
-	return &Issuer{limit: limit, live: 1, total: 1, lease: lease, held: make(map[string]held)}
+	return &Issuer{limit: limit, live: 1, total: 1, lease: lease, held: make(map[string]heldPermit)}
 }
 
 // SetLimit changes the number of permits over the fleet.
@@ -52,22 +52,22 @@
 	i.total = max(total, i.live)
 }
 
-// Ask implements Permit.
-func (i *Issuer) Ask(now monotime.Instant, key string) bool {
+// TryAcquire implements Permit.
+func (i *Issuer) TryAcquire(now monotime.Instant, key string) bool {
 	i.expire(now)
-	if _, ok := i.held[key]; !ok && !i.free(now) {
+	if _, ok := i.held[key]; !ok && !i.hasFree(now) {
 		return false
 	}
 	i.Hold(now, key)
 	return true
 }
 
-func (i *Issuer) free(now monotime.Instant) bool {
+func (i *Issuer) hasFree(now monotime.Instant) bool {
 	whole := i.limit * i.live / i.total
 	if whole > 0 {
 		return len(i.held) < whole
 	}
-	return i.limit > 0 && len(i.held) == 0 && i.restUntil <= now
+	return i.limit > 0 && len(i.held) == 0 && i.pauseUntil <= now
 }
 
 // Hold implements Permit.
@@ -80,22 +80,22 @@
 	i.held[key] = h
 }
 
-// Done implements Permit.
-func (i *Issuer) Done(now monotime.Instant, key string) {
+// Release implements Permit.
+func (i *Issuer) Release(now monotime.Instant, key string) {
 	if h, ok := i.held[key]; ok {
-		i.end(now, key, h)
+		i.remove(now, key, h)
 	}
 }
 
-// end removes a permit. A part whose share is below one load rests after each
+// remove removes a permit. A part whose share is below one load rests after each
 // for as long as the share asks, so that it uses its share on average; it can't
 // use it at every instant without loading nothing at all.
-func (i *Issuer) end(now monotime.Instant, key string, h held) {
+func (i *Issuer) remove(now monotime.Instant, key string, h heldPermit) {
 	delete(i.held, key)
 	share := float64(i.limit) * float64(i.live) / float64(i.total)
 	if share < 1 && share > 0 {
-		rest := float64(now.Sub(h.since)) * (1 - share) / share
-		i.restUntil = max(i.restUntil, now.Add(time.Duration(rest)))
+		pause := float64(now.Sub(h.since)) * (1 - share) / share
+		i.pauseUntil = max(i.pauseUntil, now.Add(time.Duration(pause)))
 	}
 }
 
@@ -103,7 +103,7 @@
 func (i *Issuer) expire(now monotime.Instant) {
 	for key, h := range i.held {
 		if h.until <= now {
-			i.end(now, key, h)
+			i.remove(now, key, h)
 		}
 	}
 }
--- a/internal/orders/reconciler.go
+++ b/internal/orders/reconciler.go
@@ -74,42 +74,42 @@
 // Reconciler holds the engines that one instance looks after.
 type Reconciler struct {
 	cfg     Config
-	permit  Permit
-	engines map[string]*state
-	sorted  []*state
+	limiter LoadLimiter
+	engines map[string]*engineState
+	sorted  []*engineState
 	// revision of the catalog; the fencing number of orders.
 	revision int
-	// seen is the highest fencing number that an engine reported.
-	seen  int
-	stats Stats
+	// maxFence is the highest fencing number that an engine reported.
+	maxFence int
+	stats    Stats
 }
 
-// state of one engine.
-type state struct {
-	engine *catalog.Engine
-	wanted wanted
-	report *engineapi.OrderAnswer
+// engineState of one engine.
+type engineState struct {
+	engine  *catalog.Engine
+	desired desiredState
+	report  *engineapi.OrderAnswer
 	// converged says that the engine has held what is wanted.
 	converged bool
-	// waitUntil is when an action without a result is given up; 0 for none.
-	waitUntil monotime.Instant
-	// lookAt is when to ask the engine next.
-	lookAt monotime.Instant
-	// sendAt is when the next order may be sent.
-	sendAt   monotime.Instant
-	sent     int // orders since the engine last converged
-	failures int // failures in a row
-	waiting  bool
+	// actionDeadline is when an action without a result is given up; 0 for none.
+	actionDeadline monotime.Instant
+	// nextCheckAt is when to ask the engine next.
+	nextCheckAt monotime.Instant
+	// nextSendAt is when the next order may be sent.
+	nextSendAt monotime.Instant
+	sent       int // orders since the engine last converged
+	failures   int // failures in a row
+	waiting    bool
 }
 
 // New returns a Reconciler without engines.
-func New(cfg Config, permit Permit) *Reconciler {
+func New(cfg Config, limiter LoadLimiter) *Reconciler {
 	cfg.Resync = cmp.Or(cfg.Resync, DefaultResync)
 	cfg.LoadPoll = cmp.Or(cfg.LoadPoll, DefaultLoadPoll)
 	cfg.Timeout = cmp.Or(cfg.Timeout, DefaultTimeout)
 	cfg.RetryMin = cmp.Or(cfg.RetryMin, DefaultRetryMin)
 	cfg.RetryMax = cmp.Or(cfg.RetryMax, DefaultRetryMax)
-	return &Reconciler{cfg: cfg, permit: permit, engines: make(map[string]*state)}
+	return &Reconciler{cfg: cfg, limiter: limiter, engines: make(map[string]*engineState)}
 }
 
 // Reconfigure takes a catalog and the set of engines to look after. A catalog
@@ -121,23 +121,23 @@
 	}
 	r.revision = revision
 	before := r.engines
-	r.engines = make(map[string]*state)
+	r.engines = make(map[string]*engineState)
 	r.sorted = r.sorted[:0]
 	for id, engine := range cat.Engines {
-		w, ordered := wantedOf(cat, engine)
-		if !ordered || !owns(engine) {
+		desired, managed := desiredStateOf(cat, engine)
+		if !managed || !owns(engine) {
 			continue
 		}
 		s := before[id]
 		if s == nil {
-			s = &state{lookAt: now}
+			s = &engineState{nextCheckAt: now}
 		}
 		s.engine = engine
-		if !s.wanted.equal(w) {
-			s.wanted = w
+		if !s.desired.equal(desired) {
+			s.desired = desired
 			s.converged = false
 			s.sent = 0
-			s.sendAt = now
+			s.nextSendAt = now
 		}
 		r.engines[id] = s
 		r.sorted = append(r.sorted, s)
@@ -151,8 +151,8 @@
 func (r *Reconciler) OnPaused(now monotime.Instant) {
 	for _, s := range r.sorted {
 		s.report = nil
-		s.waitUntil = 0
-		s.lookAt = now
+		s.actionDeadline = 0
+		s.nextCheckAt = now
 	}
 }
 
@@ -160,7 +160,7 @@
 // catalog's revision. Then this instance's configuration is old: it sends no
 // orders until Reconfigure brings a newer one.
 func (r *Reconciler) Behind() bool {
-	return r.seen > r.revision
+	return r.maxFence > r.revision
 }
 
 // Stats returns the counters.
@@ -176,7 +176,7 @@
 
 // OnReport takes what an engine holds, from either action.
 func (r *Reconciler) OnReport(now monotime.Instant, engineID string, report engineapi.OrderAnswer) {
-	r.seen = max(r.seen, report.Fence)
+	r.maxFence = max(r.maxFence, report.Fence)
 	if !report.Accepted {
 		r.stats.Refused++
 	}
@@ -185,15 +185,15 @@
 		return
 	}
 	s.report = &report
-	s.waitUntil = 0
+	s.actionDeadline = 0
 	s.failures = 0
-	s.lookAt = now.Add(r.cfg.Resync)
-	r.followLoad(now, s)
-	if s.wanted.compare(&report).any() {
+	s.nextCheckAt = now.Add(r.cfg.Resync)
+	r.trackLoad(now, s)
+	if s.desired.compare(&report).any() {
 		if s.converged {
 			r.stats.Corrected++
 			s.converged = false
-			s.sendAt = now
+			s.nextSendAt = now
 		}
 		return
 	}
@@ -204,73 +204,73 @@
 	}
 }
 
-// followLoad keeps the permit of a load until the engine reports its end.
-func (r *Reconciler) followLoad(now monotime.Instant, s *state) {
+// trackLoad keeps the permit of a load until the engine reports its end.
+func (r *Reconciler) trackLoad(now monotime.Instant, s *engineState) {
 	if len(s.report.Loading) == 0 {
-		r.permit.Done(now, s.engine.ID)
+		r.limiter.Release(now, s.engine.ID)
 		return
 	}
-	r.permit.Hold(now, s.engine.ID)
-	s.lookAt = now.Add(r.cfg.LoadPoll)
+	r.limiter.Hold(now, s.engine.ID)
+	s.nextCheckAt = now.Add(r.cfg.LoadPoll)
 }
 
 // OnFailure takes the failure of an action. Whether an order arrived does not
 // matter: the next report tells.
 func (r *Reconciler) OnFailure(now monotime.Instant, engineID string) {
 	if s := r.engines[engineID]; s != nil {
-		r.fail(now, s)
+		r.recordFailure(now, s)
 	}
 }
 
-func (r *Reconciler) fail(now monotime.Instant, s *state) {
+func (r *Reconciler) recordFailure(now monotime.Instant, s *engineState) {
 	s.report = nil
-	s.waitUntil = 0
-	s.lookAt = now.Add(r.retryTime(s.failures))
+	s.actionDeadline = 0
+	s.nextCheckAt = now.Add(r.retryDelay(s.failures))
 	s.failures++
 }
 
-func (r *Reconciler) retryTime(tries int) time.Duration {
-	return min(r.cfg.RetryMin<<min(tries, maxDoublings), r.cfg.RetryMax)
+func (r *Reconciler) retryDelay(retries int) time.Duration {
+	return min(r.cfg.RetryMin<<min(retries, maxDoublings), r.cfg.RetryMax)
 }
 
 // Tick appends the actions that are due.
 func (r *Reconciler) Tick(now monotime.Instant, out []Action) []Action {
 	for _, s := range r.sorted {
-		if s.waitUntil != 0 {
-			if now < s.waitUntil {
+		if s.actionDeadline != 0 {
+			if now < s.actionDeadline {
 				continue
 			}
-			r.fail(now, s)
+			r.recordFailure(now, s)
 		}
 		switch {
 		case r.shouldSend(now, s):
 			out = append(out, r.send(now, s))
-		case s.lookAt <= now:
-			s.waitUntil = now.Add(r.cfg.Timeout)
+		case s.nextCheckAt <= now:
+			s.actionDeadline = now.Add(r.cfg.Timeout)
 			out = append(out, Action{Kind: Observe, Engine: s.engine})
 		}
 	}
 	return out
 }
 
-func (r *Reconciler) shouldSend(now monotime.Instant, s *state) bool {
-	if s.report == nil || r.Behind() || now < s.sendAt {
+func (r *Reconciler) shouldSend(now monotime.Instant, s *engineState) bool {
+	if s.report == nil || r.Behind() || now < s.nextSendAt {
 		return false
 	}
-	d := s.wanted.compare(s.report)
+	d := s.desired.compare(s.report)
 	if !d.any() {
 		return false
 	}
 	// Only an order that makes the engine load needs a permit.
-	s.waiting = d.missing && !r.permit.Ask(now, s.engine.ID)
+	s.waiting = d.missing && !r.limiter.TryAcquire(now, s.engine.ID)
 	return !s.waiting
 }
 
 // send makes the order. An engine that takes orders and still does not change
 // gets them ever more seldom, since each may start a load.
-func (r *Reconciler) send(now monotime.Instant, s *state) Action {
-	s.waitUntil = now.Add(r.cfg.Timeout)
-	s.sendAt = now.Add(r.retryTime(s.sent))
+func (r *Reconciler) send(now monotime.Instant, s *engineState) Action {
+	s.actionDeadline = now.Add(r.cfg.Timeout)
+	s.nextSendAt = now.Add(r.retryDelay(s.sent))
 	s.sent++
 	r.stats.Sent++
 	return Action{
@@ -279,8 +279,8 @@
 		Order: engineapi.Order{
 			Fence:  r.revision,
 			Engine: s.engine.Spec.Name,
-			Models: s.wanted.models,
-			Role:   s.wanted.role,
+			Models: s.desired.models,
+			Role:   s.desired.role,
 		},
 	}
 }
--- a/internal/orders/withdraw_test.go
+++ b/internal/orders/withdraw_test.go
@@ -7,9 +7,9 @@
 	"basilrudder/internal/catalog"
 )
 
-// withdrawn compiles a catalog in which every server is withdrawn.
-func withdrawn(number uint64, servers int, model string) *catalog.Catalog {
-	cat := revision(number, servers, model)
+// catalogWithdrawn compiles a catalog in which every server is catalogWithdrawn.
+func catalogWithdrawn(number uint64, servers int, model string) *catalog.Catalog {
+	cat := catalogWith(number, servers, model)
 	for i := range cat.Inventory.Servers {
 		cat.Inventory.Servers[i].Withdrawn = true
 	}
@@ -20,27 +20,27 @@
 // an instance is cut off and goes on sending it work; the owner on the other
 // side orders the engines to refuse new work, within the 3 s of a withdrawal.
 // A stale order that lets a non-checking engine work again is corrected.
-func TestAWithdrawnServerIsToldToRefuseWork(t *testing.T) {
+func TestWithdrawnServerIsOrderedToRefuseWork(t *testing.T) {
 	for _, checks := range []bool{false, true} {
-		w := newWorld(checks, 1, 1)
+		w := newTestFleet(checks, 1, 1)
 		engine := w.engines[engineID(0)]
-		stale := newInstance(w, revision(1, 1, "m@1"), NewIssuer(1, lease))
+		stale := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
 		prepared := prepareOrder(t, w, stale)
-		fresh := newInstance(w, revision(1, 1, "m@1"), NewIssuer(1, lease))
+		fresh := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
 		w.run(time.Minute, fresh)
 		if engine.Withdrawn() {
 			t.Fatal("refuses work before the withdrawal")
 		}
-		fresh.Reconfigure(w.now, withdrawn(2, 1, "m@1"), all)
+		fresh.Reconfigure(w.now, catalogWithdrawn(2, 1, "m@1"), ownsAll)
 		w.run(3*time.Second, fresh)
 		if !engine.Withdrawn() {
 			t.Errorf("checks %v: takes work 3 s after the withdrawal", checks)
 		}
-		w.do(stale, prepared)
+		w.perform(stale, prepared)
 		w.run(DefaultResync+time.Second, fresh)
 		if !engine.Withdrawn() {
 			t.Errorf("checks %v: a stale order was not corrected", checks)
 		}
-		w.wantHolds(t, "m@1")
+		w.assertAllHold(t, "m@1")
 	}
 }
--- a/internal/relay/flight.go
+++ b/internal/relay/flight.go
@@ -141,7 +141,7 @@
 		MaxGap:   f.route.MaxGap,
 		Priority: f.route.Priority,
 		Rank:     f.table.Rank(f.route, f.customer),
-		Homes:    routing.Homes(f.route, f.customer),
+		Homes:    routing.AllowedRegions(f.route, f.customer),
 	}
 }
 
--- a/internal/route/owner.go
+++ b/internal/route/owner.go
@@ -26,21 +26,21 @@
 func Owner(group *catalog.Group, members []Member) string {
 	var best Member
 	var bestScore uint64
-	bestNear := false
+	bestLocal := false
 	for _, m := range members {
-		near := m.DataCentre == group.DataCentre
-		score := weigh(group.Name, m.ID)
-		if best.ID != "" && !better(near, bestNear, score, bestScore, m.ID, best.ID) {
+		local := m.DataCentre == group.DataCentre
+		score := pairHash(group.Name, m.ID)
+		if best.ID != "" && !ranksHigher(local, bestLocal, score, bestScore, m.ID, best.ID) {
 			continue
 		}
-		best, bestScore, bestNear = m, score, near
+		best, bestScore, bestLocal = m, score, local
 	}
 	return best.ID
 }
 
-func better(near, bestNear bool, score, bestScore uint64, id, bestID string) bool {
-	if near != bestNear {
-		return near
+func ranksHigher(local, bestLocal bool, score, bestScore uint64, id, bestID string) bool {
+	if local != bestLocal {
+		return local
 	}
 	if score != bestScore {
 		return score > bestScore
@@ -54,7 +54,7 @@
 	var best string
 	var bestScore uint64
 	for _, m := range members {
-		score := mix(customer, xxhash.Sum64String(m.ID))
+		score := mixHashes(customer, xxhash.Sum64String(m.ID))
 		if best == "" || score > bestScore || score == bestScore && m.ID < best {
 			best, bestScore = m.ID, score
 		}
@@ -62,13 +62,13 @@
 	return best
 }
 
-// weigh hashes a pair. The two hashes are mixed, since hashing the joined
+// pairHash hashes a pair. The two hashes are mixed, since hashing the joined
 // strings would need a buffer for each pair.
-func weigh(group, member string) uint64 {
-	return mix(xxhash.Sum64String(group), xxhash.Sum64String(member))
+func pairHash(group, member string) uint64 {
+	return mixHashes(xxhash.Sum64String(group), xxhash.Sum64String(member))
 }
 
-func mix(a, b uint64) uint64 {
+func mixHashes(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -34,7 +34,7 @@
 	return out
 }
 
-func TestOwnerIsNearAndMovesOnlyWithItsMember(t *testing.T) {
+func TestOwnerIsLocalAndMovesOnlyWithItsMember(t *testing.T) {
 	cat := threeCentres()
 	all := members(9)
 	moved := 0
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestOwnerOfAnEmptyCentreIsAnywhere(t *testing.T) {
+func TestOwnerOfADataCentreWithoutMembersIsRemote(t *testing.T) {
 	cat := threeCentres()
 	near := []Member{{ID: "a", DataCentre: "dc0"}}
 	for _, group := range cat.GroupList {
@@ -70,16 +70,16 @@
 	}
 }
 
-func TestPickLeavesABusyGroup(t *testing.T) {
+func TestPickAvoidsABusyGroup(t *testing.T) {
 	cat := threeCentres()
 	p := NewPicker()
 	rng := rand.New(rand.NewPCG(1, 1))
 	busy := cat.GroupsFor["m"][0]
 	now := monotime.Instant(time.Second)
-	p.Observe(busy.Name, 0, 10*time.Second, now)
+	p.ObserveBacklog(busy.Name, 0, 10*time.Second, now)
 	count := 0
 	for range 1000 {
-		if p.Pick(now, cat, Ask{Target: "m", DataCentre: "dc0"}, rng) == busy {
+		if p.Pick(now, cat, Request{Target: "m", DataCentre: "dc0"}, rng) == busy {
 			count++
 		}
 	}
@@ -87,25 +87,25 @@
 		t.Errorf("the busy group of %d got %d of 1000", len(cat.GroupsFor["m"]), count)
 	}
 	later := now.Add(time.Hour)
-	if p.cost(later, cat, &Ask{DataCentre: busy.DataCentre}, busy) > 10*time.Millisecond {
+	if p.cost(later, cat, &Request{DataCentre: busy.DataCentre}, busy) > 10*time.Millisecond {
 		t.Error("an hour later the backlog still keeps requests away")
 	}
 }
 
-func TestPrefixAttractsOnlyWhileItPays(t *testing.T) {
+func TestCachedPrefixIsPreferredOnlyWhileItSavesTime(t *testing.T) {
 	cat := threeCentres()
 	p := NewPicker()
 	rng := rand.New(rand.NewPCG(1, 1))
 	known := cat.GroupsFor["m"][1]
 	now := monotime.Instant(time.Second)
-	p.Ran(now, 7, known)
-	ask := Ask{Target: "m", DataCentre: known.DataCentre, Prefix: 7, PromptTokens: 4000}
+	p.RecordPrefix(now, 7, known)
+	ask := Request{Target: "m", DataCentre: known.DataCentre, Prefix: 7, PromptTokens: 4000}
 	for range 50 {
 		if got := p.Pick(now, cat, ask, rng); got != known {
 			t.Fatalf("picked %s, the prefix is in %s", got.Name, known.Name)
 		}
 	}
-	p.Observe(known.Name, 0, 2*time.Second, now)
+	p.ObserveBacklog(known.Name, 0, 2*time.Second, now)
 	for range 50 {
 		if p.Pick(now, cat, ask, rng) == known {
 			t.Fatal("a queue of 2 s for 320 ms of saved prefill")
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -54,8 +54,8 @@
 	Shares []Share `cbor:"12,keyasint,omitempty"`
 	// Attempts is the number of servers that one request may be sent to.
 	Attempts int `cbor:"13,keyasint,omitempty"`
-	// Homes are the regions that requests must stay in; none for no bound.
-	Homes []string `cbor:"14,keyasint,omitempty"`
+	// AllowedRegions are the regions that requests must stay in; none for no bound.
+	AllowedRegions []string `cbor:"14,keyasint,omitempty"`
 }
 
 // MayRepeat reports whether a request of the route may run again.
@@ -112,8 +112,8 @@
 	Keys []string `cbor:"2,keyasint,omitempty"`
 	// Priority goes before the route's, see Table.Rank; nil for none.
 	Priority *int `cbor:"3,keyasint,omitempty"`
-	// Homes are the regions that its requests must stay in; none for no bound.
-	Homes []string `cbor:"4,keyasint,omitempty"`
+	// AllowedRegions are the regions that its requests must stay in; none for no bound.
+	AllowedRegions []string `cbor:"4,keyasint,omitempty"`
 }
 
 // Config is one published version.
--- a/internal/routing/parts.go
+++ b/internal/routing/parts.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	// partItems is the mean number of routes or customers in a part.
-	partItems = 64
-	// partItemsMost bounds it.
-	partItemsMost = 4 * partItems
-	// elementsMost bounds what a part that a peer sent may hold.
-	elementsMost = 1 << 16
+	// meanPartItems is the mean number of routes or customers in a part.
+	meanPartItems = 64
+	// maxPartItems bounds it.
+	maxPartItems = 4 * meanPartItems
+	// maxElements bounds what a part that a peer sent may hold.
+	maxElements = 1 << 16
 )
 
 // general is what a configuration holds besides routes and customers.
@@ -78,7 +78,7 @@
 		hash := fnv.New32a()
 		hash.Write([]byte(name(&items[i])))
 		length := i + 1 - start
-		if hash.Sum32()%partItems == 0 || length == partItemsMost || i+1 == len(items) {
+		if hash.Sum32()%meanPartItems == 0 || length == maxPartItems || i+1 == len(items) {
 			out = append(out, items[start:i+1])
 			start = i + 1
 		}
@@ -89,7 +89,7 @@
 // Assembler decodes parts to configurations. It keeps those of the last one, so that what
 // did not change is not decoded again. It is not safe for concurrent use.
 type Assembler struct {
-	kept map[string]decoded // by key and hash
+	cache map[string]decoded // by key and hash
 }
 
 // decoded is a part and what it holds.
@@ -100,10 +100,10 @@
 	customers []Customer
 }
 
-var decoding = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
-		MaxArrayElements: elementsMost,
-		MaxMapPairs:      elementsMost,
+		MaxArrayElements: maxElements,
+		MaxMapPairs:      maxElements,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
 	}.DecMode()
@@ -116,30 +116,30 @@
 // Assemble returns the configuration of a version that Parts encoded. The parts must not
 // be changed afterwards.
 func (a *Assembler) Assemble(version int64, parts []Part) (*Config, error) {
-	kept := make(map[string]decoded, len(parts))
+	used := make(map[string]decoded, len(parts))
 	out := &Config{Version: version}
 	for _, part := range parts {
-		id := part.id()
-		held, ok := a.kept[id]
-		if !ok || !bytes.Equal(held.data, part.Data) {
+		id := part.contentID()
+		cached, ok := a.cache[id]
+		if !ok || !bytes.Equal(cached.data, part.Data) {
 			var err error
-			if held, err = decodePart(part); err != nil {
+			if cached, err = decodePart(part); err != nil {
 				return nil, err
 			}
 		}
-		kept[id] = held
-		if held.general != nil {
-			out.Services, out.Limits, out.KeysRequired = held.general.Services, held.general.Limits, held.general.KeysRequired
+		used[id] = cached
+		if cached.general != nil {
+			out.Services, out.Limits, out.KeysRequired = cached.general.Services, cached.general.Limits, cached.general.KeysRequired
 		}
-		out.Routes = append(out.Routes, held.routes...)
-		out.Customers = append(out.Customers, held.customers...)
+		out.Routes = append(out.Routes, cached.routes...)
+		out.Customers = append(out.Customers, cached.customers...)
 	}
-	a.kept = kept
+	a.cache = used
 	return out, nil
 }
 
-// id names a part by what it holds; the number in its key changes with those before it.
-func (p *Part) id() string {
+// contentID names a part by what it holds; the number in its key changes with those before it.
+func (p *Part) contentID() string {
 	hash := fnv.New64a()
 	hash.Write(p.Data)
 	return fmt.Sprint(strings.TrimRight(p.Key, "0123456789"), hash.Sum64())
@@ -150,18 +150,18 @@
 	switch {
 	case part.Key == generalKey:
 		out.general = new(general)
-		err = decoding.Unmarshal(part.Data, out.general)
+		err = decMode.Unmarshal(part.Data, out.general)
 	case strings.HasPrefix(part.Key, routesPrefix):
-		err = decoding.Unmarshal(part.Data, &out.routes)
+		err = decMode.Unmarshal(part.Data, &out.routes)
 	case strings.HasPrefix(part.Key, customerPrefix):
-		err = decoding.Unmarshal(part.Data, &out.customers)
+		err = decMode.Unmarshal(part.Data, &out.customers)
 	default:
 		err = errors.New("unknown kind of part")
 	}
-	return out, errorOf(part.Key, err)
+	return out, wrapPartError(part.Key, err)
 }
 
-func errorOf(key string, err error) error {
+func wrapPartError(key string, err error) error {
 	if err == nil {
 		return nil
 	}
--- a/internal/routing/parts_test.go
+++ b/internal/routing/parts_test.go
@@ -30,20 +30,20 @@
 	return parts
 }
 
-// fill sets every field to a value that is not its zero value.
-func fill(v reflect.Value) {
+// fillNonZero sets every field to a value that is not its zero value.
+func fillNonZero(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem())
+		fillNonZero(v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i))
+			fillNonZero(v.Field(i))
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(v.Index(0))
-		fill(v.Index(1))
+		fillNonZero(v.Index(0))
+		fillNonZero(v.Index(1))
 	case reflect.String:
 		v.SetString("text")
 	case reflect.Bool:
@@ -60,7 +60,7 @@
 // Guards against a field of a configuration that is lost on its way between instances.
 func TestPartsHoldEveryField(t *testing.T) {
 	want := new(Config)
-	fill(reflect.ValueOf(want).Elem())
+	fillNonZero(reflect.ValueOf(want).Elem())
 	zero := 0
 	want.Customers[1].Priority = &zero
 	got, err := new(Assembler).Assemble(want.Version, partsOf(t, want))
@@ -73,7 +73,7 @@
 }
 
 // Guards against parts that all change with one route, which would be sent as a whole.
-func TestAChangeLeavesMostPartsAsTheyWere(t *testing.T) {
+func TestSmallChangeKeepsMostParts(t *testing.T) {
 	const routes = 2000
 	changes := map[string]struct {
 		change func(*Config)
@@ -96,7 +96,7 @@
 	for _, part := range before {
 		held[string(part.Data)] = true
 	}
-	if len(before) < 2*routes/partItems/2 {
+	if len(before) < 2*routes/meanPartItems/2 {
 		t.Fatalf("%d parts", len(before))
 	}
 	for name, c := range changes {
@@ -115,7 +115,7 @@
 }
 
 // Guards against what was kept of an earlier version being taken for a part of a later one.
-func TestAssemblingFollowsEachVersion(t *testing.T) {
+func TestAssemblerReturnsEachVersion(t *testing.T) {
 	a := new(Assembler)
 	for version := range int64(20) {
 		want := manyRoutes(300 + int(version)*17%90)
@@ -132,7 +132,7 @@
 }
 
 // Guards against readers of one version that publish different parts of it.
-func TestPartsComeOutTheSame(t *testing.T) {
+func TestPartsAreDeterministic(t *testing.T) {
 	a, b := partsOf(t, manyRoutes(500)), partsOf(t, manyRoutes(500))
 	for i := range a {
 		if a[i].Key != b[i].Key || !bytes.Equal(a[i].Data, b[i].Data) {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -16,12 +16,12 @@
 // Table answers questions about one configuration. It is immutable and safe
 // for concurrent use.
 type Table struct {
-	config    *Config
-	hosts     map[string][]*Route // longest prefix first
-	services  map[string]*Service
-	customers map[string]*Customer // by key
-	tiers     []int                // the routes' priorities, ascending, each once
-	levels    []int                // the customers' priorities, ascending, each once
+	config             *Config
+	hosts              map[string][]*Route // longest prefix first
+	services           map[string]*Service
+	customers          map[string]*Customer // by key
+	routePriorities    []int                // the routes' priorities, ascending, each once
+	customerPriorities []int                // the customers' priorities, ascending, each once
 }
 
 // NewTable builds the table of a configuration, which must not change afterwards.
@@ -38,11 +38,11 @@
 	}
 	for i := range config.Routes {
 		route := &config.Routes[i]
-		if err := t.check(route); err != nil {
+		if err := t.validateRoute(route); err != nil {
 			return nil, err
 		}
-		t.tiers = append(t.tiers, route.Priority)
-		host := normalHost(route.Host)
+		t.routePriorities = append(t.routePriorities, route.Priority)
+		host := normalizeHost(route.Host)
 		t.hosts[host] = append(t.hosts[host], route)
 	}
 	for _, routes := range t.hosts {
@@ -56,20 +56,20 @@
 			t.customers[key] = customer
 		}
 		if customer.Priority != nil {
-			t.levels = append(t.levels, *customer.Priority)
+			t.customerPriorities = append(t.customerPriorities, *customer.Priority)
 		}
 	}
-	t.tiers, t.levels = ascending(t.tiers), ascending(t.levels)
+	t.routePriorities, t.customerPriorities = sortedDistinct(t.routePriorities), sortedDistinct(t.customerPriorities)
 	return t, nil
 }
 
-// ascending returns the distinct priorities in order.
-func ascending(priorities []int) []int {
+// sortedDistinct returns the distinct priorities in order.
+func sortedDistinct(priorities []int) []int {
 	slices.Sort(priorities)
 	return slices.Compact(priorities)
 }
 
-func (t *Table) check(route *Route) error {
+func (t *Table) validateRoute(route *Route) error {
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
 		return errors.Wrapf(ErrInvalid, "route %q: prefix %q", route.Name, route.Prefix)
 	}
@@ -99,7 +99,7 @@
 
 // Match returns the route of a host with the longest prefix that begins path.
 func (t *Table) Match(host, path string) *Route {
-	for _, route := range t.hosts[normalHost(host)] {
+	for _, route := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -124,37 +124,37 @@
 // others: on a day of high load, 11 to 16 of them at 140 engines. Ranks are
 // counted without gaps, because servers tell only a few apart.
 func (t *Table) Rank(route *Route, customer *Customer) int {
-	tier, _ := slices.BinarySearch(t.tiers, route.Priority)
-	level := 0
+	routeIndex, _ := slices.BinarySearch(t.routePriorities, route.Priority)
+	customerIndex := 0
 	if customer != nil && customer.Priority != nil {
-		level, _ = slices.BinarySearch(t.levels, *customer.Priority)
+		customerIndex, _ = slices.BinarySearch(t.customerPriorities, *customer.Priority)
 	}
-	return tier*max(1, len(t.levels)) + level
+	return routeIndex*max(1, len(t.customerPriorities)) + customerIndex
 }
 
-// Homes returns the regions that a request must stay in; nil for no bound. Where route
+// AllowedRegions returns the regions that a request must stay in; nil for no bound. Where route
 // and customer both have some, both bind, and there may be no region left: such a request
 // can't be served anywhere.
-func Homes(route *Route, customer *Customer) []string {
-	var of []string
+func AllowedRegions(route *Route, customer *Customer) []string {
+	var ofCustomer []string
 	if customer != nil {
-		of = customer.Homes
+		ofCustomer = customer.AllowedRegions
 	}
 	switch {
-	case len(route.Homes) == 0 && len(of) == 0:
+	case len(route.AllowedRegions) == 0 && len(ofCustomer) == 0:
 		return nil
-	case len(of) == 0:
-		return route.Homes
-	case len(route.Homes) == 0:
-		return of
-	}
-	both := []string{}
-	for _, region := range route.Homes {
-		if slices.Contains(of, region) {
-			both = append(both, region)
+	case len(ofCustomer) == 0:
+		return route.AllowedRegions
+	case len(route.AllowedRegions) == 0:
+		return ofCustomer
+	}
+	common := []string{}
+	for _, region := range route.AllowedRegions {
+		if slices.Contains(ofCustomer, region) {
+			common = append(common, region)
 		}
 	}
-	return both
+	return common
 }
 
 // Pick returns the service for a request. The choice follows the shares over
@@ -180,8 +180,8 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// normalHost drops a port and the letters' case.
-func normalHost(host string) string {
+// normalizeHost drops a port and the letters' case.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-func TestTheLongestPrefixOfTheHostDecides(t *testing.T) {
+func TestLongestPrefixOfTheHostMatches(t *testing.T) {
 	tab := table(t, route("all", "x.example", "/"), route("deep", "x.example", "/a/b/"),
 		route("short", "x.example", "/a/"), route("other", "y.example", "/a/b/c/"))
 	for _, c := range []struct{ host, path, want string }{
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestAConfigurationThatCannotServeIsRefused(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	bad := map[string]func(*Route){
 		"prefix without slash": func(r *Route) { r.Prefix = "/a" },
 		"no timeout":           func(r *Route) { r.Timeout = 0 },
@@ -89,9 +89,9 @@
 		"unknown service":      func(r *Route) { r.Shares = []Share{{Service: "z", Weight: 1}} },
 		"no service":           func(r *Route) { r.Shares = nil },
 	}
-	for name, spoil := range bad {
+	for name, invalidate := range bad {
 		r := route("r", "h", "/a/")
-		spoil(&r)
+		invalidate(&r)
 		_, err := NewTable(&Config{Routes: []Route{r}, Services: []Service{{Name: "a"}}})
 		if !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
@@ -116,7 +116,7 @@
 // one runs, engines preempt the usual customers' letters and notes for it if its
 // customer comes first, and their callers see a stream stand still. So the
 // classes come first, and the customers within a class.
-func TestTheRoutesPriorityComesBeforeTheCustomers(t *testing.T) {
+func TestRoutePriorityPrecedesCustomerPriority(t *testing.T) {
 	urgent, usual := 0, 1
 	note, letter, bundle := route("note", "h", "/n/"), route("letter", "h", "/l/"), route("bundle", "h", "/b/")
 	letter.Priority, bundle.Priority = 1, 5
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestRanksWithoutPrioritiesOfCustomersAreTheRoutes(t *testing.T) {
+func TestRankWithoutCustomerPrioritiesFollowsRoutes(t *testing.T) {
 	note, bundle := route("note", "h", "/n/"), route("bundle", "h", "/b/")
 	bundle.Priority = 2
 	tab := table(t, note, bundle)
