--- a/internal/orders/bench_test.go
+++ b/internal/orders/bench_test.go
@@ -8,8 +8,7 @@
 	"basilrudder/internal/monotime"
 )
 
-// BenchmarkTick is one tick of an instance whose engines hold what they
-// should.
+// BenchmarkTick measures one tick of an instance whose engines have all converged.
 func BenchmarkTick(b *testing.B) {
 	for _, engines := range []int{7, 2400} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
--- a/internal/orders/desired.go
+++ b/internal/orders/desired.go
@@ -10,22 +10,23 @@
 	"basilrudder/internal/schema/inventory"
 )
 
-// defaultVersion of a model without a published version.
+// defaultVersion is the version of a model without a published one. Another value would make
+// the engines that hold such models load them again.
 const defaultVersion = "1"
 
-// desiredState is what an engine should hold. It follows from the catalog alone, so
-// two instances at the same revision send the same order.
+// desiredState is what an engine should hold. It depends on the catalog alone, so that two
+// instances at the same revision send the same order.
 type desiredState struct {
 	models []string // name@version, sorted
 	role   string
 }
 
-// desiredStateOf returns what the engine should hold, or false for the worker pool of
-// an application server, which gets no orders.
+// desiredStateOf returns the desired state of the engine, or false for the worker pool of an
+// application server, which gets no orders.
 //
-// The engines of a withdrawn server are told so: an instance that slept or was
-// cut off does not know of the withdrawal, and its work must be refused where it
-// arrives. They keep their models, which costs nothing and lets them come back.
+// The engines of a withdrawn server get the role that refuses work. An instance that was
+// paused or partitioned may not have received the withdrawal and still send requests. The
+// engines keep their models, which costs nothing and makes them usable again at once.
 func desiredStateOf(cat *catalog.Catalog, engine *catalog.Engine) (desiredState, bool) {
 	server := engine.Server.Spec
 	if server.Kind != inventory.ServerKindModel {
@@ -46,6 +47,7 @@
 	return s, true
 }
 
+// withVersion returns name@version, with the published version of the model if name has none.
 func withVersion(cat *catalog.Catalog, name string) string {
 	if strings.Contains(name, "@") {
 		return name
@@ -62,11 +64,11 @@
 	return s.role == other.role && slices.Equal(s.models, other.models)
 }
 
-// difference is what separates a report from what is wanted.
+// difference is the difference between a report and the desired state.
 type difference struct {
-	// missing models that the engine neither holds nor loads.
+	// missing reports whether the engine neither holds nor loads a desired model.
 	missing bool
-	// unexpected says that the engine has models or a role it should not have.
+	// unexpected reports whether the engine has a model or a role that it should not have.
 	unexpected bool
 }
 
@@ -86,7 +88,7 @@
 		role = string(inventory.RoleMixed)
 	}
 	d.unexpected = role != s.role || hasUnexpected(report.Loading, s.models) ||
-		// While models load, the old ones go on serving.
+		// The old models serve requests while new ones load.
 		len(report.Loading) == 0 && hasUnexpected(report.Models, s.models)
 	return d
 }
--- a/internal/orders/fleet_test.go
+++ b/internal/orders/fleet_test.go
@@ -18,8 +18,7 @@
 	lease    = 15 * time.Second
 )
 
-// testFleet is a fleet of engines, the store they load from, and instances that
-// look after them, in virtual time.
+// testFleet simulates engines and the weight store that they load from, in virtual time.
 type testFleet struct {
 	now         monotime.Instant
 	store       *enginemodel.WeightStore
@@ -61,7 +60,7 @@
 
 func ownsAll(*catalog.Engine) bool { return true }
 
-// run lets the instances act for a while.
+// run runs the instances for the duration d of virtual time.
 func (w *testFleet) run(d time.Duration, instances ...*Reconciler) {
 	end := w.now.Add(d)
 	for ; w.now < end; w.now = w.now.Add(tick) {
@@ -77,7 +76,7 @@
 	}
 }
 
-// perform carries an action out and hands the result to the instance.
+// perform executes an action and passes its result to the instance.
 func (w *testFleet) perform(r *Reconciler, action Action) {
 	id := action.Engine.ID
 	if w.unreachable[id] {
--- a/internal/orders/loads.go
+++ b/internal/orders/loads.go
@@ -10,20 +10,25 @@
 
 // Timing of the permits over the fleet.
 const (
-	// DefaultLease is how long a permit holds without being renewed.
+	// DefaultLease is how long a permit is valid without renewal. A longer lease blocks the
+	// permits of a failed holder, and all grants after a change of issuer, for longer. A
+	// shorter one must still exceed Config.LoadPoll, whose reports renew the permit of a load.
 	DefaultLease = 9 * time.Second
-	// renewalsPerLease lets two lost messages in a row cost no permit.
+	// renewalsPerLease is how often a permit is renewed per lease. After two lost messages in
+	// a row the next one is due as the lease ends; with 2 renewals, after one.
 	renewalsPerLease = 3
-	// waitingAskInterval is how often an instance asks while an engine waits to load.
+	// waitingAskInterval is the interval between messages to the issuer while an engine waits
+	// to load. A longer one leaves free permits unused for longer.
 	waitingAskInterval = time.Second
-	// minAskInterval is the least time between two messages to the issuer.
+	// minAskInterval is the minimum time between two messages to the issuer, also when the
+	// entries change. A shorter one sends more messages during a rollout.
 	minAskInterval = 200 * time.Millisecond
 )
 
-// LoadPermits is one instance's part in the permits for loads over the fleet. The
-// instance that all members take for the issuer keeps the book; the others tell
-// it in one message all that they hold and want, so that a lost or repeated
-// message changes nothing. It is a Permit, and not safe for concurrent use.
+// LoadPermits implements LoadLimiter over the fleet, for one instance. One member is the
+// issuer and keeps the permits. Each of the others sends it one message with all engines that
+// hold a permit or wait for one, so that lost and repeated messages do no harm. It is not
+// safe for concurrent use.
 type LoadPermits struct {
 	lease   time.Duration
 	self    string
@@ -35,28 +40,28 @@
 
 	seq     int
 	askedAt monotime.Instant
-	// changed says that the issuer does not know yet what entries say.
+	// changed reports whether entries changed since the last message to the issuer.
 	changed bool
 
-	// localIssuer is used while this instance is the issuer.
+	// localIssuer is set while this instance is the issuer.
 	localIssuer *Issuer
-	// grantedTo tells which engines each instance last named.
+	// grantedTo holds the engines that the last answer to each instance named.
 	grantedTo map[string][]string
-	// noGrantsUntil is until when a new issuer gives nothing: the permits of an
-	// earlier issuer are renewed here by then, or have lapsed.
+	// noGrantsUntil is when a new issuer starts to grant permits. By then the permits of an
+	// earlier issuer have been renewed at this one or have expired.
 	noGrantsUntil monotime.Instant
 }
 
-// loadEntry is an engine that loads or wants to.
+// loadEntry is an engine that loads or waits for a permit.
 type loadEntry struct {
-	// permitUntil is when a permit that was not renewed lapses.
+	// permitUntil is when the permit expires unless it is renewed.
 	permitUntil monotime.Instant
 	loading     bool
-	// usedAt is when the engine was last asked for or seen loading.
+	// usedAt is the time of the last TryAcquire or Hold for the engine.
 	usedAt monotime.Instant
 }
 
-// NewLoadPermits returns the part of the instance self.
+// NewLoadPermits returns the LoadPermits of the instance self, without an issuer.
 func NewLoadPermits(self string, lease time.Duration) *LoadPermits {
 	return &LoadPermits{
 		lease:   lease,
@@ -65,8 +70,8 @@
 	}
 }
 
-// SetIssuer tells which instance issues, and how many permits live of total
-// instances may give out together.
+// SetIssuer sets the instance that issues permits, the limit of permits over the fleet, and
+// that live of total instances are in this part of the fleet; see Issuer.SetShare.
 func (l *LoadPermits) SetIssuer(now monotime.Instant, issuer string, limit, live, total int) {
 	l.limit, l.live, l.total = limit, live, total
 	if issuer != l.issuer {
@@ -95,11 +100,12 @@
 	}
 }
 
+// holds reports whether the engine counts against the limit: it has a valid permit or loads.
 func (e *loadEntry) holds(now monotime.Instant) bool {
 	return e.loading || now.Before(e.permitUntil)
 }
 
-// TryAcquire implements Permit.
+// TryAcquire implements LoadLimiter.
 func (l *LoadPermits) TryAcquire(now monotime.Instant, key string) bool {
 	e := l.entry(now, key)
 	if l.localIssuer != nil {
@@ -111,7 +117,7 @@
 	return e.holds(now)
 }
 
-// Hold implements Permit.
+// Hold implements LoadLimiter.
 func (l *LoadPermits) Hold(now monotime.Instant, key string) {
 	e := l.entry(now, key)
 	if !e.loading {
@@ -123,7 +129,7 @@
 	}
 }
 
-// Release implements Permit.
+// Release implements LoadLimiter.
 func (l *LoadPermits) Release(now monotime.Instant, key string) {
 	if l.entries[key] == nil {
 		return
@@ -146,7 +152,8 @@
 	return e
 }
 
-// Tick returns the message that is due to the issuer, if any.
+// Tick drops the entries that were not used for a lease, and returns the message that is
+// due to the issuer, or nil.
 func (l *LoadPermits) Tick(now monotime.Instant) (issuer string, ask *wire.LoadAsk) {
 	for id, e := range l.entries {
 		if now.Sub(e.usedAt) >= l.lease {
@@ -200,8 +207,8 @@
 	return ask
 }
 
-// OnAsk takes the message of another instance. It returns nil when this one is
-// not the issuer: the two see different members, and one of them will learn.
+// OnAsk answers the message of another instance. It returns nil when this instance is not
+// the issuer. The views of the members differ then and converge later.
 func (l *LoadPermits) OnAsk(now monotime.Instant, from string, ask *wire.LoadAsk) *wire.LoadGive {
 	if l.localIssuer == nil {
 		return nil
@@ -224,7 +231,8 @@
 	return give
 }
 
-// releaseDropped takes back the permits that the holder named before and not now.
+// releaseDropped releases the permits that were granted to the instance and that its message
+// no longer names.
 func (l *LoadPermits) releaseDropped(now monotime.Instant, from string, ask *wire.LoadAsk) {
 	for _, id := range l.grantedTo[from] {
 		if !slices.Contains(ask.Holds, id) && !slices.Contains(ask.Wants, id) {
@@ -233,9 +241,9 @@
 	}
 }
 
-// OnGive takes the issuer's answer. The lease runs from the sending of the
-// question, which is before the issuer's own began; an answer to an older
-// question says nothing any more.
+// OnGive applies the issuer's answer. The lease counts from the sending of the message, which
+// is before the lease at the issuer begins, so that it never ends later here. Answers to
+// older messages are ignored.
 func (l *LoadPermits) OnGive(now monotime.Instant, from string, give *wire.LoadGive) {
 	until := l.askedAt.Add(time.Duration(give.LeaseMS) * time.Millisecond)
 	if from != l.issuer || give.Seq != l.seq || !now.Before(until) {
@@ -250,16 +258,17 @@
 
 // LoadPermitStats is the state of an instance's permits.
 type LoadPermitStats struct {
-	// Issuer of permits.
+	// Issuer is the id of the issuing instance.
 	Issuer string `json:"issuer"`
-	// Holding and Waiting engines of this instance.
+	// Holding and Waiting are the numbers of engines of this instance that hold a permit or
+	// load, and that wait for one.
 	Holding int `json:"holding"`
 	Waiting int `json:"waiting"`
-	// Given permits, when this instance is the issuer.
+	// Given is the number of permits in use, if this instance is the issuer.
 	Given int `json:"given"`
 }
 
-// Stats returns the state.
+// Stats returns the state of the permits.
 func (l *LoadPermits) Stats(now monotime.Instant) LoadPermitStats {
 	stats := LoadPermitStats{Issuer: l.issuer}
 	for _, e := range l.entries {
--- a/internal/orders/loads_test.go
+++ b/internal/orders/loads_test.go
@@ -11,14 +11,14 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// member is one instance with its share of the engines.
+// member is one instance and its reconciler.
 type member struct {
 	id    string
 	rec   *Reconciler
 	loads *LoadPermits
 }
 
-// loadFleet is a few instances before one weight store, in virtual time. Each
+// loadFleet simulates several instances that share one weight store, in virtual time. Each
 // message between them is lost with the probability loss.
 type loadFleet struct {
 	*testFleet
@@ -43,7 +43,8 @@
 	return f
 }
 
-// assignIssuerAndOwners makes the first member the issuer and shares the engines out.
+// assignIssuerAndOwners makes the first member the issuer and distributes the engines over
+// all members.
 func (f *loadFleet) assignIssuerAndOwners(limit int) {
 	for i, m := range f.members {
 		m.loads.SetIssuer(f.now, f.members[0].id, limit, len(f.members), len(f.members))
@@ -79,6 +80,8 @@
 	}
 }
 
+// Guards against a fleet that exceeds the weight store's limit or stops loading when 30 % of
+// the permit messages are lost, and against messages while nothing loads.
 func TestFleetLoadsWithinTheStoresLimit(t *testing.T) {
 	for _, loss := range []float64{0, 0.3} {
 		f := newLoadFleet(5, 20, 2)
@@ -97,15 +100,14 @@
 	}
 }
 
-// What operators see: a rollout goes on within the store's limit. The issuer
-// dies with permits given out, while its own engine loads. The next issuer has
-// an empty book: were it to give permits at once, the loads under way would
-// come on top.
+// Guards against a rollout that exceeds the weight store's limit after the issuer fails. The
+// next issuer starts without the permits that are in use. If it granted permits at once,
+// they would add to the running loads, among them that of the failed issuer's own engine.
 func TestNewIssuerKeepsTheLimitDuringARollout(t *testing.T) {
 	f := newLoadFleet(5, 20, 2)
 	f.run(DefaultLease + loadTime/2)
 	if f.store.Loads() == 0 {
-		t.Fatal("nothing loads yet")
+		t.Fatal("no load has started")
 	}
 	f.members = f.members[1:]
 	f.assignIssuerAndOwners(2)
@@ -116,9 +118,8 @@
 	}
 }
 
-// An instance waits for a permit that the issuer gives in answer to an old
-// question. It was asked before a pause, so the lease is over at the issuer and
-// the place may be somebody else's.
+// Guards against a permit from an answer that arrives after a pause. The lease of such a
+// permit has ended at the issuer, which may have granted it to another instance.
 func TestLateAnswerGrantsNoPermit(t *testing.T) {
 	l := NewLoadPermits("a", DefaultLease)
 	l.SetIssuer(0, "b", 1, 2, 2)
@@ -131,10 +132,10 @@
 	late := monotime.Instant(minAskInterval).Add(DefaultLease)
 	l.OnGive(late, "b", give)
 	if l.TryAcquire(late, "e") {
-		t.Error("a permit whose lease is over was taken")
+		t.Error("a permit was accepted after its lease")
 	}
 	l.OnGive(monotime.Instant(2*minAskInterval), "b", give)
 	if !l.TryAcquire(monotime.Instant(2*minAskInterval), "e") {
-		t.Error("a permit in its lease was not taken")
+		t.Error("a permit within its lease was not accepted")
 	}
 }
--- a/internal/orders/orders_test.go
+++ b/internal/orders/orders_test.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// An instance prepared an order of revision 1, was stopped, and sends it after
-// another instance had all engines load revision 2. An engine that checks
-// fencing numbers refuses; the woken instance learns from the refusal that it
-// is behind and sends nothing more.
+// Guards against a stale order that takes effect on an engine that checks fencing numbers. An
+// instance decides on an order of revision 1, is paused, and sends it after another instance
+// brought the engines to revision 2. The engine must refuse it. The refusal shows the paused
+// instance that its configuration is outdated, and it must send no more orders.
 func TestCheckingEngineRefusesStaleOrder(t *testing.T) {
 	w := newTestFleet(true, 1, 1)
 	stale := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
@@ -46,9 +46,10 @@
 	}
 }
 
-// The same, to an engine that ignores fencing numbers: it obeys the stale
-// order and drops the right model. The instance in charge sees it in the next
-// report and orders again; the engine is right after one resync and one load.
+// Guards against a stale order that stays in effect on an engine that ignores fencing numbers.
+// The engine obeys the order and drops the desired model. The owner must detect it in the
+// next report and correct it: after one resync interval and one load the engine has
+// converged again.
 func TestStaleOrderToANonCheckingEngineIsCorrected(t *testing.T) {
 	w := newTestFleet(false, 1, 1)
 	stale := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
@@ -66,7 +67,7 @@
 	}
 }
 
-// prepareOrder lets an instance decide on an order, which it does not send.
+// prepareOrder returns an order that the instance decides on, without sending it.
 func prepareOrder(t *testing.T, w *testFleet, r *Reconciler) Action {
 	t.Helper()
 	w.step(r)
@@ -77,9 +78,9 @@
 	return actions[0]
 }
 
-// A checking engine restarts and so forgets the highest fencing number. A
-// stale order then passes the check; the next report shows it and the instance
-// in charge corrects it.
+// Guards against a stale order that stays in effect after a restart of an engine that checks
+// fencing numbers. The restart loses the highest number, so that the stale order passes the
+// check. The owner must detect it in the next report and correct it.
 func TestStaleOrderAfterAnEngineRestartIsCorrected(t *testing.T) {
 	w := newTestFleet(true, 1, 1)
 	stale := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
@@ -92,8 +93,8 @@
 	w.assertAllHold(t, "m@2")
 }
 
-// A process that was paused must ask before it orders: what it believed of the
-// engines is from before the pause.
+// Guards against orders decided from reports that predate a pause of the process. It must
+// query the engines first.
 func TestNoOrderAfterAPauseBeforeAReport(t *testing.T) {
 	w := newTestFleet(false, 1, 1)
 	r := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
@@ -114,8 +115,9 @@
 	w.assertAllHold(t, "m@2")
 }
 
-// A new version for twenty engines, and a store that takes two loads at once.
-// More at once would slow every load and could lose them all to timeouts.
+// Guards against more concurrent loads than the weight store sustains when twenty engines get
+// a new version and the limit is two. More would slow down every load and could make all of
+// them time out.
 func TestLoadsStayWithinTheStoresLimit(t *testing.T) {
 	w := newTestFleet(true, 20, 2)
 	r := newInstance(w, catalogWith(1, 20, "m@1"), NewIssuer(2, lease))
@@ -126,9 +128,9 @@
 	}
 }
 
-// The fleet of eight instances is split five to three and each part has an
-// issuer that knows nothing of the other, before one store with a limit of
-// two. Each part uses its share, so that the limit holds over both.
+// Guards against a partitioned fleet that exceeds the weight store's limit. Eight instances
+// are split five to three, and each part has an issuer without a link to the other. Each must
+// use only its share, so that the limit of two holds over both.
 func TestPartitionedPartsShareTheLimit(t *testing.T) {
 	w := newTestFleet(true, 20, 2)
 	cat := catalogWith(1, 20, "m@1")
@@ -151,8 +153,8 @@
 	}
 }
 
-// The owner of an engine dies while the engine loads. The next owner finds the
-// load under way: it must count it against the limit and not start another.
+// Guards against a second load when the owner of an engine fails while the engine loads. The
+// next owner must count the running load against the limit and start no other.
 func TestNewOwnerFollowsALoadUnderWay(t *testing.T) {
 	w := newTestFleet(true, 2, 1)
 	cat := catalogWith(1, 2, "m@1")
@@ -166,8 +168,8 @@
 	}
 }
 
-// An engine does not answer for a while. It is asked more and more seldom, and
-// gets its order once it answers.
+// Guards against frequent calls to an engine that is unreachable, and against an engine that
+// gets no order once it answers again. The retry delay must increase.
 func TestUnreachableEngineIsRetried(t *testing.T) {
 	w := newTestFleet(true, 2, 2)
 	w.unreachable[engineID(0)] = true
@@ -183,15 +185,15 @@
 		w.now = w.now.Add(tick)
 	}
 	if asked > 10 {
-		t.Errorf("asked %d times in a minute", asked)
+		t.Errorf("an unreachable engine was called %d times in a minute", asked)
 	}
 	w.unreachable = map[string]bool{}
 	w.run(time.Minute, r)
 	w.assertAllHold(t, "m@1")
 }
 
-// The answer to an action never comes. The engine is asked again after the
-// timeout.
+// Guards against an engine that is never called again because the result of an action was
+// lost. It must be queried after the timeout.
 func TestLostAnswerIsRetriedAfterTheTimeout(t *testing.T) {
 	w := newTestFleet(true, 1, 1)
 	r := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
@@ -202,8 +204,8 @@
 	w.assertAllHold(t, "m@1")
 }
 
-// An engine takes every order and changes nothing. Each order may cost the
-// store a load, so they come ever more seldom.
+// Guards against frequent orders to an engine that accepts them all and does not change. Each
+// order may cost the weight store a load, so the delay between them must increase.
 func TestEngineThatDoesNotChangeGetsFewOrders(t *testing.T) {
 	w := newTestFleet(false, 1, 1)
 	r := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
@@ -225,16 +227,16 @@
 func TestPermitThatIsNotRenewedExpires(t *testing.T) {
 	issuer := NewIssuer(1, lease)
 	if !issuer.TryAcquire(0, "a") || issuer.TryAcquire(0, "b") {
-		t.Error("want one permit")
+		t.Error("want exactly one permit")
 	}
 	late := monotime.Instant(lease)
 	if !issuer.TryAcquire(late, "b") {
-		t.Error("the permit of a dead holder is still held")
+		t.Error("a permit is still held after its lease")
 	}
 }
 
-// A part with a small share rests between loads, so that over an hour it uses
-// its share of the store.
+// Guards against a part of the fleet that loads more or less than its share when the share is
+// below one load. It must pause between loads and use its share on average over an hour.
 func TestSmallShareIsKeptOnAverage(t *testing.T) {
 	for _, live := range []int{1, 2, 3} {
 		t.Run(fmt.Sprint(live), func(t *testing.T) {
--- a/internal/orders/reconciler.go
+++ b/internal/orders/reconciler.go
@@ -1,9 +1,9 @@
-// Package orders decides which orders model engines get. It is level-triggered:
-// what an engine should hold follows from the catalog, what it holds from its
-// own reports, and an order is sent while the two differ. So a lost order is
-// sent again, a repeated one changes nothing, and a stale one of an instance
-// that was paused shows in the next report and is corrected, also on engines
-// that ignore fencing numbers. docs/design/orders.md tells why.
+// Package orders reconciles model engines with the catalog. The catalog gives the desired
+// state of an engine, the engine's reports give its actual state, and orders are sent while
+// the two differ. It is level-triggered: a lost order is sent again and a repeated one has
+// no effect. A stale order of an instance that was paused shows in the next report and is
+// corrected, also on engines that ignore fencing numbers. The design and its reasons are
+// in docs/design/orders.md.
 package orders
 
 import (
@@ -18,40 +18,50 @@
 
 // Defaults of Config, used for fields left zero.
 const (
-	DefaultResync   = 5 * time.Second
+	// DefaultResync bounds how long a stale order that an engine obeyed stays unnoticed.
+	DefaultResync = 5 * time.Second
+	// DefaultLoadPoll must stay below the lease of a permit, which each report of a load
+	// renews. After the load the permit is unavailable to others until the next report.
 	DefaultLoadPoll = time.Second
-	DefaultTimeout  = 3 * time.Second
+	// DefaultTimeout must exceed the caller's timeout of one call. Below it, an action is
+	// given up and repeated while its result is still due.
+	DefaultTimeout = 3 * time.Second
+	// DefaultRetryMin is the first delay; a shorter one sends more calls to an engine that
+	// is unreachable.
 	DefaultRetryMin = 500 * time.Millisecond
+	// DefaultRetryMax bounds how long an engine that is reachable again waits for its order.
+	// A shorter one lets an engine that obeys no orders start more loads.
 	DefaultRetryMax = 30 * time.Second
 )
 
-// maxDoublings bounds the exponent of the retry time.
+// maxDoublings bounds the exponent of the retry delay. From 35 doublings on, 500 ms overflow
+// a time.Duration: the delay may be negative, and the engine is called on every tick.
 const maxDoublings = 16
 
-// Config of a Reconciler. Zero fields take the defaults above.
+// Config configures a Reconciler. Zero fields take the defaults above.
 type Config struct {
-	// Resync is how often an engine is asked what it holds.
+	// Resync is the interval between queries of an engine's state.
 	Resync time.Duration
-	// LoadPoll is how often an engine that loads is asked.
+	// LoadPoll is that interval while the engine loads a model.
 	LoadPoll time.Duration
-	// Timeout is how long the answer to an action may take.
+	// Timeout is how long the result of an action may take.
 	Timeout time.Duration
-	// RetryMin and RetryMax bound the time between tries, which doubles.
+	// RetryMin and RetryMax bound the retry delay, which doubles each time.
 	RetryMin, RetryMax time.Duration
 }
 
-// Kind of an Action.
+// Kind is the kind of an Action.
 type Kind uint8
 
-// Kinds.
 const (
-	// Observe asks an engine what it holds.
+	// Observe queries the state of an engine.
 	Observe Kind = iota + 1
 	// Send sends an order.
 	Send
 )
 
-// Action is a call to make. Its result comes back as OnReport or OnFailure.
+// Action is a call to an engine that the caller makes. Its result is passed to OnReport or
+// OnFailure.
 type Action struct {
 	Kind   Kind
 	Engine *catalog.Engine
@@ -59,46 +69,47 @@
 	Order engineapi.Order
 }
 
-// Stats counts what happened since the start.
+// Stats counts orders since the start, except for Waiting.
 type Stats struct {
-	// Sent orders.
+	// Sent is the number of orders sent.
 	Sent int `json:"sent"`
-	// Refused orders, by engines that had seen a higher fencing number.
+	// Refused is the number of orders refused because of a higher fencing number.
 	Refused int `json:"refused"`
-	// Corrected engines that had held what was wanted and then did not.
+	// Corrected counts how often an engine left its desired state after reaching it.
 	Corrected int `json:"corrected"`
-	// Waiting engines that may not load yet.
+	// Waiting is the number of engines that wait for a permit to load.
 	Waiting int `json:"waiting"`
 }
 
-// Reconciler holds the engines that one instance looks after.
+// Reconciler brings the engines of one instance to their desired state. It does no I/O and
+// is not safe for concurrent use.
 type Reconciler struct {
 	cfg     Config
 	limiter LoadLimiter
 	engines map[string]*engineState
 	sorted  []*engineState
-	// revision of the catalog; the fencing number of orders.
+	// revision of the catalog, used as the fencing number of orders.
 	revision int
 	// maxFence is the highest fencing number that an engine reported.
 	maxFence int
 	stats    Stats
 }
 
-// engineState of one engine.
+// engineState is the state of one engine.
 type engineState struct {
 	engine  *catalog.Engine
 	desired desiredState
 	report  *engineapi.OrderAnswer
-	// converged says that the engine has held what is wanted.
+	// converged reports whether the engine has reached its desired state.
 	converged bool
-	// actionDeadline is when an action without a result is given up; 0 for none.
+	// actionDeadline is when an action without a result counts as failed; 0 without an action.
 	actionDeadline monotime.Instant
-	// nextCheckAt is when to ask the engine next.
+	// nextCheckAt is the time of the next Observe.
 	nextCheckAt monotime.Instant
-	// nextSendAt is when the next order may be sent.
+	// nextSendAt is the earliest time of the next order.
 	nextSendAt monotime.Instant
-	sent       int // orders since the engine last converged
-	failures   int // failures in a row
+	sent       int // orders since the engine converged or its desired state changed
+	failures   int // consecutive failures
 	waiting    bool
 }
 
@@ -112,8 +123,8 @@
 	return &Reconciler{cfg: cfg, limiter: limiter, engines: make(map[string]*engineState)}
 }
 
-// Reconfigure takes a catalog and the set of engines to look after. A catalog
-// older than the present one changes nothing.
+// Reconfigure applies a catalog and the set of engines that this instance owns. A catalog
+// older than the current one is ignored.
 func (r *Reconciler) Reconfigure(now monotime.Instant, cat *catalog.Catalog, owns func(*catalog.Engine) bool) {
 	revision := int(cat.Revision)
 	if revision < r.revision {
@@ -145,9 +156,9 @@
 	sort.Slice(r.sorted, func(i, j int) bool { return r.sorted[i].engine.ID < r.sorted[j].engine.ID })
 }
 
-// OnPaused forgets what engines reported, because the process was stopped for
-// a while. An order decided before a pause is the stale order that fencing is
-// for; asking first keeps this instance from sending one.
+// OnPaused discards the engines' reports after the process was suspended. An order decided
+// from a report before the pause could be stale. Engines are queried first instead, as
+// fencing stops stale orders only at engines that check it.
 func (r *Reconciler) OnPaused(now monotime.Instant) {
 	for _, s := range r.sorted {
 		s.report = nil
@@ -156,14 +167,14 @@
 	}
 }
 
-// Behind reports whether an engine has seen a higher fencing number than the
-// catalog's revision. Then this instance's configuration is old: it sends no
-// orders until Reconfigure brings a newer one.
+// Behind reports whether an engine has seen a higher fencing number than the catalog's
+// revision. The configuration of this instance is then outdated, and it sends no orders
+// until Reconfigure applies a newer one.
 func (r *Reconciler) Behind() bool {
 	return r.maxFence > r.revision
 }
 
-// Stats returns the counters.
+// Stats returns the counters and the number of waiting engines.
 func (r *Reconciler) Stats() Stats {
 	stats := r.stats
 	for _, s := range r.sorted {
@@ -174,7 +185,7 @@
 	return stats
 }
 
-// OnReport takes what an engine holds, from either action.
+// OnReport applies an engine's report, the result of either kind of action.
 func (r *Reconciler) OnReport(now monotime.Instant, engineID string, report engineapi.OrderAnswer) {
 	r.maxFence = max(r.maxFence, report.Fence)
 	if !report.Accepted {
@@ -204,7 +215,7 @@
 	}
 }
 
-// trackLoad keeps the permit of a load until the engine reports its end.
+// trackLoad holds the permit of a load until the engine reports that it ended.
 func (r *Reconciler) trackLoad(now monotime.Instant, s *engineState) {
 	if len(s.report.Loading) == 0 {
 		r.limiter.Release(now, s.engine.ID)
@@ -214,8 +225,8 @@
 	s.nextCheckAt = now.Add(r.cfg.LoadPoll)
 }
 
-// OnFailure takes the failure of an action. Whether an order arrived does not
-// matter: the next report tells.
+// OnFailure records that an action failed. Whether an order arrived is unknown and shows in
+// the next report.
 func (r *Reconciler) OnFailure(now monotime.Instant, engineID string) {
 	if s := r.engines[engineID]; s != nil {
 		r.recordFailure(now, s)
@@ -261,13 +272,13 @@
 	if !d.any() {
 		return false
 	}
-	// Only an order that makes the engine load needs a permit.
+	// Only an order that makes the engine load a model needs a permit.
 	s.waiting = d.missing && !r.limiter.TryAcquire(now, s.engine.ID)
 	return !s.waiting
 }
 
-// send makes the order. An engine that takes orders and still does not change
-// gets them ever more seldom, since each may start a load.
+// send returns the order for the engine. The delay between orders doubles for an engine that
+// accepts them and does not change, since each may start a load.
 func (r *Reconciler) send(now monotime.Instant, s *engineState) Action {
 	s.actionDeadline = now.Add(r.cfg.Timeout)
 	s.nextSendAt = now.Add(r.retryDelay(s.sent))
--- a/internal/orders/withdraw_test.go
+++ b/internal/orders/withdraw_test.go
@@ -7,7 +7,7 @@
 	"basilrudder/internal/catalog"
 )
 
-// catalogWithdrawn compiles a catalog in which every server is catalogWithdrawn.
+// catalogWithdrawn compiles a catalog in which every server is withdrawn.
 func catalogWithdrawn(number uint64, servers int, model string) *catalog.Catalog {
 	cat := catalogWith(number, servers, model)
 	for i := range cat.Inventory.Servers {
@@ -16,10 +16,10 @@
 	return catalog.Compile(number, cat.Inventory)
 }
 
-// What the caller sees: its request runs elsewhere. A server is withdrawn while
-// an instance is cut off and goes on sending it work; the owner on the other
-// side orders the engines to refuse new work, within the 3 s of a withdrawal.
-// A stale order that lets a non-checking engine work again is corrected.
+// Guards against work on a withdrawn server. An instance in another part of a partition does
+// not receive the withdrawal and goes on sending requests there. The owner must order the
+// engines to refuse new work within 3 s, so that the requests run elsewhere. A stale order
+// that lets an engine without fencing accept work again must be corrected.
 func TestWithdrawnServerIsOrderedToRefuseWork(t *testing.T) {
 	for _, checks := range []bool{false, true} {
 		w := newTestFleet(checks, 1, 1)
@@ -29,12 +29,12 @@
 		fresh := newInstance(w, catalogWith(1, 1, "m@1"), NewIssuer(1, lease))
 		w.run(time.Minute, fresh)
 		if engine.Withdrawn() {
-			t.Fatal("refuses work before the withdrawal")
+			t.Fatal("the engine refuses work before the withdrawal")
 		}
 		fresh.Reconfigure(w.now, catalogWithdrawn(2, 1, "m@1"), ownsAll)
 		w.run(3*time.Second, fresh)
 		if !engine.Withdrawn() {
-			t.Errorf("checks %v: takes work 3 s after the withdrawal", checks)
+			t.Errorf("checks %v: the engine accepts work 3 s after the withdrawal", checks)
 		}
 		w.perform(stale, prepared)
 		w.run(DefaultResync+time.Second, fresh)
--- a/internal/route/owner.go
+++ b/internal/route/owner.go
@@ -1,5 +1,5 @@
-// Package route decides which instance owns a group of servers and which group
-// an entry instance asks for a slot. It does no I/O and reads no clock.
+// Package route selects the instance that owns a group of servers, and the group that an
+// entry instance requests a slot from. It does no I/O and reads no clock.
 package route
 
 import (
@@ -12,17 +12,17 @@
 type Member struct {
 	// ID of the instance.
 	ID string
-	// DataCentre it runs in.
+	// DataCentre that the instance runs in.
 	DataCentre string
 }
 
-// Owner returns the id of the member that owns the group, or "" when there is
-// none. It is the highest of the members' hashes with the group's name, among
-// the members of the group's data centre where any lives: the next hop to its
-// servers is short, and the data centre schedules itself when it is cut off.
-// When a member joins or leaves, only the groups that it gains or had move.
-// Instances whose views differ for a moment may name different owners; both
-// then grant slots, which costs quality and never safety.
+// Owner returns the id of the member that owns the group, or "" without members. It uses
+// rendezvous hashing: the owner is the member whose hash with the group's name is highest.
+// Members in the group's data centre, if any are live, take precedence: they are close to
+// its servers, and the data centre can schedule its groups when it is partitioned. When a
+// member joins or leaves, only the groups that it gains or had change owners. Instances
+// whose views differ for a time may determine different owners. Both then grant slots, which
+// lowers the quality of scheduling but violates no safety property.
 func Owner(group *catalog.Group, members []Member) string {
 	var best Member
 	var bestScore uint64
@@ -48,8 +48,8 @@
 	return id < bestID
 }
 
-// Home returns the id of the member that keeps the limits of a customer, named
-// by its hash, or "" when there is none.
+// Home returns the id of the member that keeps the limits of a customer, or "" without
+// members. The customer is given by its hash. Like Owner, it uses rendezvous hashing.
 func Home(customer uint64, members []Member) string {
 	var best string
 	var bestScore uint64
@@ -62,8 +62,8 @@
 	return best
 }
 
-// pairHash hashes a pair. The two hashes are mixed, since hashing the joined
-// strings would need a buffer for each pair.
+// pairHash returns the hash of a group and a member. It mixes their two hashes, since hashing
+// the joined strings would need a buffer for each pair.
 func pairHash(group, member string) uint64 {
 	return mixHashes(xxhash.Sum64String(group), xxhash.Sum64String(member))
 }
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -8,26 +8,27 @@
 	"basilrudder/internal/monotime"
 )
 
-// Picker remembers what an entry instance was told of the groups: the wait
-// expected in each, and which group ran a prefix last. It is not safe for
-// concurrent use.
+// Picker selects groups for the requests of an entry instance. It records the wait that each
+// group reported and the group that ran a prefix last. It is not safe for concurrent use.
 type Picker struct {
 	backlogs map[groupTier]backlogReport
 	prefixes []prefixEntry
 }
 
-// groupTier names the wait of one tier in one group: where a lower tier waits long,
-// the top tier may not wait at all.
+// groupTier is the key of a reported wait. The tiers of a group are separate, as the top tier
+// may not wait at all while a lower one waits long.
 type groupTier struct {
 	group string
 	tier  int
 }
 
+// backlogReport is the expected wait that a group reported, and the time of its arrival.
 type backlogReport struct {
 	backlog time.Duration
 	at      monotime.Instant
 }
 
+// prefixEntry records the group that ran a prefix last, and when.
 type prefixEntry struct {
 	prefix uint64
 	group  *catalog.Group
@@ -35,29 +36,34 @@
 }
 
 const (
-	// backlogHalvedAfter is the time after which a told backlog counts half: by then
-	// the group may have drained or filled, and it should be tried again.
+	// backlogHalvedAfter is the age at which a reported backlog counts half. By then the group
+	// may have drained or filled and should be tried again. A longer time keeps requests away
+	// from a group that has drained; a shorter one sends them to a group that is still busy.
 	backlogHalvedAfter = time.Second
-	// prefixTTL is the time after which a prefix is likely to be evicted.
-	prefixTTL       = 2 * time.Minute
+	// prefixTTL is the age at which a prefix has probably been evicted. With a longer one,
+	// requests accept a wait for a cache that is gone; a shorter one misses cached prefixes.
+	prefixTTL = 2 * time.Minute
+	// prefixTableSize is the number of recorded prefixes. It depends on the shift in
+	// prefixEntryFor: a smaller table alone is indexed out of range, a larger one stays unused.
 	prefixTableSize = 1 << 12
-	// prefixSavedShare is the part of the prefill that a cached prefix saves.
+	// prefixSavedShare is the share of the prefill that a cached prefix saves. With a larger
+	// one, requests accept a longer wait than the cache saves; a smaller one wastes caches.
 	prefixSavedShare = 0.8
-	// defaultPrefillTokensPerS converts prompt tokens to time where a group's engines
-	// do not say.
+	// defaultPrefillTokensPerS is the prefill speed of engines without a published one. Above
+	// their real speed the saved time is too short and caches go unused; below, too long.
 	defaultPrefillTokensPerS = 20000
 )
 
-// NewPicker returns a Picker that knows nothing yet.
+// NewPicker returns a Picker without reports.
 func NewPicker() *Picker {
 	return &Picker{backlogs: make(map[groupTier]backlogReport), prefixes: make([]prefixEntry, prefixTableSize)}
 }
 
-// Request describes the request that needs a group.
+// Request describes a request that needs a group.
 type Request struct {
 	// Target is the model or the service.
 	Target string
-	// DataCentre the entry instance runs in.
+	// DataCentre that the entry instance runs in.
 	DataCentre string
 	// Tier of the request.
 	Tier int
@@ -65,14 +71,14 @@
 	Prefix uint64
 	// PromptTokens of the request.
 	PromptTokens int
-	// Skip names groups that refused this request already.
+	// Skip lists the names of the groups that refused this request.
 	Skip []string
 }
 
-// Pick returns the group to ask, or nil when no group serves the target. It
-// compares two random groups, and the one that ran the prefix last, by the wait
-// they told, the distance, and the prefill that the cache saves. Comparing all
-// would send every instance to the same group until the next news.
+// Pick returns the group to request a slot from, or nil if no group serves the target. It
+// compares two random groups and the one that ran the prefix last, by their reported wait,
+// the network latency and the prefill time that the cache saves. If it compared all groups,
+// every instance would pick the same one until the next report.
 func (p *Picker) Pick(now monotime.Instant, cat *catalog.Catalog, req Request, rng *rand.Rand) *catalog.Group {
 	groups := cat.GroupsFor[req.Target]
 	if len(groups) == 0 {
@@ -94,8 +100,8 @@
 	return best
 }
 
-// randomGroup returns a random group that takes new work, is not skipped and is
-// another than the one drawn before.
+// randomGroup returns a random group that accepts new work, is not skipped and is not the
+// excluded one; nil if there is none.
 func randomGroup(groups []*catalog.Group, req *Request, exclude *catalog.Group, rng *rand.Rand) *catalog.Group {
 	start := rng.IntN(len(groups))
 	for i := range groups {
@@ -107,6 +113,7 @@
 	return nil
 }
 
+// acceptsWork reports whether at least one server of the group is not withdrawn.
 func acceptsWork(g *catalog.Group) bool {
 	for _, s := range g.Servers {
 		if !s.Spec.Withdrawn {
@@ -125,17 +132,19 @@
 	return false
 }
 
-// cost is the expected delay of asking a group.
+// cost returns the expected delay of a request at the group: the round trip and the reported
+// wait, discounted by its age.
 func (p *Picker) cost(now monotime.Instant, cat *catalog.Catalog, req *Request, g *catalog.Group) time.Duration {
 	delay := 2 * cat.OneWay(req.DataCentre, g.DataCentre)
-	v, known := p.backlogs[groupTier{g.Name, req.Tier}]
-	if !known {
+	report, reported := p.backlogs[groupTier{g.Name, req.Tier}]
+	if !reported {
 		return delay
 	}
-	return delay + decayed(v.backlog, now.Sub(v.at))
+	return delay + decayed(report.backlog, now.Sub(report.at))
 }
 
-// decayed lets a told backlog fade with its age.
+// decayed returns the backlog discounted by its age: half of it after backlogHalvedAfter, a
+// third after twice that.
 func decayed(backlog, age time.Duration) time.Duration {
 	if age <= 0 {
 		return backlog
@@ -143,26 +152,26 @@
 	return time.Duration(float64(backlog) * float64(backlogHalvedAfter) / float64(backlogHalvedAfter+age))
 }
 
-// ObserveBacklog notes the wait that a group told for a tier.
+// ObserveBacklog records the wait that a group reported for a tier.
 func (p *Picker) ObserveBacklog(group string, tier int, backlog time.Duration, now monotime.Instant) {
 	p.backlogs[groupTier{group, tier}] = backlogReport{backlog: backlog, at: now}
 }
 
-// LastBacklog returns the wait that a group told for a tier last, and how long ago; false
-// when it told none.
+// LastBacklog returns the wait that a group last reported for a tier, and the age of the
+// report; false without a report.
 func (p *Picker) LastBacklog(now monotime.Instant, group string, tier int) (backlog, age time.Duration, ok bool) {
-	view, ok := p.backlogs[groupTier{group, tier}]
-	return view.backlog, now.Sub(view.at), ok
+	report, ok := p.backlogs[groupTier{group, tier}]
+	return report.backlog, now.Sub(report.at), ok
 }
 
-// RecordPrefix notes that a group ran a request with the prefix.
+// RecordPrefix records that a group ran a request with the prefix.
 func (p *Picker) RecordPrefix(now monotime.Instant, prefix uint64, group *catalog.Group) {
 	if prefix != 0 {
 		*p.prefixEntryFor(prefix) = prefixEntry{prefix: prefix, group: group, at: now}
 	}
 }
 
-// Prune drops what is known of groups that the catalog no longer has.
+// Prune removes the reported waits of groups that the catalog no longer has.
 func (p *Picker) Prune(cat *catalog.Catalog) {
 	for key := range p.backlogs {
 		if cat.Groups[key.group] == nil {
@@ -171,12 +180,15 @@
 	}
 }
 
+// prefixEntryFor returns the entry of the prefix, which prefixes with the same hash share.
+// The shift leaves the 12 bits of prefixTableSize.
 func (p *Picker) prefixEntryFor(prefix uint64) *prefixEntry {
 	const mix = 0x9e3779b97f4a7c15
 	return &p.prefixes[(prefix*mix)>>52]
 }
 
-// prefixGroup is the group that ran the prefix last, if the target still has it.
+// prefixGroup returns the group that ran the prefix last, if it still serves the target and
+// accepts work; otherwise nil.
 func (p *Picker) prefixGroup(now monotime.Instant, req *Request, groups []*catalog.Group) *catalog.Group {
 	if req.Prefix == 0 {
 		return nil
@@ -193,6 +205,7 @@
 	return nil
 }
 
+// prefillSaved returns the prefill time that a cached prefix saves at the group.
 func prefillSaved(req *Request, g *catalog.Group) time.Duration {
 	perSecond := g.Servers[0].Engines[0].Spec.PrefillTokensPerS
 	if perSecond <= 0 {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if moved == 0 {
-		t.Skip("the member that left owned nothing")
+		t.Skip("the removed member owned no group")
 	}
 }
 
@@ -66,7 +66,7 @@
 		}
 	}
 	if Owner(cat.GroupList[0], nil) != "" {
-		t.Error("an owner without members")
+		t.Error("a group has an owner without members")
 	}
 }
 
@@ -88,7 +88,7 @@
 	}
 	later := now.Add(time.Hour)
 	if p.cost(later, cat, &Request{DataCentre: busy.DataCentre}, busy) > 10*time.Millisecond {
-		t.Error("an hour later the backlog still keeps requests away")
+		t.Error("a backlog reported an hour ago still adds to the cost")
 	}
 }
 
@@ -96,19 +96,19 @@
 	cat := threeCentres()
 	p := NewPicker()
 	rng := rand.New(rand.NewPCG(1, 1))
-	known := cat.GroupsFor["m"][1]
+	cached := cat.GroupsFor["m"][1]
 	now := monotime.Instant(time.Second)
-	p.RecordPrefix(now, 7, known)
-	ask := Request{Target: "m", DataCentre: known.DataCentre, Prefix: 7, PromptTokens: 4000}
+	p.RecordPrefix(now, 7, cached)
+	req := Request{Target: "m", DataCentre: cached.DataCentre, Prefix: 7, PromptTokens: 4000}
 	for range 50 {
-		if got := p.Pick(now, cat, ask, rng); got != known {
-			t.Fatalf("picked %s, the prefix is in %s", got.Name, known.Name)
+		if got := p.Pick(now, cat, req, rng); got != cached {
+			t.Fatalf("picked %s, the prefix is in %s", got.Name, cached.Name)
 		}
 	}
-	p.ObserveBacklog(known.Name, 0, 2*time.Second, now)
+	p.ObserveBacklog(cached.Name, 0, 2*time.Second, now)
 	for range 50 {
-		if p.Pick(now, cat, ask, rng) == known {
-			t.Fatal("a queue of 2 s for 320 ms of saved prefill")
+		if p.Pick(now, cat, req, rng) == cached {
+			t.Fatal("picked a wait of 2 s to save 320 ms of prefill")
 		}
 	}
 }
--- a/internal/routing/config.go
+++ b/internal/routing/config.go
@@ -1,132 +1,133 @@
-// Package routing holds the configuration of a relaying instance: which
-// service a request goes to by its host and path, whose key it carries, and
-// what may be done with it. It is pure; a Table never changes once built.
+// Package routing holds the configuration of a relaying instance. A Table maps the host and
+// path of a request to a route and a service, and its key to a customer. The package does
+// no I/O; a Table is immutable.
 package routing
 
 import (
 	"time"
 )
 
-// Repeat says how often a request may run.
+// Repeat specifies whether a request may run more than once.
 type Repeat uint8
 
 const (
-	// AtMostOnce requests must not run a second time. It is the zero value, so
-	// that an unknown kind is handled with most care.
+	// AtMostOnce requests must not run a second time. It is the zero value, so that a route
+	// without a kind gets the strictest one.
 	AtMostOnce Repeat = iota
 	// Idempotent requests may run more than once.
 	Idempotent
 )
 
-// Share is the part of a route's requests that a service gets.
+// Share is the share of a route's requests that a service gets.
 type Share struct {
-	// Service that gets them.
+	// Service is the name of the service.
 	Service string `cbor:"1,keyasint,omitempty"`
-	// Weight against the other shares of the route; 0 takes no requests.
+	// Weight relative to the other shares of the route; 0 for no requests.
 	Weight int `cbor:"2,keyasint,omitempty"`
 }
 
-// Route says what to do with requests of one host under one path prefix.
+// Route configures the requests of one host under one path prefix.
 type Route struct {
-	// Name for logs.
+	// Name identifies the route in logs.
 	Name string `cbor:"1,keyasint,omitempty"`
-	// Host without a port, as callers name it.
+	// Host as in the callers' requests, without a port.
 	Host string `cbor:"2,keyasint,omitempty"`
 	// Prefix of the path; begins and ends with a slash.
 	Prefix string `cbor:"3,keyasint,omitempty"`
-	// Repeat says whether a request may run again after it may have run.
+	// Repeat specifies whether a request that may have run may run again.
 	Repeat Repeat `cbor:"4,keyasint,omitempty"`
-	// Streaming answers are series of events.
+	// Streaming specifies whether answers are streams of events.
 	Streaming bool `cbor:"5,keyasint,omitempty"`
-	// Resumable streams may go on at another server after a given event.
+	// Resumable specifies whether a stream may be resumed at another server after a given event.
 	Resumable bool `cbor:"6,keyasint,omitempty"`
-	// Public routes need no key.
+	// Public specifies whether requests need no key.
 	Public bool `cbor:"7,keyasint,omitempty"`
-	// Timeout is the longest time from arrival to the final answer.
+	// Timeout is the maximum time from arrival to the end of the answer.
 	Timeout time.Duration `cbor:"8,keyasint,omitempty"`
-	// Goal is the time to the answer, or to its first event, for full credit.
+	// Goal is the target time to the answer, or to the first event of a stream.
 	Goal time.Duration `cbor:"9,keyasint,omitempty"`
-	// MaxGap is the longest pause between events of an answer on time; 0 for none.
+	// MaxGap is the maximum gap between events of an answer that is on time; 0 for no bound.
 	MaxGap time.Duration `cbor:"10,keyasint,omitempty"`
-	// Priority, 0 first.
+	// Priority of requests; 0 is the most urgent. See Table.Rank.
 	Priority int `cbor:"11,keyasint,omitempty"`
-	// Shares of the services; weights above 0.
+	// Shares of the services; at least one.
 	Shares []Share `cbor:"12,keyasint,omitempty"`
-	// Attempts is the number of servers that one request may be sent to.
+	// Attempts is the maximum number of servers that one request is sent to.
 	Attempts int `cbor:"13,keyasint,omitempty"`
-	// AllowedRegions are the regions that requests must stay in; none for no bound.
+	// AllowedRegions are the regions that requests must stay in; empty for no restriction.
 	AllowedRegions []string `cbor:"14,keyasint,omitempty"`
 }
 
-// MayRepeat reports whether a request of the route may run again.
+// MayRepeat reports whether a request that may have run may be sent again.
 func (r *Route) MayRepeat() bool {
 	return r.Repeat == Idempotent || r.Resumable
 }
 
-// Engine holds what a service of model engines publishes of them.
+// Engine holds the published properties of a service's model engines.
 type Engine struct {
-	// Slots is the number of requests run at once.
+	// Slots is the number of concurrent requests.
 	Slots int `cbor:"1,keyasint,omitempty"`
-	// MemoryTokens is the room for running requests and cached prompt parts.
+	// MemoryTokens is the capacity for running requests and cached prompt parts, in tokens.
 	MemoryTokens int `cbor:"2,keyasint,omitempty"`
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int `cbor:"3,keyasint,omitempty"`
-	// TokenBytes is the memory of one token of a prompt.
+	// TokenBytes is the memory used by one token of a prompt, in bytes.
 	TokenBytes int `cbor:"4,keyasint,omitempty"`
-	// LinkMbps is how fast engines send that memory to each other, in Mbit/s.
+	// LinkMbps is the rate at which engines send that memory to each other, in Mbit/s.
 	LinkMbps float64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Service is a group of servers that do the same work.
 type Service struct {
-	// Name is the key in routes and server entries.
+	// Name identifies the service in routes and server entries.
 	Name string `cbor:"1,keyasint,omitempty"`
-	// MaxConns is how many connections one server accepts of all callers; 0 for no bound.
+	// MaxConns is the number of connections that one server accepts in all; 0 for no bound.
 	MaxConns int `cbor:"2,keyasint,omitempty"`
-	// ColdStart is how long a server is cold after it starts; 0 for never.
+	// ColdStart is how long a server is cold after its start; 0 for never.
 	ColdStart time.Duration `cbor:"3,keyasint,omitempty"`
-	// ColdRate is how many requests a second a cold server bears of the whole fleet;
-	// above that it may crash. 0 for no bound.
+	// ColdRate is the number of requests per second from the whole fleet that a cold server
+	// sustains; above that it may crash. 0 for no bound.
 	ColdRate float64 `cbor:"4,keyasint,omitempty"`
 	// Engine is set for model engines.
 	Engine *Engine `cbor:"5,keyasint,omitempty"`
 }
 
-// Limits bound what callers may send.
+// Limits are the limits for requests and connections of callers.
 type Limits struct {
-	// HeaderBytes of one request.
+	// HeaderBytes is the maximum size of a request's header.
 	HeaderBytes int `cbor:"1,keyasint,omitempty"`
-	// BodyBytes of one request.
+	// BodyBytes is the maximum size of a request's body.
 	BodyBytes int `cbor:"2,keyasint,omitempty"`
-	// HeaderTimeout for a request's header to arrive.
+	// HeaderTimeout is the maximum time for a request's header to arrive.
 	HeaderTimeout time.Duration `cbor:"3,keyasint,omitempty"`
-	// IdleTimeout of a kept connection.
+	// IdleTimeout is how long an idle connection is kept open.
 	IdleTimeout time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Customer is who a key belongs to.
+// Customer is the owner of keys.
 type Customer struct {
-	// Name is told to servers.
+	// Name is sent to servers with the customer's requests.
 	Name string `cbor:"1,keyasint,omitempty"`
-	// Keys that callers may show.
+	// Keys are the customer's API keys.
 	Keys []string `cbor:"2,keyasint,omitempty"`
-	// Priority goes before the route's, see Table.Rank; nil for none.
+	// Priority orders customers among routes of the same priority, see Table.Rank; nil for
+	// none.
 	Priority *int `cbor:"3,keyasint,omitempty"`
-	// AllowedRegions are the regions that its requests must stay in; none for no bound.
+	// AllowedRegions are the regions that its requests must stay in; empty for no restriction.
 	AllowedRegions []string `cbor:"4,keyasint,omitempty"`
 }
 
-// Config is one published version.
+// Config is one published version of the configuration.
 type Config struct {
-	// Version grows with each change, not always by one.
+	// Version increases with each change, not always by one.
 	Version int64
 	// Routes in any order.
 	Routes []Route
-	// Services that routes name.
+	// Services that routes refer to.
 	Services []Service
 	// Limits for callers.
 	Limits Limits
-	// KeysRequired says that requests need a key, except on public routes.
+	// KeysRequired specifies whether requests need a key, except on public routes.
 	KeysRequired bool
 	// Customers and their keys.
 	Customers []Customer
--- a/internal/routing/parts.go
+++ b/internal/routing/parts.go
@@ -13,13 +13,14 @@
 
 // Part is an encoded part of a configuration.
 type Part struct {
-	// Key names it within its configuration.
+	// Key identifies the part within its configuration.
 	Key string
-	// Data is its encoding.
+	// Data is the CBOR encoding.
 	Data []byte
 }
 
-// Keys of parts. Those of routes and customers are followed by a number.
+// Keys of parts. Those of routes and customers end with a number. Instances exchange the
+// keys, so all must use the same.
 const (
 	generalKey     = "general"
 	routesPrefix   = "routes/"
@@ -27,24 +28,27 @@
 )
 
 const (
-	// meanPartItems is the mean number of routes or customers in a part.
+	// meanPartItems is the mean number of routes or customers in a part. A larger number sends
+	// more unchanged items with each change, a smaller one more parts.
 	meanPartItems = 64
-	// maxPartItems bounds it.
+	// maxPartItems bounds the number of routes or customers in a part, if no hash ends it.
+	// Closer to the mean, more borders depend on the items before and shift with them.
 	maxPartItems = 4 * meanPartItems
-	// maxElements bounds what a part that a peer sent may hold.
+	// maxElements bounds each array and map in a part received from a peer. A part with more
+	// is rejected, so it must be at least maxPartItems and the number of services.
 	maxElements = 1 << 16
 )
 
-// general is what a configuration holds besides routes and customers.
+// general holds the content of a configuration besides routes and customers.
 type general struct {
 	Services     []Service `cbor:"1,keyasint,omitempty"`
 	Limits       Limits    `cbor:"2,keyasint,omitempty"`
 	KeysRequired bool      `cbor:"3,keyasint,omitempty"`
 }
 
-// Parts encodes a configuration but for its version. The borders between parts depend on
-// the routes and customers beside them alone, so that a change of some leaves most parts
-// as they were, also when others are added or removed.
+// Parts encodes a configuration without its version. The borders between parts are defined
+// by the content: they depend only on the adjacent routes or customers. So most parts stay
+// the same when some items are changed, added or removed.
 func (c *Config) Parts() ([]Part, error) {
 	out, err := appendPart(nil, generalKey, general{c.Services, c.Limits, c.KeysRequired})
 	if err != nil {
@@ -66,12 +70,13 @@
 func appendPart(out []Part, key string, value any) ([]Part, error) {
 	data, err := cbor.Marshal(value)
 	if err != nil {
-		return nil, errors.Wrapf(err, "encode %s", key)
+		return nil, errors.Wrapf(err, "encode configuration part %q", key)
 	}
 	return append(out, Part{key, data}), nil
 }
 
-// split cuts a list behind each item whose name has a certain hash.
+// split cuts a list after each item whose name hashes to a multiple of meanPartItems, and
+// after maxPartItems items at the latest.
 func split[T any](items []T, name func(*T) string) (out [][]T) {
 	start := 0
 	for i := range items {
@@ -86,13 +91,13 @@
 	return out
 }
 
-// Assembler decodes parts to configurations. It keeps those of the last one, so that what
-// did not change is not decoded again. It is not safe for concurrent use.
+// Assembler decodes parts to configurations. It caches the parts of the last configuration,
+// so that unchanged parts are not decoded again. It is not safe for concurrent use.
 type Assembler struct {
-	cache map[string]decoded // by key and hash
+	cache map[string]decoded // by contentID
 }
 
-// decoded is a part and what it holds.
+// decoded is a part's data and its decoded content.
 type decoded struct {
 	data      []byte
 	general   *general
@@ -113,8 +118,9 @@
 	return mode
 }()
 
-// Assemble returns the configuration of a version that Parts encoded. The parts must not
-// be changed afterwards.
+// Assemble decodes the parts that Parts returned, as the configuration of the given version.
+// The parts must not be changed afterwards, as the Assembler keeps them. It returns an error
+// if a part has an unknown key or can't be decoded.
 func (a *Assembler) Assemble(version int64, parts []Part) (*Config, error) {
 	used := make(map[string]decoded, len(parts))
 	out := &Config{Version: version}
@@ -138,7 +144,8 @@
 	return out, nil
 }
 
-// contentID names a part by what it holds; the number in its key changes with those before it.
+// contentID identifies a part by the kind in its key and the hash of its data. The number in
+// the key is left out, as it changes with the number of parts before it.
 func (p *Part) contentID() string {
 	hash := fnv.New64a()
 	hash.Write(p.Data)
@@ -156,7 +163,7 @@
 	case strings.HasPrefix(part.Key, customerPrefix):
 		err = decMode.Unmarshal(part.Data, &out.customers)
 	default:
-		err = errors.New("unknown kind of part")
+		err = errors.New("unknown key")
 	}
 	return out, wrapPartError(part.Key, err)
 }
@@ -165,5 +172,5 @@
 	if err == nil {
 		return nil
 	}
-	return errors.Wrapf(err, "part %q of a configuration", key)
+	return errors.Wrapf(err, "decode configuration part %q", key)
 }
--- a/internal/routing/parts_test.go
+++ b/internal/routing/parts_test.go
@@ -30,7 +30,7 @@
 	return parts
 }
 
-// fillNonZero sets every field to a value that is not its zero value.
+// fillNonZero sets every field to a value other than its zero value.
 func fillNonZero(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -57,7 +57,8 @@
 	}
 }
 
-// Guards against a field of a configuration that is lost on its way between instances.
+// Guards against a field of a configuration that is lost between instances because it is not
+// encoded.
 func TestPartsHoldEveryField(t *testing.T) {
 	want := new(Config)
 	fillNonZero(reflect.ValueOf(want).Elem())
@@ -72,7 +73,7 @@
 	}
 }
 
-// Guards against parts that all change with one route, which would be sent as a whole.
+// Guards against borders that shift with a change: all parts would differ and be sent again.
 func TestSmallChangeKeepsMostParts(t *testing.T) {
 	const routes = 2000
 	changes := map[string]struct {
@@ -114,7 +115,8 @@
 	}
 }
 
-// Guards against what was kept of an earlier version being taken for a part of a later one.
+// Guards against a cached part of an earlier version that is used for a different part of a
+// later one.
 func TestAssemblerReturnsEachVersion(t *testing.T) {
 	a := new(Assembler)
 	for version := range int64(20) {
@@ -131,7 +133,7 @@
 	}
 }
 
-// Guards against readers of one version that publish different parts of it.
+// Guards against instances that read the same version and publish different parts of it.
 func TestPartsAreDeterministic(t *testing.T) {
 	a, b := partsOf(t, manyRoutes(500)), partsOf(t, manyRoutes(500))
 	for i := range a {
@@ -147,7 +149,7 @@
 		{"unknown", []byte{0x80}}, {"customers/1", []byte{0x9a, 0xff, 0xff, 0xff, 0xff}},
 	} {
 		if _, err := new(Assembler).Assemble(1, []Part{part}); err == nil {
-			t.Errorf("%s with %x was taken", part.Key, part.Data)
+			t.Errorf("%s with %x was accepted", part.Key, part.Data)
 		}
 	}
 }
@@ -165,7 +167,7 @@
 		if err != nil {
 			return
 		}
-		// What peers sent may be refused, but must not end the process.
+		// A configuration from a peer may be rejected but must not crash the process.
 		_, _ = NewTable(config)
 	})
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -10,11 +10,11 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrInvalid says that a configuration can't be put in force.
+// ErrInvalid is the error of a configuration that can't be applied.
 var ErrInvalid = errors.New("routing: invalid configuration")
 
-// Table answers questions about one configuration. It is immutable and safe
-// for concurrent use.
+// Table is the lookup table of one configuration. It is immutable and safe for concurrent
+// use.
 type Table struct {
 	config             *Config
 	hosts              map[string][]*Route // longest prefix first
@@ -24,7 +24,8 @@
 	customerPriorities []int                // the customers' priorities, ascending, each once
 }
 
-// NewTable builds the table of a configuration, which must not change afterwards.
+// NewTable builds the table of a configuration, which must not be changed afterwards. It
+// returns an ErrInvalid if a route can't be served.
 func NewTable(config *Config) (*Table, error) {
 	t := &Table{
 		config:    config,
@@ -63,7 +64,7 @@
 	return t, nil
 }
 
-// sortedDistinct returns the distinct priorities in order.
+// sortedDistinct returns the distinct priorities, ascending. It reuses the slice.
 func sortedDistinct(priorities []int) []int {
 	slices.Sort(priorities)
 	return slices.Compact(priorities)
@@ -71,33 +72,33 @@
 
 func (t *Table) validateRoute(route *Route) error {
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		return errors.Wrapf(ErrInvalid, "route %q: prefix %q", route.Name, route.Prefix)
+		return errors.Wrapf(ErrInvalid, "route %q: prefix %q must begin and end with a slash", route.Name, route.Prefix)
 	}
 	if route.Timeout <= 0 || route.Attempts < 1 || len(route.Shares) == 0 {
-		return errors.Wrapf(ErrInvalid, "route %q: timeout %v, attempts %d, %d services",
+		return errors.Wrapf(ErrInvalid, "route %q: timeout %v, %d attempts and %d services must all be positive",
 			route.Name, route.Timeout, route.Attempts, len(route.Shares))
 	}
 	for _, share := range route.Shares {
 		if t.services[share.Service] == nil {
-			return errors.Wrapf(ErrInvalid, "route %q: no service %q", route.Name, share.Service)
+			return errors.Wrapf(ErrInvalid, "route %q: service %q does not exist", route.Name, share.Service)
 		}
 	}
 	return nil
 }
 
-// Version of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// Config the table was built from; it must not be changed.
+// Config returns the configuration that the table was built from. It must not be changed.
 func (t *Table) Config() *Config { return t.config }
 
-// Limits for callers.
+// Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// Service by name; nil when there is none.
+// Service returns the service with the name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Match returns the route of a host with the longest prefix that begins path.
+// Match returns the route of the host with the longest prefix that matches the path, or nil.
 func (t *Table) Match(host, path string) *Route {
 	for _, route := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -112,17 +113,17 @@
 	return t.config.KeysRequired && !route.Public
 }
 
-// Customer returns the customer who holds key; nil when nobody does.
+// Customer returns the customer that the key belongs to, or nil.
 func (t *Table) Customer(key string) *Customer {
 	return t.customers[key]
 }
 
-// Rank orders requests by urgency, 0 first: by the route's priority, and among
-// routes with the same one by the customer's; a customer without one counts as
-// the first. Engines preempt by this order. With the customer's first, a long
-// prompt of an urgent customer makes an engine preempt the short streams of all
-// others: on a day of high load, 11 to 16 of them at 140 engines. Ranks are
-// counted without gaps, because servers tell only a few apart.
+// Rank returns the urgency of a request, 0 first. Requests are ordered by the priority of the
+// route, then by that of the customer; a customer without one ranks as the first. Engines
+// preempt in this order. If the customer's priority came first, a long prompt of an urgent
+// customer would make an engine preempt the short streams of all others: 11 to 16 streams at
+// 140 engines on a day of high load. Ranks have no gaps, because servers distinguish only a
+// few.
 func (t *Table) Rank(route *Route, customer *Customer) int {
 	routeIndex, _ := slices.BinarySearch(t.routePriorities, route.Priority)
 	customerIndex := 0
@@ -132,9 +133,9 @@
 	return routeIndex*max(1, len(t.customerPriorities)) + customerIndex
 }
 
-// AllowedRegions returns the regions that a request must stay in; nil for no bound. Where route
-// and customer both have some, both bind, and there may be no region left: such a request
-// can't be served anywhere.
+// AllowedRegions returns the regions that a request must stay in; nil for no restriction. If
+// route and customer both have regions, these are the common ones. There may be none: the
+// result is then empty but not nil, and the request can't be served.
 func AllowedRegions(route *Route, customer *Customer) []string {
 	var ofCustomer []string
 	if customer != nil {
@@ -157,9 +158,9 @@
 	return common
 }
 
-// Pick returns the service for a request. The choice follows the shares over
-// many requests and is the same each time for one id, so that a request sent a
-// second time stays with its service.
+// Pick returns the service for a request. Over many requests the choices follow the weights
+// of the shares. The choice depends only on the request's id, so that a request sent again
+// goes to the same service.
 func (r *Route) Pick(requestID string) string {
 	total := 0
 	for _, share := range r.Shares {
@@ -180,7 +181,7 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// normalizeHost drops a port and the letters' case.
+// normalizeHost removes a port and converts the host to lower case.
 func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -112,10 +112,9 @@
 	}
 }
 
-// One customer is urgent, all others are usual. While a long prompt of the urgent
-// one runs, engines preempt the usual customers' letters and notes for it if its
-// customer comes first, and their callers see a stream stand still. So the
-// classes come first, and the customers within a class.
+// Guards against a rank by the customer's priority first. A long prompt of an urgent customer
+// would then make engines preempt the letters and notes of all other customers, whose streams
+// would stall. Routes are ranked first, and customers within a route's priority.
 func TestRoutePriorityPrecedesCustomerPriority(t *testing.T) {
 	urgent, usual := 0, 1
 	note, letter, bundle := route("note", "h", "/n/"), route("letter", "h", "/l/"), route("bundle", "h", "/b/")
