--- a/internal/gateway/peernews.go
+++ b/internal/gateway/peernews.go
@@ -24,11 +24,11 @@
 	}
 	// With mu held, so that news of one origin that come over two links count in order.
 	p.takeRuns(receipt.Origin, news, now)
-	if receipt.State != overlay.FeedUnchanged {
-		p.sendRuns(from, receipt.State, now)
+	if receipt.RequestedFeed != overlay.FeedUnchanged {
+		p.sendRuns(from, receipt.RequestedFeed, now)
 	}
 	if news.MembersWanted {
-		p.links.Send(from, &wire.Envelope{News: []wire.RelayNews{{Members: p.node.Alive()}}})
+		p.links.Send(from, &wire.Envelope{News: []wire.RelayNews{{Members: p.node.Reachable()}}})
 	}
 	p.mu.Unlock()
 	// Before servers: a process that starts must not send to an evacuated data centre.
@@ -65,10 +65,10 @@
 	}
 	for _, r := range news.Begun {
 		board.Begin(placement.RunID{Instance: origin, Number: r.Number}, r.Server, decodeRun(r), r.Unread, now)
-		p.fleet.throttle.Note(r.Server, now)
+		p.fleet.throttle.RecordRequest(r.Server, now)
 	}
 	for _, number := range news.First {
-		board.First(placement.RunID{Instance: origin, Number: number}, now)
+		board.FirstEvent(placement.RunID{Instance: origin, Number: number}, now)
 	}
 	for _, number := range news.Ended {
 		board.End(placement.RunID{Instance: origin, Number: number}, now)
@@ -83,18 +83,18 @@
 	for _, r := range news.Begun {
 		states = append(states, placement.RunState{Number: r.Number, Server: r.Server, Work: decodeRun(r), Unread: r.Unread})
 	}
-	for _, s := range board.Keep(origin, states, now) {
+	for _, s := range board.ReconcileRuns(origin, states, now) {
 		board.Begin(placement.RunID{Instance: origin, Number: s.Number}, s.Server, s.Work, s.Unread, now)
 	}
 	for _, number := range news.First {
-		board.First(placement.RunID{Instance: origin, Number: number}, now)
+		board.FirstEvent(placement.RunID{Instance: origin, Number: number}, now)
 	}
 }
 
 // sendRuns tells a peer the runs that it lacks for a feed that it asked for; mu is held.
 func (p *peers) sendRuns(to string, feed overlay.Feed, now monotime.Instant) {
 	runs := p.fleet.board.Runs(now)
-	state := p.node.State(to, feed)
+	state := p.node.FeedState(to, feed)
 	for i := range state {
 		news := &state[i]
 		id, ok := p.node.Instance(news.Origin)
@@ -221,7 +221,7 @@
 			}
 			change := servers.Unchanged
 			if s.Gone {
-				change = r.Bury(s.ID, servers.Revision(s.Revision), now)
+				change = r.MarkGone(s.ID, servers.Revision(s.Revision), now)
 			} else {
 				change = r.Put(servers.Server{
 					ID: s.ID, Name: s.Name, Born: int64(s.Born), Service: s.Service, Address: s.Address, DataCentre: s.DataCentre,
@@ -229,13 +229,13 @@
 					ColdLeft: milliseconds(s.ColdMS),
 				}, now)
 			}
-			bound := r.SetBound(s.ID, decodeBound(&s, now))
+			bound := r.SetRateLimit(s.ID, decodeBound(&s, now))
 			if change != servers.Unchanged || bound != servers.Unchanged {
 				ids = append(ids, s.ID)
 			}
 		}
 		if listed != 0 && r.Plausible(listed) {
-			ids = append(ids, r.TakeListed(present, listed, now)...)
+			ids = append(ids, r.ApplyPeerList(present, listed, now)...)
 		}
 		return ids
 	})
--- a/internal/servers/notice_test.go
+++ b/internal/servers/notice_test.go
@@ -11,10 +11,9 @@
 
 func limit(rate float64) Notice { return Notice{Limited: true, Rate: rate} }
 
-// A server names a limit. An answer that it wrote before, to a request sent before, is
-// read after it, as by an instance that stood still for a moment. It must not end the
-// limit: all instances would send as before until the next answer. One whose request was
-// sent since does end it.
+// Guards against a limit ended by an answer that the server wrote before it, read late by
+// an instance that had stalled. All instances would exceed the limit until the next
+// answer. An answer to a request sent since does end it.
 func TestALateAnswerDoesNotEndALimit(t *testing.T) {
 	r := New()
 	now := monotime.Instant(time.Hour)
@@ -33,44 +32,45 @@
 		{Notice{}, 46, 60, Updated, false},
 		{Notice{}, 50, 70, Unchanged, false},
 	} {
-		change := r.Hear("a", step.notice, now.Add(step.sent), now.Add(step.at))
-		if bound := r.Bound("a"); change != step.want || bound.Limited != step.limited {
+		change := r.ApplyNotice("a", step.notice, now.Add(step.sent), now.Add(step.at))
+		if bound := r.RateLimit("a"); change != step.want || bound.Limited != step.limited {
 			t.Errorf("at %d: %v, %+v", step.at, change, bound)
 		}
 	}
-	if change := r.Hear("unknown", limit(1), now, now); change != Unchanged {
-		t.Error("a server that is not known", change)
+	if change := r.ApplyNotice("unknown", limit(1), now, now); change != Unchanged {
+		t.Error("an unknown server changed", change)
 	}
 }
 
-// A server names and lifts its limit again and again, and instances hear of it from the
-// server and from each other in any order. All end with the last word.
-func TestWordsOfALimitComeOutTheSameInAnyOrder(t *testing.T) {
+// Guards against instances that disagree on a limit that is set and lifted repeatedly,
+// received from the server and from peers in any order. All must end with the last state.
+func TestRateLimitsConvergeInAnyOrder(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	for range 200 {
-		var words []Bound
+		var limits []RateLimit
 		for n := range 6 {
-			words = append(words, Bound{Limited: n%2 == 0, Rate: float64(n), At: monotime.Instant(time.Hour) + monotime.Instant(n)})
+			limits = append(limits, RateLimit{Limited: n%2 == 0, Rate: float64(n), At: monotime.Instant(time.Hour) + monotime.Instant(n)})
 		}
-		last := words[len(words)-1]
-		rng.Shuffle(len(words), func(i, k int) { words[i], words[k] = words[k], words[i] })
+		last := limits[len(limits)-1]
+		rng.Shuffle(len(limits), func(i, k int) { limits[i], limits[k] = limits[k], limits[i] })
 		r := New()
 		r.Put(Server{ID: "a", Name: "a", Revision: 1}, 0)
-		for _, b := range slices.Concat(words, words[:2]) {
-			r.SetBound("a", b)
+		for _, b := range slices.Concat(limits, limits[:2]) {
+			r.SetRateLimit("a", b)
 		}
-		if got := r.Bound("a"); got != last {
-			t.Fatalf("%+v after %+v", got, words)
+		if got := r.RateLimit("a"); got != last {
+			t.Fatalf("%+v after %+v", got, limits)
 		}
 	}
 }
 
-// A server starts again under its name. What its former start needed is forgotten.
+// Guards against a limit that outlives its incarnation when the server restarts under its
+// name.
 func TestALimitEndsWithItsIncarnation(t *testing.T) {
 	r := New()
 	now := monotime.Instant(time.Hour)
 	r.Put(Server{ID: "a@1", Name: "a", Born: 1, Revision: 1}, now)
-	r.Hear("a@1", limit(2), now, now)
+	r.ApplyNotice("a@1", limit(2), now, now)
 	r.Put(Server{ID: "a@2", Name: "a", Born: 2, Revision: 2}, now)
 	if got := r.Limited(); len(got) != 0 {
 		t.Error(got)
