--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -143,7 +143,7 @@
 		MaxGap:   f.route.MaxGap,
 		Priority: f.route.Priority,
 		Rank:     f.table.Rank(f.route, f.customer),
-		Homes:    routing.Homes(f.route, f.customer),
+		Homes:    routing.AllowedRegions(f.route, f.customer),
 	}
 }
 
--- a/internal/routing/parts_test.go
+++ b/internal/routing/parts_test.go
@@ -30,20 +30,20 @@
 	return parts
 }
 
-// fill sets every field to a value that is not its zero value.
-func fill(v reflect.Value) {
+// fillNonZero sets every field to a value other than its zero value.
+func fillNonZero(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem())
+		fillNonZero(v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
-			fill(v.Field(i))
+			fillNonZero(v.Field(i))
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(v.Index(0))
-		fill(v.Index(1))
+		fillNonZero(v.Index(0))
+		fillNonZero(v.Index(1))
 	case reflect.String:
 		v.SetString("text")
 	case reflect.Bool:
@@ -57,10 +57,11 @@
 	}
 }
 
-// Guards against a field of a configuration that is lost on its way between instances.
+// Guards against a field of a configuration that is lost between instances because it is not
+// encoded.
 func TestPartsHoldEveryField(t *testing.T) {
 	want := new(Config)
-	fill(reflect.ValueOf(want).Elem())
+	fillNonZero(reflect.ValueOf(want).Elem())
 	zero := 0
 	want.Customers[1].Priority = &zero
 	got, err := new(Assembler).Assemble(want.Version, partsOf(t, want))
@@ -72,8 +73,8 @@
 	}
 }
 
-// Guards against parts that all change with one route, which would be sent as a whole.
-func TestAChangeLeavesMostPartsAsTheyWere(t *testing.T) {
+// Guards against borders that shift with a change: all parts would differ and be sent again.
+func TestSmallChangeKeepsMostParts(t *testing.T) {
 	const routes = 2000
 	changes := map[string]struct {
 		change func(*Config)
@@ -96,7 +97,7 @@
 	for _, part := range before {
 		held[string(part.Data)] = true
 	}
-	if len(before) < 2*routes/partItems/2 {
+	if len(before) < 2*routes/meanPartItems/2 {
 		t.Fatalf("%d parts", len(before))
 	}
 	for name, c := range changes {
@@ -114,8 +115,9 @@
 	}
 }
 
-// Guards against what was kept of an earlier version being taken for a part of a later one.
-func TestAssemblingFollowsEachVersion(t *testing.T) {
+// Guards against a cached part of an earlier version that is used for a different part of a
+// later one.
+func TestAssemblerReturnsEachVersion(t *testing.T) {
 	a := new(Assembler)
 	for version := range int64(20) {
 		want := manyRoutes(300 + int(version)*17%90)
@@ -131,8 +133,8 @@
 	}
 }
 
-// Guards against readers of one version that publish different parts of it.
-func TestPartsComeOutTheSame(t *testing.T) {
+// Guards against instances that read the same version and publish different parts of it.
+func TestPartsAreDeterministic(t *testing.T) {
 	a, b := partsOf(t, manyRoutes(500)), partsOf(t, manyRoutes(500))
 	for i := range a {
 		if a[i].Key != b[i].Key || !bytes.Equal(a[i].Data, b[i].Data) {
@@ -147,7 +149,7 @@
 		{"unknown", []byte{0x80}}, {"customers/1", []byte{0x9a, 0xff, 0xff, 0xff, 0xff}},
 	} {
 		if _, err := new(Assembler).Assemble(1, []Part{part}); err == nil {
-			t.Errorf("%s with %x was taken", part.Key, part.Data)
+			t.Errorf("%s with %x was accepted", part.Key, part.Data)
 		}
 	}
 }
@@ -165,7 +167,7 @@
 		if err != nil {
 			return
 		}
-		// What peers sent may be refused, but must not end the process.
+		// A configuration from a peer may be rejected but must not crash the process.
 		_, _ = NewTable(config)
 	})
 }
