--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -17,9 +17,9 @@
 		encoder:  newChunkEncoder(f.id, f.log.About()),
 		offset:   offset,
 	}
-	body.events, body.done, body.err = f.log.Next(f.ctx, offset)
+	body.events, body.answerEnded, body.err = f.log.Next(f.ctx, offset)
 	if body.err != nil && len(body.events) == 0 {
-		s.answerError(ctx, f, body.done, body.err)
+		s.answerError(ctx, f, body.answerEnded, body.err)
 		return
 	}
 	body.offset += len(body.events)
@@ -39,7 +39,7 @@
 	f.unwatch()
 	setHeaders(ctx, f.id, verdict.Ran)
 	if service := f.log.Service(); service != nil {
-		writeService(ctx, service)
+		writeServiceAnswer(ctx, service)
 	} else {
 		events, _, _ := f.log.Next(f.ctx, 0)
 		ctx.SetContentType("application/json")
@@ -53,7 +53,7 @@
 func (s *Server) answerError(ctx *fasthttp.RequestCtx, f *follower, done bool, err *verdict.Error) {
 	f.unwatch()
 	if !done && !f.callerGone() {
-		err = stopping()
+		err = stoppingError()
 	}
 	s.refuse(ctx, f.id, err)
 	if done {
@@ -64,9 +64,9 @@
 	ctx.SetConnectionClose()
 }
 
-// hopByHop names the fields that belong to one connection, and those this
+// notForwarded names the fields that belong to one connection, and those this
 // system sets itself.
-var hopByHop = map[string]bool{
+var notForwarded = map[string]bool{
 	"connection":          true,
 	"keep-alive":          true,
 	"proxy-authenticate":  true,
@@ -84,10 +84,10 @@
 	"x-should-retry":      true,
 }
 
-func writeService(ctx *fasthttp.RequestCtx, service *answers.ServiceAnswer) {
+func writeServiceAnswer(ctx *fasthttp.RequestCtx, service *answers.ServiceAnswer) {
 	ctx.SetStatusCode(service.Status)
 	for _, h := range service.Headers {
-		if !hopByHop[strings.ToLower(h.Name)] {
+		if !notForwarded[strings.ToLower(h.Name)] {
 			ctx.Response.Header.Add(h.Name, h.Value)
 		}
 	}
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -106,8 +106,8 @@
 	IdleTimeout time.Duration
 	// WriteStall is the time a caller may accept no byte.
 	WriteStall time.Duration
-	// HomeCheck is how often a relayed request checks that its home still lives.
-	HomeCheck time.Duration
+	// HomeCheckInterval is how often a relayed request checks that its home still lives.
+	HomeCheckInterval time.Duration
 	// Dial connects to another instance; nil for TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Now gives the instant of arrival; nil for monotime.Now.
@@ -120,14 +120,14 @@
 
 // Defaults of Config.
 const (
-	defaultHeaderBytes = 16 << 10
-	defaultBodyBytes   = 4 << 20
-	defaultConnections = 4096
-	defaultReadTimeout = 10 * time.Second
-	defaultIdleTimeout = 75 * time.Second
-	defaultWriteStall  = 15 * time.Second
-	defaultHomeCheck   = time.Second
-	relayDialTimeout   = 2 * time.Second
+	defaultHeaderBytes       = 16 << 10
+	defaultBodyBytes         = 4 << 20
+	defaultConnections       = 4096
+	defaultReadTimeout       = 10 * time.Second
+	defaultIdleTimeout       = 75 * time.Second
+	defaultWriteStall        = 15 * time.Second
+	defaultHomeCheckInterval = time.Second
+	relayDialTimeout         = 2 * time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -137,7 +137,7 @@
 	c.ReadTimeout = cmp.Or(c.ReadTimeout, defaultReadTimeout)
 	c.IdleTimeout = cmp.Or(c.IdleTimeout, defaultIdleTimeout)
 	c.WriteStall = cmp.Or(c.WriteStall, defaultWriteStall)
-	c.HomeCheck = cmp.Or(c.HomeCheck, defaultHomeCheck)
+	c.HomeCheckInterval = cmp.Or(c.HomeCheckInterval, defaultHomeCheckInterval)
 	if c.Dial == nil {
 		c.Dial = dialTCP
 	}
@@ -169,17 +169,17 @@
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.http = &fasthttp.Server{
 		Handler:                      s.handle,
-		ErrorHandler:                 s.refuseUnread,
+		ErrorHandler:                 s.refuseUnreadable,
 		HeaderReceived:               s.limitBody,
 		Name:                         "basilrudder",
-		Concurrency:                  s.cfg.Connections + refusedConnections,
+		Concurrency:                  s.cfg.Connections + excessConnections,
 		ReadBufferSize:               s.cfg.HeaderBytes,
 		MaxRequestBodySize:           s.cfg.BodyBytes,
 		ReadTimeout:                  s.cfg.ReadTimeout,
 		IdleTimeout:                  s.cfg.IdleTimeout,
 		CloseOnShutdown:              true,
 		DisablePreParseMultipartForm: true,
-		Logger:                       httpLog{s.cfg.Log},
+		Logger:                       httpLogger{s.cfg.Log},
 	}
 	return s
 }
@@ -198,14 +198,14 @@
 	if err == nil {
 		return nil
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastWords)
+	refusalCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownRefusalTimeout)
 	defer cancel()
-	_ = s.http.ShutdownWithContext(last)
+	_ = s.http.ShutdownWithContext(refusalCtx)
 	return err
 }
 
-// lastWords is the time to tell callers that their requests are cut off.
-const lastWords = 500 * time.Millisecond
+// shutdownRefusalTimeout is the time to tell callers that their requests are cut off.
+const shutdownRefusalTimeout = 500 * time.Millisecond
 
 // Vars returns the counters and gauges, to be published by expvar.
 func (s *Server) Vars() *expvar.Map {
@@ -239,10 +239,10 @@
 	return c
 }
 
-// httpLog passes fasthttp's messages on.
-type httpLog struct{ log *zap.Logger }
+// httpLogger passes fasthttp's messages on.
+type httpLogger struct{ log *zap.Logger }
 
 // Printf implements fasthttp.Logger.
-func (l httpLog) Printf(format string, args ...any) {
+func (l httpLogger) Printf(format string, args ...any) {
 	l.log.Sugar().Debugf(format, args...)
 }
--- a/internal/callers/chat.go
+++ b/internal/callers/chat.go
@@ -9,8 +9,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// chat serves POST /v1/chat/completions.
-func (s *Server) chat(ctx *fasthttp.RequestCtx) {
+// serveChat serves POST /v1/serveChat/completions.
+func (s *Server) serveChat(ctx *fasthttp.RequestCtx) {
 	arrived := s.cfg.Now()
 	c, err := s.admit(ctx, inventory.ClassKindModel)
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	parsed, err := parseChat(ctx.PostBody(), c.class)
 	if err != nil {
-		err.Verdict = s.unknowing(c.customer, c.id)
+		err.Verdict = s.earlyVerdict(c.customer, c.id)
 		s.refuseCall(ctx, &c, err)
 		return
 	}
@@ -47,8 +47,8 @@
 	}
 }
 
-// service serves the paths under /v1/services/{service}/.
-func (s *Server) service(ctx *fasthttp.RequestCtx) {
+// serveService serves the paths under /v1/services/{serveService}/.
+func (s *Server) serveService(ctx *fasthttp.RequestCtx) {
 	arrived := s.cfg.Now()
 	c, err := s.admit(ctx, inventory.ClassKindService)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	request, err := serviceRequest(ctx, c.class.Target)
 	if err != nil {
-		err.Verdict = s.unknowing(c.customer, c.id)
+		err.Verdict = s.earlyVerdict(c.customer, c.id)
 		s.refuseCall(ctx, &c, err)
 		return
 	}
@@ -85,7 +85,7 @@
 	uri := ctx.Request.URI()
 	rest := string(uri.PathOriginal()[len(pathServices):])
 	if len(rest) <= len(target) || rest[:len(target)] != target || rest[len(target)] != '/' {
-		return nil, badBody("the class is served by the service " + target + ", which is not the one in the path")
+		return nil, badRequest("the class is served by the service " + target + ", which is not the one in the path")
 	}
 	path := rest[len(target):]
 	if query := uri.QueryString(); len(query) > 0 {
--- a/internal/callers/chat_test.go
+++ b/internal/callers/chat_test.go
@@ -96,7 +96,7 @@
 }
 
 // A token reaches the caller while the engine still works on the next one.
-func TestTokensAreNotHeldBack(t *testing.T) {
+func TestTokensAreSentAsTheyArrive(t *testing.T) {
 	step := make(chan struct{})
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
@@ -120,7 +120,7 @@
 // The engine is lost in the middle of an answer. The caller has read a status
 // of 200 already, so it sees an error event with the verdict, no [DONE], and a
 // body that ends without its last chunk: it cannot take the part for the whole.
-func TestCutStreamCannotPassForAWholeOne(t *testing.T) {
+func TestTruncatedStreamIsNotAWholeAnswer(t *testing.T) {
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
 		log.Close(verdict.New(verdict.Ran, verdict.ReasonUpstreamLost, "engine lost"))
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	backend := newFakeBackend(nil)
 	backend.refuse = verdict.New(verdict.NotRun, verdict.ReasonOverloaded, "full").After(1200 * time.Millisecond)
 	address := startServer(t, Config{}, backend)
@@ -223,7 +223,7 @@
 	}{
 		{"directory", "GET", "/v1/directory", "", "", verdict.NotRun},
 		{"chat", "POST", pathChat, chatBodyWhole, "", verdict.NotRun},
-		{"large chat", "POST", pathChat, strings.Repeat("x", 2*strangerBodyBytes), "", verdict.NotRun},
+		{"large chat", "POST", pathChat, strings.Repeat("x", 2*unauthenticatedBodyBytes), "", verdict.NotRun},
 		{"chat with an id", "POST", pathChat, chatBodyWhole, "local-7", verdict.MayHaveRun},
 		{"answer", "GET", "/v1/requests/local-7/answer", "", "local-7", verdict.MayHaveRun},
 	} {
--- a/internal/callers/chatbody.go
+++ b/internal/callers/chatbody.go
@@ -46,13 +46,13 @@
 func parseChat(raw []byte, class *catalog.Class) (chatRequest, *verdict.Error) {
 	var body chatBody
 	if err := json.Unmarshal(raw, &body); err != nil {
-		return chatRequest{}, badBody("the body is not a chat completion request: " + err.Error())
+		return chatRequest{}, badRequest("the body is not a chat completion request: " + err.Error())
 	}
 	if len(body.Messages) == 0 {
-		return chatRequest{}, badBody("messages must hold at least one message")
+		return chatRequest{}, badRequest("messages must hold at least one message")
 	}
 	if body.Model != "" && body.Model != class.Target {
-		return chatRequest{}, badBody(fmt.Sprintf("model is %q, but the class %q is served by %q",
+		return chatRequest{}, badRequest(fmt.Sprintf("model is %q, but the class %q is served by %q",
 			body.Model, class.Name, class.Target))
 	}
 	prefix := cachePrefix(&body)
@@ -69,14 +69,14 @@
 	return request, nil
 }
 
-func badBody(message string) *verdict.Error {
+func badRequest(message string) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, message)
 }
 
 func promptTokens(body *chatBody) (int, *verdict.Error) {
 	if stated := body.PromptTokens; stated != nil {
 		if *stated < 0 || *stated > maxPromptTokens {
-			return 0, badBody("prompt_tokens is out of range")
+			return 0, badRequest("prompt_tokens is out of range")
 		}
 		return *stated, nil
 	}
@@ -90,21 +90,21 @@
 // maxTokens returns the bound of the answer. A request for more than the class
 // allows is refused, since a shorter answer would look like a whole one.
 func maxTokens(body *chatBody, class *catalog.Class) (int, *verdict.Error) {
-	asked := body.MaxCompletionTokens
-	if asked == nil {
-		asked = body.MaxTokens
+	requested := body.MaxCompletionTokens
+	if requested == nil {
+		requested = body.MaxTokens
 	}
-	if asked == nil {
+	if requested == nil {
 		return class.MaxOutputTokens, nil
 	}
-	if *asked < 1 {
-		return 0, badBody("max_tokens must be at least 1")
+	if *requested < 1 {
+		return 0, badRequest("max_tokens must be at least 1")
 	}
-	if class.MaxOutputTokens > 0 && *asked > class.MaxOutputTokens {
-		return 0, badBody(fmt.Sprintf("max_tokens is %d, but the class %q allows %d",
-			*asked, class.Name, class.MaxOutputTokens))
+	if class.MaxOutputTokens > 0 && *requested > class.MaxOutputTokens {
+		return 0, badRequest(fmt.Sprintf("max_tokens is %d, but the class %q allows %d",
+			*requested, class.Name, class.MaxOutputTokens))
 	}
-	return *asked, nil
+	return *requested, nil
 }
 
 // cachePrefix names the leading part of the prompt: as the caller does, else by
@@ -122,9 +122,9 @@
 // names and a caller may have sent an empty one. The object is known to have
 // members, since messages is one.
 func completeBody(raw []byte, body *chatBody, prefix string, maxTokens int, class *catalog.Class) []byte {
-	const roomForMembers = 96
+	const addedCapacity = 96
 	end := bytes.LastIndexByte(raw, '}')
-	out := make([]byte, 0, len(raw)+len(class.Target)+roomForMembers)
+	out := make([]byte, 0, len(raw)+len(class.Target)+addedCapacity)
 	out = append(out, raw[:end]...)
 	if body.Model == "" {
 		out = append(out, `,"model":`...)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// refusedConnections is the number of connections above the limit that are
+	// excessConnections is the number of connections above the limit that are
 	// still read, so that their callers get a typed refusal instead of a reset.
-	refusedConnections = 64
-	// writePiece is the most that is written under one write deadline, in bytes.
-	writePiece = 16 << 10
+	excessConnections = 64
+	// maxWriteSize is the most that is written under one write deadline, in bytes.
+	maxWriteSize = 16 << 10
 )
 
-// longAgo is a deadline that ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
 // listener wraps accepted connections and bounds their number.
 type listener struct {
@@ -37,19 +37,19 @@
 		}
 		limit := int64(l.server.cfg.Connections)
 		open := l.open.Add(1)
-		if open > limit+refusedConnections {
+		if open > limit+excessConnections {
 			l.open.Add(-1)
 			l.server.counts.connectionsRefused.Add(1)
 			_ = accepted.Close()
 			continue
 		}
 		l.server.counts.connections.Add(1)
-		watchSilence(accepted, l.server.cfg.WriteStall)
+		setTCPTimeouts(accepted, l.server.cfg.WriteStall)
 		return &conn{
-			Conn:      accepted,
-			stall:     l.server.cfg.WriteStall,
-			overLimit: open > limit,
-			closed:    l.connClosed,
+			Conn:         accepted,
+			stallTimeout: l.server.cfg.WriteStall,
+			overLimit:    open > limit,
+			onClose:      l.connClosed,
 		}, nil
 	}
 }
@@ -69,27 +69,27 @@
 // connection.
 type conn struct {
 	net.Conn
-	stall     time.Duration
-	overLimit bool
-	closed    func()
-	isClosed  atomic.Bool
-
-	watching chan struct{} // closed when the background read has ended
-	ahead    [1]byte
-	hasAhead bool
-
-	writeFailed atomic.Bool
-	mu          sync.Mutex // Close may come from a shutdown
-	deliveries  []func(whole bool)
+	stallTimeout time.Duration
+	overLimit    bool
+	onClose      func()
+	isClosed     atomic.Bool
+
+	watchDone chan struct{} // closed when the background read has ended
+	peeked    [1]byte
+	hasPeeked bool
+
+	writeFailed       atomic.Bool
+	mu                sync.Mutex // Close may come from a shutdown
+	deliveryCallbacks []func(whole bool)
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	// The server reads again only after it flushed the last response.
-	c.settle()
-	if c.hasAhead && len(p) > 0 {
-		c.hasAhead = false
-		p[0] = c.ahead[0]
+	c.reportDeliveries()
+	if c.hasPeeked && len(p) > 0 {
+		c.hasPeeked = false
+		p[0] = c.peeked[0]
 		return 1, nil
 	}
 	return c.Conn.Read(p)
@@ -97,20 +97,20 @@
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
-	n, err := writePieces(c.Conn, p, c.stall)
+	n, err := writeWithStallTimeout(c.Conn, p, c.stallTimeout)
 	if err != nil {
 		c.writeFailed.Store(true)
 	}
 	return n, err
 }
 
-// writePieces renews the deadline for each piece, so that it bounds the time
+// writeWithStallTimeout renews the deadline for each piece, so that it bounds the time
 // without progress and not the size of an answer.
-func writePieces(c net.Conn, p []byte, stall time.Duration) (int, error) {
+func writeWithStallTimeout(c net.Conn, p []byte, stallTimeout time.Duration) (int, error) {
 	written := 0
 	for {
-		piece := p[written:min(written+writePiece, len(p))]
-		if err := c.SetWriteDeadline(time.Now().Add(stall)); err != nil {
+		piece := p[written:min(written+maxWriteSize, len(p))]
+		if err := c.SetWriteDeadline(time.Now().Add(stallTimeout)); err != nil {
 			return written, err
 		}
 		n, err := c.Write(piece)
@@ -125,47 +125,47 @@
 func (c *conn) Close() error {
 	err := c.Conn.Close()
 	if c.isClosed.CompareAndSwap(false, true) {
-		c.closed()
+		c.onClose()
 	}
-	c.settle()
+	c.reportDeliveries()
 	return err
 }
 
 // watch calls gone, once, when the caller closes or loses the connection before
 // unwatch.
-func (c *conn) watch(gone func()) {
+func (c *conn) watch(onGone func()) {
 	// The deadline for reading the request still stands.
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
-		gone()
+		onGone()
 		return
 	}
-	if c.hasAhead {
+	if c.hasPeeked {
 		return
 	}
-	c.watching = make(chan struct{})
-	go c.readAhead(gone)
+	c.watchDone = make(chan struct{})
+	go c.awaitClose(onGone)
 }
 
-func (c *conn) readAhead(gone func()) {
-	defer close(c.watching)
-	n, err := c.Conn.Read(c.ahead[:])
+func (c *conn) awaitClose(onGone func()) {
+	defer close(c.watchDone)
+	n, err := c.Conn.Read(c.peeked[:])
 	if n == 1 {
-		c.hasAhead = true
+		c.hasPeeked = true
 		return
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		gone()
+		onGone()
 	}
 }
 
 // unwatch ends watch and returns when nothing reads the connection any more.
 func (c *conn) unwatch() {
-	if c.watching == nil {
+	if c.watchDone == nil {
 		return
 	}
-	_ = c.SetReadDeadline(longAgo)
-	<-c.watching
-	c.watching = nil
+	_ = c.SetReadDeadline(pastDeadline)
+	<-c.watchDone
+	c.watchDone = nil
 	_ = c.SetReadDeadline(time.Time{})
 }
 
@@ -175,14 +175,14 @@
 func (c *conn) onDelivery(f func(whole bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deliveries = append(c.deliveries, f)
+	c.deliveryCallbacks = append(c.deliveryCallbacks, f)
 }
 
-func (c *conn) settle() {
+func (c *conn) reportDeliveries() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, f := range c.deliveries {
+	for _, f := range c.deliveryCallbacks {
 		f(!c.writeFailed.Load())
 	}
-	c.deliveries = c.deliveries[:0]
+	c.deliveryCallbacks = c.deliveryCallbacks[:0]
 }
--- a/internal/callers/conn_test.go
+++ b/internal/callers/conn_test.go
@@ -73,7 +73,7 @@
 
 // A caller retries under its id on a new connection and then drops the old one.
 // The answer still has a reader, so the work must not be cancelled.
-func TestCallerGoneOnlyWhenItsLastConnectionIs(t *testing.T) {
+func TestCallerGoneOnlyAfterItsLastConnectionCloses(t *testing.T) {
 	finish := make(chan struct{})
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
@@ -173,7 +173,7 @@
 // A caller reads nothing while a long answer is written. Its socket buffers
 // fill, and after the stall the connection is given up: the answer stays for
 // the caller to fetch and the connection no longer holds memory.
-func TestCallerThatAcceptsNoBytesIsGivenUp(t *testing.T) {
+func TestCallerThatAcceptsNoBytesIsDisconnected(t *testing.T) {
 	text := strings.Repeat("x", 1<<20)
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
 		for i := range 64 {
@@ -236,7 +236,7 @@
 
 // The shutdown's time is over while an answer still streams. The caller gets the
 // verdict and sees that the answer was cut.
-func TestForcedShutdownTellsTheCaller(t *testing.T) {
+func TestForcedShutdownSendsTheVerdict(t *testing.T) {
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
 	})
@@ -244,9 +244,9 @@
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	go func() { _ = server.Serve(ln) }()
 	response := send(t, "POST", ln.Addr().String(), pathChat, chatBodyStream, HeaderClass, "letter")
-	over, cancel := context.WithCancel(t.Context())
+	expired, cancel := context.WithCancel(t.Context())
 	cancel()
-	_ = server.Shutdown(over)
+	_ = server.Shutdown(expired)
 	events, err := readEvents(response.Body)
 	if err == nil || len(events) != 2 || !strings.Contains(events[1].data, string(verdict.ReasonDraining)) {
 		t.Errorf("%+v, %v", events, err)
--- a/internal/callers/fuzz_test.go
+++ b/internal/callers/fuzz_test.go
@@ -47,7 +47,7 @@
 		server := NewServer(Config{BodyBytes: 4 << 10, HeaderBytes: 4 << 10}, backend)
 		defer server.cancel()
 		script := &scriptConn{script: strings.NewReader(string(raw))}
-		c := &conn{Conn: script, stall: time.Minute, closed: func() {}}
+		c := &conn{Conn: script, stallTimeout: time.Minute, onClose: func() {}}
 		_ = server.http.ServeConn(c)
 		_ = c.Close()
 		checkResponses(t, script.out.Bytes())
--- a/internal/callers/handler.go
+++ b/internal/callers/handler.go
@@ -27,14 +27,14 @@
 // maxIDLength bounds a request id, in bytes.
 const maxIDLength = 200
 
-// strangerBodyBytes bounds the body of a request without an accepted credential.
-const strangerBodyBytes = 1 << 10
+// unauthenticatedBodyBytes bounds the body of a request without an accepted credential.
+const unauthenticatedBodyBytes = 1 << 10
 
-// connectionRetry is when a caller refused for its connection should come back.
-const connectionRetry = time.Second
+// connectionRetryAfter is when a caller refused for its connection should come back.
+const connectionRetryAfter = time.Second
 
-// notReadyRetry is when to come back to an instance without a configuration.
-const notReadyRetry = time.Second
+// notReadyRetryAfter is when to come back to an instance without a configuration.
+const notReadyRetryAfter = time.Second
 
 // call is what is known of a request before it is submitted.
 type call struct {
@@ -73,28 +73,28 @@
 // who calls. Callers have its address, for the directory names it by then.
 func (s *Server) refuseNotReady(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek(HeaderRequestID))
-	err := verdict.New(s.unknowing(nil, id), verdict.ReasonNotReady, "this instance has no configuration yet")
-	s.refuse(ctx, "", err.After(notReadyRetry))
+	err := verdict.New(s.earlyVerdict(nil, id), verdict.ReasonNotReady, "this instance has no configuration yet")
+	s.refuse(ctx, "", err.After(notReadyRetryAfter))
 }
 
 func (s *Server) route(ctx *fasthttp.RequestCtx) {
 	path := ctx.Request.URI().PathOriginal()
 	switch {
 	case string(path) == pathChat:
-		s.allow(ctx, fasthttp.MethodPost, s.chat)
+		s.requireMethod(ctx, fasthttp.MethodPost, s.serveChat)
 	case string(path) == pathDirectory:
-		s.allow(ctx, fasthttp.MethodGet, s.directory)
+		s.requireMethod(ctx, fasthttp.MethodGet, s.serveDirectory)
 	case bytes.HasPrefix(path, []byte(pathServices)):
-		s.service(ctx)
+		s.serveService(ctx)
 	case bytes.HasPrefix(path, []byte(pathRequests)):
-		s.allow(ctx, fasthttp.MethodGet, s.request)
+		s.requireMethod(ctx, fasthttp.MethodGet, s.serveRequest)
 	default:
 		s.refuse(ctx, "", verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "no such path"))
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-func (s *Server) allow(ctx *fasthttp.RequestCtx, method string, handler func(*fasthttp.RequestCtx)) {
+func (s *Server) requireMethod(ctx *fasthttp.RequestCtx, method string, handler func(*fasthttp.RequestCtx)) {
 	if string(ctx.Method()) == method {
 		handler(ctx)
 		return
@@ -107,15 +107,15 @@
 func (s *Server) refuseConnection(ctx *fasthttp.RequestCtx) {
 	s.counts.connectionsRefused.Add(1)
 	id := string(ctx.Request.Header.Peek(HeaderRequestID))
-	err := verdict.New(s.unknowing(nil, id), verdict.ReasonOverloaded, "too many connections to this instance")
-	s.refuse(ctx, id, err.After(connectionRetry))
+	err := verdict.New(s.earlyVerdict(nil, id), verdict.ReasonOverloaded, "too many connections to this instance")
+	s.refuse(ctx, id, err.After(connectionRetryAfter))
 	ctx.SetConnectionClose()
 }
 
-func (s *Server) directory(ctx *fasthttp.RequestCtx) {
+func (s *Server) serveDirectory(ctx *fasthttp.RequestCtx) {
 	customer := s.authenticate(&ctx.Request.Header)
 	if customer == nil {
-		s.refuse(ctx, "", unauthorized(verdict.NotRun))
+		s.refuse(ctx, "", unauthorizedError(verdict.NotRun))
 		return
 	}
 	directory := s.backend.Directory(customer)
@@ -129,7 +129,7 @@
 	ctx.SetBody(body)
 }
 
-func unauthorized(v verdict.Verdict) *verdict.Error {
+func unauthorizedError(v verdict.Verdict) *verdict.Error {
 	return verdict.New(v, verdict.ReasonUnauthorized, "the Authorization header holds no accepted bearer credential")
 }
 
@@ -154,7 +154,7 @@
 // the instance hold a whole body on each of its connections.
 func (s *Server) limitBody(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	if s.authenticate(header) == nil {
-		return fasthttp.RequestConfig{MaxRequestBodySize: min(strangerBodyBytes, s.cfg.BodyBytes)}
+		return fasthttp.RequestConfig{MaxRequestBodySize: min(unauthenticatedBodyBytes, s.cfg.BodyBytes)}
 	}
 	return fasthttp.RequestConfig{MaxRequestBodySize: s.cfg.BodyBytes}
 }
@@ -173,10 +173,10 @@
 	}
 	c.customer = s.authenticate(&ctx.Request.Header)
 	if c.customer == nil {
-		return c, unauthorized(s.unknowing(nil, c.id))
+		return c, unauthorizedError(s.earlyVerdict(nil, c.id))
 	}
-	if err := s.classify(ctx, &c, kind); err != nil {
-		err.Verdict = s.unknowing(c.customer, c.id)
+	if err := s.checkClass(ctx, &c, kind); err != nil {
+		err.Verdict = s.earlyVerdict(c.customer, c.id)
 		return c, err
 	}
 	return c, s.locate(ctx, &c)
@@ -208,7 +208,7 @@
 	return true
 }
 
-func (s *Server) classify(ctx *fasthttp.RequestCtx, c *call, kind inventory.ClassKind) *verdict.Error {
+func (s *Server) checkClass(ctx *fasthttp.RequestCtx, c *call, kind inventory.ClassKind) *verdict.Error {
 	name := string(ctx.Request.Header.Peek(HeaderClass))
 	if name == "" {
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the header "+HeaderClass+" is missing")
@@ -235,23 +235,23 @@
 	switch {
 	case err != nil && err.Reason == verdict.ReasonUnboundKey:
 		c.unbound = true
-		return unboundKey(c.class)
+		return unboundKeyError(c.class)
 	case err != nil:
 		return err
 	case local:
 		return nil
 	case len(ctx.Request.Header.Peek(HeaderRelayed)) > 0:
-		return relayLoop()
+		return relayLoopError()
 	default:
 		c.home = address
 		return nil
 	}
 }
 
-// unboundKey refuses a request that may run once only under an id that any
+// unboundKeyError refuses a request that may run once only under an id that any
 // instance might run: after a partition or a crash, no instance could tell
 // whether another one ran it.
-func unboundKey(class *catalog.Class) *verdict.Error {
+func unboundKeyError(class *catalog.Class) *verdict.Error {
 	if class == nil || class.Idempotent {
 		return nil
 	}
@@ -260,9 +260,9 @@
 			"leave out "+HeaderRequestID+", or make it of an id_prefix from "+pathDirectory+" and a nonce of your own")
 }
 
-// unknowing is the verdict of a refusal given before the instance that an id is
+// earlyVerdict is the verdict of a refusal given before the instance that an id is
 // bound to was asked. An earlier attempt under the id may have run there.
-func (s *Server) unknowing(customer *catalog.Customer, id string) verdict.Verdict {
+func (s *Server) earlyVerdict(customer *catalog.Customer, id string) verdict.Verdict {
 	if id == "" {
 		return verdict.NotRun
 	}
--- a/internal/callers/refuse.go
+++ b/internal/callers/refuse.go
@@ -114,9 +114,9 @@
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// refuseUnread answers a request that could not be read. A request too large to
+// refuseUnreadable answers a request that could not be read. A request too large to
 // read was too large at every earlier attempt as well, so it never ran.
-func (s *Server) refuseUnread(ctx *fasthttp.RequestCtx, cause error) {
+func (s *Server) refuseUnreadable(ctx *fasthttp.RequestCtx, cause error) {
 	ctx.SetConnectionClose()
 	if s.backend.Catalog() == nil {
 		s.refuseNotReady(ctx)
@@ -124,16 +124,16 @@
 	}
 	if errors.Is(cause, fasthttp.ErrBodyTooLarge) && s.authenticate(&ctx.Request.Header) == nil {
 		id := string(ctx.Request.Header.Peek(HeaderRequestID))
-		s.refuse(ctx, "", unauthorized(s.unknowing(nil, id)))
+		s.refuse(ctx, "", unauthorizedError(s.earlyVerdict(nil, id)))
 		return
 	}
-	s.refuse(ctx, "", unreadError(cause))
-	if status := unreadStatus(cause); status != 0 {
+	s.refuse(ctx, "", unreadableError(cause))
+	if status := unreadableStatus(cause); status != 0 {
 		ctx.SetStatusCode(status)
 	}
 }
 
-func unreadError(cause error) *verdict.Error {
+func unreadableError(cause error) *verdict.Error {
 	var smallBuffer *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.Is(cause, fasthttp.ErrBodyTooLarge):
@@ -147,7 +147,7 @@
 	}
 }
 
-func unreadStatus(cause error) int {
+func unreadableStatus(cause error) int {
 	var smallBuffer *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.As(cause, &smallBuffer):
--- a/internal/callers/relay.go
+++ b/internal/callers/relay.go
@@ -13,37 +13,37 @@
 	"basilrudder/internal/verdict"
 )
 
-// homeRetry is when a caller whose request's home was not reached should come
+// homeRetryAfter is when a caller whose request's home was not reached should come
 // back with the same id.
-const homeRetry = time.Second
+const homeRetryAfter = time.Second
 
-// relayLoop refuses a request that another instance relayed here although the
+// relayLoopError refuses a request that another instance relayed here although the
 // id is not bound to this instance either.
-func relayLoop() *verdict.Error {
+func relayLoopError() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonHomeUnreachable,
-		"instances do not agree on where the id is bound").After(homeRetry)
+		"instances do not agree on where the id is bound").After(homeRetryAfter)
 }
 
-// relayed is a request passed on to the instance its id is bound to.
-type relayed struct {
-	server   *Server
-	id       string
-	caller   *conn
-	home     net.Conn
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	response *fasthttp.Response
-	body     io.Reader
+// relayedRequest is a request passed on to the instance its id is bound to.
+type relayedRequest struct {
+	server     *Server
+	id         string
+	callerConn *conn
+	homeConn   net.Conn
+	ctx        context.Context
+	cancel     context.CancelCauseFunc
+	response   *fasthttp.Response
+	body       io.Reader
 }
 
 // relay passes a request on and streams the answer back. Every failure is "may
 // have run": only the home knows whether the id ran before.
 func (s *Server) relay(ctx *fasthttp.RequestCtx, id, address string) {
 	s.counts.relayed.Add(1)
-	r := &relayed{server: s, id: id}
+	r := &relayedRequest{server: s, id: id}
 	r.ctx, r.cancel = context.WithCancelCause(s.ctx)
 	if c, ok := ctx.Conn().(*conn); ok {
-		r.caller = c
+		r.callerConn = c
 		c.watch(func() { r.cancel(errCallerGone) })
 	}
 	if err := r.exchange(ctx, address); err != nil {
@@ -52,18 +52,18 @@
 		s.refuse(ctx, id, failure)
 		return
 	}
-	r.answer(ctx)
+	r.startAnswer(ctx)
 }
 
 // exchange sends the request and reads the header of the answer.
-func (r *relayed) exchange(ctx *fasthttp.RequestCtx, address string) error {
-	dialCtx, done := context.WithTimeout(r.ctx, relayDialTimeout)
-	defer done()
+func (r *relayedRequest) exchange(ctx *fasthttp.RequestCtx, address string) error {
+	dialCtx, cancel := context.WithTimeout(r.ctx, relayDialTimeout)
+	defer cancel()
 	home, err := r.server.cfg.Dial(dialCtx, address)
 	if err != nil {
 		return errors.Wrap(err, "connect to the home instance")
 	}
-	r.home = &stallingConn{Conn: home, stall: r.server.cfg.WriteStall}
+	r.homeConn = &stallTimeoutConn{Conn: home, stallTimeout: r.server.cfg.WriteStall}
 	context.AfterFunc(r.ctx, func() { _ = home.Close() })
 	go r.checkHome()
 	if err := r.send(ctx); err != nil {
@@ -72,13 +72,13 @@
 	r.response = fasthttp.AcquireResponse()
 	r.response.StreamBody = true
 	r.response.SkipBody = ctx.IsHead()
-	if err := r.response.ReadLimitBody(bufio.NewReader(r.home), 0); err != nil {
+	if err := r.response.ReadLimitBody(bufio.NewReader(r.homeConn), 0); err != nil {
 		return errors.Wrap(err, "read from the home instance")
 	}
 	return nil
 }
 
-func (r *relayed) send(ctx *fasthttp.RequestCtx) error {
+func (r *relayedRequest) send(ctx *fasthttp.RequestCtx) error {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	ctx.Request.CopyTo(request)
@@ -86,7 +86,7 @@
 	request.Header.Del(fasthttp.HeaderExpect)
 	request.Header.Set(HeaderRelayed, "1")
 	request.SetConnectionClose()
-	writer := bufio.NewWriter(r.home)
+	writer := bufio.NewWriter(r.homeConn)
 	if err := request.Write(writer); err != nil {
 		return err
 	}
@@ -96,8 +96,8 @@
 // checkHome ends the exchange when the home has left the fleet or fallen silent.
 // A home that died silently would otherwise hold the caller for as long as TCP
 // takes.
-func (r *relayed) checkHome() {
-	ticker := time.NewTicker(r.server.cfg.HomeCheck)
+func (r *relayedRequest) checkHome() {
+	ticker := time.NewTicker(r.server.cfg.HomeCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -112,23 +112,23 @@
 	}
 }
 
-func (r *relayed) failure(err error) *verdict.Error {
-	var home *verdict.Error
+func (r *relayedRequest) failure(err error) *verdict.Error {
+	var homeErr *verdict.Error
 	switch cause := context.Cause(r.ctx); {
 	case errors.Is(cause, errCallerGone):
 		return verdict.Wrap(verdict.MayHaveRun, verdict.ReasonCallerGone, cause)
-	case errors.As(cause, &home):
-		return home
+	case errors.As(cause, &homeErr):
+		return homeErr
 	default:
-		return verdict.Wrap(verdict.MayHaveRun, verdict.ReasonHomeUnreachable, err).After(homeRetry)
+		return verdict.Wrap(verdict.MayHaveRun, verdict.ReasonHomeUnreachable, err).After(homeRetryAfter)
 	}
 }
 
-// answer starts the answer to the caller.
-func (r *relayed) answer(ctx *fasthttp.RequestCtx) {
-	const identity = -2
-	size := r.response.Header.ContentLength()
-	if size == identity {
+// startAnswer starts the startAnswer to the caller.
+func (r *relayedRequest) startAnswer(ctx *fasthttp.RequestCtx) {
+	const identityLength = -2
+	contentLength := r.response.Header.ContentLength()
+	if contentLength == identityLength {
 		// Its end could not be told from a lost connection.
 		_ = r.Close()
 		s := r.server
@@ -137,7 +137,7 @@
 	}
 	ctx.SetStatusCode(r.response.StatusCode())
 	for key, value := range r.response.Header.All() {
-		if !hopByHop[lowerASCII(key)] || ownHeader(key) {
+		if !notForwarded[lowerASCII(key)] || isOwnHeader(key) {
 			ctx.Response.Header.AddBytesKV(key, value)
 		}
 	}
@@ -146,11 +146,11 @@
 		_ = r.Close()
 		return
 	}
-	ctx.SetBodyStream(r, size)
+	ctx.SetBodyStream(r, contentLength)
 }
 
-// ownHeader reports whether the field is set by this system, at the home.
-func ownHeader(key []byte) bool {
+// isOwnHeader reports whether the field is set by this system, at the home.
+func isOwnHeader(key []byte) bool {
 	switch string(key) {
 	case HeaderRequestID, HeaderVerdict, HeaderShouldRetry:
 		return true
@@ -172,18 +172,18 @@
 
 // Read implements io.Reader. An error before the end makes the server close
 // the connection, so that the caller sees that the answer was cut.
-func (r *relayed) Read(p []byte) (int, error) {
+func (r *relayedRequest) Read(p []byte) (int, error) {
 	return r.body.Read(p)
 }
 
 // Close implements io.Closer.
-func (r *relayed) Close() error {
-	if r.caller != nil {
-		r.caller.unwatch()
+func (r *relayedRequest) Close() error {
+	if r.callerConn != nil {
+		r.callerConn.unwatch()
 	}
 	r.cancel(nil)
-	if r.home != nil {
-		_ = r.home.Close()
+	if r.homeConn != nil {
+		_ = r.homeConn.Close()
 	}
 	if r.response != nil {
 		_ = r.response.CloseBodyStream()
@@ -199,17 +199,17 @@
 	if err != nil {
 		return nil, err
 	}
-	watchSilence(c, defaultWriteStall)
+	setTCPTimeouts(c, defaultWriteStall)
 	return c, nil
 }
 
-// stallingConn bounds the time without progress of each write.
-type stallingConn struct {
+// stallTimeoutConn bounds the time without progress of each write.
+type stallTimeoutConn struct {
 	net.Conn
-	stall time.Duration
+	stallTimeout time.Duration
 }
 
 // Write implements net.Conn.
-func (c *stallingConn) Write(p []byte) (int, error) {
-	return writePieces(c.Conn, p, c.stall)
+func (c *stallTimeoutConn) Write(p []byte) (int, error) {
+	return writeWithStallTimeout(c.Conn, p, c.stallTimeout)
 }
--- a/internal/callers/relay_test.go
+++ b/internal/callers/relay_test.go
@@ -40,7 +40,7 @@
 	wantRefusal(t, other, http.StatusNotFound, verdict.MayHaveRun, verdict.ReasonUnknownRequest)
 }
 
-func TestServiceCallIsRelayedAsItIs(t *testing.T) {
+func TestServiceCallIsRelayedUnchanged(t *testing.T) {
 	home := newFakeBackend(func(request *Request, log *answers.Log) {
 		_ = log.SetService(answers.ServiceAnswer{Status: 201, Body: []byte(request.Service.Path + string(request.Body))})
 		log.Close(nil)
@@ -90,22 +90,22 @@
 // The home dies silently while the relayed request waits: its host is gone and
 // no packet says so. The fleet notices, and the caller is told instead of
 // waiting until TCP gives up.
-func TestHomeThatDiesWhileARequestWaits(t *testing.T) {
+func TestHomeGoneWhileARequestWaits(t *testing.T) {
 	waiting := make(chan struct{})
 	home := newFakeBackend(func(*Request, *answers.Log) { close(waiting) })
 	homeAddress := startServer(t, Config{}, home)
 	backend := relayTo("")
-	var dead atomic.Bool
+	var gone atomic.Bool
 	backend.home = func(string) (string, bool, *verdict.Error) {
-		if dead.Load() {
+		if gone.Load() {
 			return "", false, verdict.New(verdict.MayHaveRun, verdict.ReasonHomeGone, "gone")
 		}
 		return homeAddress, false, nil
 	}
-	address := startServer(t, Config{HomeCheck: time.Millisecond}, backend)
+	address := startServer(t, Config{HomeCheckInterval: time.Millisecond}, backend)
 	go func() {
 		<-waiting
-		dead.Store(true)
+		gone.Store(true)
 	}()
 	response := send(t, "POST", address, pathChat, chatBodyWhole, HeaderClass, "letter", HeaderRequestID, "local-1")
 	wantRefusal(t, response, http.StatusGone, verdict.MayHaveRun, verdict.ReasonHomeGone)
@@ -115,22 +115,22 @@
 // bring nothing. The fleet takes it for dead, but it may wake and finish the
 // answer. So the caller is told to come back with the same id, and not that the
 // answer is lost.
-func TestHomeThatFallsSilentWhileARequestWaits(t *testing.T) {
+func TestUnresponsiveHomeWhileARequestWaits(t *testing.T) {
 	waiting := make(chan struct{})
 	home := newFakeBackend(func(*Request, *answers.Log) { close(waiting) })
 	homeAddress := startServer(t, Config{}, home)
 	backend := relayTo("")
-	var silent atomic.Bool
+	var unresponsive atomic.Bool
 	backend.home = func(string) (string, bool, *verdict.Error) {
-		if silent.Load() {
+		if unresponsive.Load() {
 			return "", false, verdict.New(verdict.MayHaveRun, verdict.ReasonHomeUnreachable, "silent").After(time.Second)
 		}
 		return homeAddress, false, nil
 	}
-	address := startServer(t, Config{HomeCheck: time.Millisecond}, backend)
+	address := startServer(t, Config{HomeCheckInterval: time.Millisecond}, backend)
 	go func() {
 		<-waiting
-		silent.Store(true)
+		unresponsive.Store(true)
 	}()
 	response := send(t, "POST", address, pathChat, chatBodyWhole, HeaderClass, "letter", HeaderRequestID, "local-1")
 	refusal := wantRefusal(t, response, http.StatusServiceUnavailable, verdict.MayHaveRun, verdict.ReasonHomeUnreachable)
@@ -156,7 +156,7 @@
 
 // The home fails in the middle of a relayed stream. The caller sees the cut as
 // it would at the home.
-func TestCutIsRelayed(t *testing.T) {
+func TestTruncationIsRelayed(t *testing.T) {
 	home := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
 		log.Close(verdict.New(verdict.Ran, verdict.ReasonUpstreamLost, "engine lost"))
--- a/internal/callers/requests.go
+++ b/internal/callers/requests.go
@@ -17,8 +17,8 @@
 // headerLastEventID is what browsers send when they resume an event stream.
 const headerLastEventID = "Last-Event-ID"
 
-// request serves GET /v1/requests/{id} and GET /v1/requests/{id}/answer.
-func (s *Server) request(ctx *fasthttp.RequestCtx) {
+// serveRequest serves GET /v1/requests/{id} and GET /v1/requests/{id}/answer.
+func (s *Server) serveRequest(ctx *fasthttp.RequestCtx) {
 	rest := string(ctx.Request.URI().PathOriginal()[len(pathRequests):])
 	id, answer := strings.CutSuffix(rest, suffixAnswer)
 	if id == "" || !validID(id) {
@@ -27,7 +27,7 @@
 	}
 	customer := s.authenticate(&ctx.Request.Header)
 	if customer == nil {
-		s.refuse(ctx, id, unauthorized(verdict.MayHaveRun))
+		s.refuse(ctx, id, unauthorizedError(verdict.MayHaveRun))
 		return
 	}
 	c := call{customer: customer, id: id}
@@ -42,22 +42,22 @@
 	log, found := s.backend.Find(customer.Name, id)
 	switch {
 	case !found:
-		s.refuse(ctx, id, unknownRequest())
+		s.refuse(ctx, id, unknownRequestError())
 	case answer:
-		s.fetch(ctx, customer, id, log)
+		s.serveAnswer(ctx, customer, id, log)
 	default:
-		s.state(ctx, id, log)
+		s.serveState(ctx, id, log)
 	}
 }
 
-// unknownRequest does not say "not run": the request may still be on its way
+// unknownRequestError does not say "not run": the request may still be on its way
 // here. Sending it again under the same id is safe and settles it.
-func unknownRequest() *verdict.Error {
+func unknownRequestError() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonUnknownRequest,
 		"no request of this customer is known under the id; it may be on its way, or an older one that is forgotten")
 }
 
-func (s *Server) state(ctx *fasthttp.RequestCtx, id string, log *answers.Log) {
+func (s *Server) serveState(ctx *fasthttp.RequestCtx, id string, log *answers.Log) {
 	state, end := log.Status()
 	v := verdict.MayHaveRun
 	switch {
@@ -81,8 +81,8 @@
 	ctx.SetBody(body)
 }
 
-// fetch gives the answer again: as a stream from an offset, or whole.
-func (s *Server) fetch(ctx *fasthttp.RequestCtx, customer *catalog.Customer, id string, log *answers.Log) {
+// serveAnswer gives the answer again: as a stream from an offset, or whole.
+func (s *Server) serveAnswer(ctx *fasthttp.RequestCtx, customer *catalog.Customer, id string, log *answers.Log) {
 	offset, streamed, err := resumeFrom(ctx)
 	if err != nil {
 		s.refuse(ctx, id, err)
--- a/internal/callers/stream.go
+++ b/internal/callers/stream.go
@@ -13,9 +13,9 @@
 	"basilrudder/internal/verdict"
 )
 
-// errCut ends the connection of a stream that failed, without the last chunk
+// errTruncated ends the connection of a stream that failed, without the last chunk
 // of the transfer encoding.
-var errCut = errors.New("answer failed after its stream began")
+var errTruncated = errors.New("answer failed after its stream began")
 
 // maxBuffered bounds what a stream encodes before it writes, in bytes.
 const maxBuffered = 32 << 10
@@ -52,8 +52,8 @@
 	return errors.Is(context.Cause(f.ctx), errCallerGone)
 }
 
-// stopping is the error of an answer that outlasts the instance's shutdown.
-func stopping() *verdict.Error {
+// stoppingError is the error of an answer that outlasts the instance's shutdown.
+func stoppingError() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonDraining, "the instance stops before the answer has ended")
 }
 
@@ -79,14 +79,14 @@
 	f.conn.onDelivery(f.end)
 }
 
-func (f *follower) end(whole bool) {
+func (f *follower) end(complete bool) {
 	if f.detached {
 		return
 	}
 	f.detached = true
 	f.cancel(nil)
-	left := f.log.Detach()
-	if whole {
+	remaining := f.log.Detach()
+	if complete {
 		f.server.backend.Delivered(f.customer, f.id)
 		return
 	}
@@ -96,7 +96,7 @@
 	}
 	f.server.counts.callersGone.Add(1)
 	// Another connection may follow the same answer: its caller retried.
-	if left == 0 {
+	if remaining == 0 {
 		f.server.backend.CallerGone(f.customer, f.id)
 	}
 }
@@ -104,27 +104,27 @@
 // sseBody is the body of a streamed answer. The server reads it and writes each
 // read as one chunk.
 type sseBody struct {
-	follower *follower
-	encoder  chunkEncoder
-	offset   int
-	events   []engineapi.TokenEvent // not encoded yet
-	buffer   []byte
-	written  int // bytes of buffer that were read
-	done     bool
-	err      *verdict.Error
-	ended    bool // the last bytes are in buffer
+	follower     *follower
+	encoder      chunkEncoder
+	offset       int
+	events       []engineapi.TokenEvent // not encoded yet
+	buffer       []byte
+	consumed     int // bytes of buffer that were read
+	answerEnded  bool
+	err          *verdict.Error
+	fullyEncoded bool // the last bytes are in buffer
 }
 
 // Read implements io.Reader.
 func (b *sseBody) Read(p []byte) (int, error) {
-	for b.written == len(b.buffer) {
-		if b.ended {
-			return 0, b.end()
+	for b.consumed == len(b.buffer) {
+		if b.fullyEncoded {
+			return 0, b.readError()
 		}
 		b.fill()
 	}
-	n := copy(p, b.buffer[b.written:])
-	b.written += n
+	n := copy(p, b.buffer[b.consumed:])
+	b.consumed += n
 	return n, nil
 }
 
@@ -133,7 +133,7 @@
 func (b *sseBody) Close() error {
 	f := b.follower
 	f.unwatch()
-	if b.ended && b.done && b.written == len(b.buffer) {
+	if b.fullyEncoded && b.answerEnded && b.consumed == len(b.buffer) {
 		f.deliver()
 	} else {
 		f.detach()
@@ -141,9 +141,9 @@
 	return nil
 }
 
-func (b *sseBody) end() error {
+func (b *sseBody) readError() error {
 	if b.err != nil {
-		return errCut
+		return errTruncated
 	}
 	return io.EOF
 }
@@ -151,11 +151,11 @@
 // fill encodes what has come, or waits for more.
 func (b *sseBody) fill() {
 	b.buffer = b.buffer[:0]
-	b.written = 0
-	if len(b.events) == 0 && !b.done {
-		b.events, b.done, b.err = b.follower.log.Next(b.follower.ctx, b.offset)
+	b.consumed = 0
+	if len(b.events) == 0 && !b.answerEnded {
+		b.events, b.answerEnded, b.err = b.follower.log.Next(b.follower.ctx, b.offset)
 		b.offset += len(b.events)
-		if b.err != nil && !b.done {
+		if b.err != nil && !b.answerEnded {
 			b.interrupt()
 			return
 		}
@@ -164,8 +164,8 @@
 		b.buffer = b.encoder.appendChunk(b.buffer, &b.events[0])
 		b.events = b.events[1:]
 	}
-	if len(b.events) == 0 && b.done {
-		b.finish()
+	if len(b.events) == 0 && b.answerEnded {
+		b.appendEnd()
 	}
 }
 
@@ -173,16 +173,16 @@
 // nothing more; to one that is there, the instance says that it stops.
 func (b *sseBody) interrupt() {
 	if b.follower.callerGone() {
-		b.ended = true
+		b.fullyEncoded = true
 		return
 	}
-	b.err = stopping()
-	b.finish()
+	b.err = stoppingError()
+	b.appendEnd()
 }
 
-// finish appends the last event: [DONE] for a whole answer, else the refusal.
-func (b *sseBody) finish() {
-	b.ended = true
+// appendEnd appends the last event: [DONE] for a whole answer, else the refusal.
+func (b *sseBody) appendEnd() {
+	b.fullyEncoded = true
 	if b.err == nil {
 		b.buffer = append(b.buffer, "data: [DONE]\n\n"...)
 		return
--- a/internal/callers/silence_linux.go
+++ b/internal/callers/tcptimeouts_linux.go
@@ -16,11 +16,11 @@
 	keepAliveCount    = 3
 )
 
-// watchSilence makes the kernel give up a connection that went silent: one with
+// setTCPTimeouts makes the kernel give up a connection that went silent: one with
 // unacknowledged data after stall, an idle one after its keep-alive probes. A
 // write into the socket buffer succeeds for long after the path is dead, so a
 // write deadline alone would notice late.
-func watchSilence(c net.Conn, stall time.Duration) {
+func setTCPTimeouts(c net.Conn, stallTimeout time.Duration) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return
@@ -36,6 +36,6 @@
 		return
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(stall.Milliseconds()))
+		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(stallTimeout.Milliseconds()))
 	})
 }
