--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// answerStream waits for the first token and then streams from the offset. A
+// answerStream waits for the first token and then streams the answer from offset. A
 // failure before the first token is an ordinary refusal.
 func (s *Server) answerStream(ctx *fasthttp.RequestCtx, f *follower, offset int) {
 	body := &sseBody{
@@ -48,8 +48,9 @@
 	f.deliver()
 }
 
-// answerError refuses, unless it is the caller that is gone. A refusal that
-// reaches its caller is the whole answer.
+// answerError answers with a refusal. If the answer has not ended and the caller is
+// still connected, the instance is shutting down. If it has ended, the refusal counts
+// as delivered once it is written.
 func (s *Server) answerError(ctx *fasthttp.RequestCtx, f *follower, done bool, err *verdict.Error) {
 	f.unwatch()
 	if !done && !f.callerGone() {
@@ -64,8 +65,8 @@
 	ctx.SetConnectionClose()
 }
 
-// notForwarded names the fields that belong to one connection, and those this
-// system sets itself.
+// notForwarded holds the hop-by-hop header fields and those that this system sets
+// itself, in lower case.
 var notForwarded = map[string]bool{
 	"connection":          true,
 	"keep-alive":          true,
--- a/internal/callers/bench_test.go
+++ b/internal/callers/bench_test.go
@@ -15,7 +15,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// benchBackend answers at once and keeps nothing.
+// benchBackend answers at once and stores nothing.
 type benchBackend struct {
 	*fakeBackend
 	serve func(*answers.Log)
@@ -44,8 +44,8 @@
 	return c
 }
 
-// BenchmarkWholeRequest is one request and its whole answer of one token over a
-// kept connection, the client's work included.
+// BenchmarkWholeRequest measures one request and its whole answer of one token over a
+// reused connection, including the client's work.
 func BenchmarkWholeRequest(b *testing.B) {
 	c := benchServer(b, func(log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Text: "a", Finish: "stop"})
@@ -63,8 +63,8 @@
 	}
 }
 
-// BenchmarkStreamedToken is one token from Append to the caller's socket, each
-// in a chunk of its own: the next one is appended when the last was read.
+// BenchmarkStreamedToken measures one token from Append to the caller's socket. Each is
+// in a chunk of its own, since the next one is appended after the last was read.
 func BenchmarkStreamedToken(b *testing.B) {
 	next := make(chan engineapi.TokenEvent)
 	c := benchServer(b, func(log *answers.Log) {
@@ -92,7 +92,7 @@
 	close(next)
 }
 
-// BenchmarkEncodeChunk is the encoding of one token alone.
+// BenchmarkEncodeChunk measures the encoding of one token.
 func BenchmarkEncodeChunk(b *testing.B) {
 	encoder := newChunkEncoder("i1-7f3a-1000-42", answers.About{Model: "m1", Created: 1})
 	event := engineapi.TokenEvent{Offset: 12345, Text: " token\n"}
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -1,6 +1,6 @@
-// Package callers is the HTTP interface for callers: chat completions in the
-// shape that callers of language models expect, plain service calls, the
-// directory, and answers fetched or resumed by request id.
+// Package callers implements the HTTP interface for callers: chat completions in the
+// format usual for language models, plain service calls, the directory, and answers
+// fetched or resumed by request id.
 package callers
 
 import (
@@ -25,17 +25,17 @@
 	HeaderRequestID = "X-Request-Id"
 	HeaderClass     = "X-Request-Class"
 	HeaderVerdict   = "X-Verdict"
-	// HeaderRelayed marks a request that another instance passed on. It must not
-	// be passed on again, or two instances that each hold the other for its home
-	// would send it back and forth.
+	// HeaderRelayed marks a request that another instance relayed. It is not relayed
+	// again: two instances that each take the other for its home would relay it back
+	// and forth forever.
 	HeaderRelayed = "X-Basilrudder-Relayed"
-	// HeaderShouldRetry tells client libraries not to retry by themselves.
+	// HeaderShouldRetry, set to "false", prevents automatic retries by client libraries.
 	HeaderShouldRetry = "X-Should-Retry"
 )
 
 // Request is a call to be served.
 type Request struct {
-	// ID given by the caller; empty to have one minted.
+	// ID given by the caller; if empty, the backend mints one.
 	ID string
 	// Customer the caller belongs to.
 	Customer *catalog.Customer
@@ -43,17 +43,17 @@
 	Class *catalog.Class
 	// Body to send upstream.
 	Body []byte
-	// PromptTokens as stated by the caller, or estimated from the body.
+	// PromptTokens is given by the caller, or estimated from the body.
 	PromptTokens int
-	// MaxTokens bounds the answer; 0 when neither the caller nor the class does.
+	// MaxTokens bounds the answer; 0 if neither the caller nor the class sets a bound.
 	MaxTokens int
 	// Prefix identifies the leading part of the prompt, for cache affinity.
 	Prefix uint64
-	// Service is set for a call to a plain service.
+	// Service is non-nil for a call to a plain service.
 	Service *ServiceRequest
-	// Fingerprint tells different requests under one id apart.
+	// Fingerprint distinguishes different requests sent under the same id.
 	Fingerprint uint64
-	// Arrived is when the request had been read.
+	// Arrived is the time at which the request had been read completely.
 	Arrived monotime.Instant
 }
 
@@ -61,64 +61,69 @@
 type ServiceRequest struct {
 	// Method of the call.
 	Method string
-	// Path and query as the service sees them.
+	// Path and query as sent to the service.
 	Path string
 	// ContentType of the body.
 	ContentType string
 }
 
-// Backend serves the requests. Its methods are called from many goroutines.
+// Backend executes the requests. Its methods must be safe for concurrent use.
 type Backend interface {
-	// Catalog returns the configuration in force.
+	// Catalog returns the configuration in force, or nil if there is none yet.
 	Catalog() *catalog.Catalog
-	// Submit starts a request and returns its answer and id. The same customer
-	// and id give the same answer. ctx ends with the server, not with the caller.
+	// Submit starts a request and returns its answer and id. The same customer and id
+	// return the same answer. ctx is cancelled when the server stops, not when the
+	// caller disconnects.
 	Submit(ctx context.Context, request *Request) (*answers.Log, string, *verdict.Error)
-	// CallerGone tells that the last connection that followed an answer is gone
-	// before the end of it was written. A caller may come back for the answer.
+	// CallerGone reports that the last connection following an answer was lost before
+	// the end of the answer was written. The caller may reconnect to fetch the answer.
 	CallerGone(customer *catalog.Customer, id string)
-	// Delivered tells that the end of an answer, whole or refused, was written to
-	// a caller's connection. It may be called more than once for an id.
+	// Delivered reports that the end of an answer or its refusal was written to a
+	// caller's connection. It may be called more than once for an id.
 	Delivered(customer *catalog.Customer, id string)
-	// Refused tells of a request that was refused before Submit and surely did
-	// not run; class is nil when it is not known.
+	// Refused reports a request that was refused before Submit and certainly did not
+	// run. class is nil if it could not be determined.
 	Refused(customer *catalog.Customer, class *catalog.Class, id string, err *verdict.Error)
-	// Find returns the answer under an id of this instance.
+	// Find returns the answer that this instance holds under a customer's id.
 	Find(customer, id string) (*answers.Log, bool)
-	// Home tells which instance an id is bound to. The error has the reason
-	// unbound_key for an id that no instance minted.
+	// Home returns the address of the instance that an id is bound to, and whether it
+	// is this one. For an id that no instance minted, the error has the reason
+	// unbound_key.
 	Home(id string) (address string, local bool, err *verdict.Error)
 	// Directory returns the instances a customer should use.
 	Directory(customer *catalog.Customer) callerapi.Directory
 }
 
-// Config bounds a Server. Zero values take the defaults below.
+// Config configures a Server. Zero values are replaced by the defaults below.
 type Config struct {
-	// HeaderBytes bounds a request's header.
+	// HeaderBytes is the maximum size of a request's header.
 	HeaderBytes int
-	// BodyBytes bounds a request's body.
+	// BodyBytes is the maximum size of a request's body.
 	BodyBytes int
-	// Connections bounds the open connections of callers.
+	// Connections is the maximum number of open connections that are served.
 	Connections int
-	// ReadTimeout is the time a caller has to send a request.
+	// ReadTimeout bounds the time in which a caller must send a request.
 	ReadTimeout time.Duration
-	// IdleTimeout is the time a connection may wait for its next request.
+	// IdleTimeout bounds the time between two requests on a connection.
 	IdleTimeout time.Duration
-	// WriteStall is the time a caller may accept no byte.
+	// WriteStall bounds the time without write progress on a connection.
 	WriteStall time.Duration
-	// HomeCheckInterval is how often a relayed request checks that its home still lives.
+	// HomeCheckInterval is the time between two checks that the home of a relayed request
+	// is still reachable.
 	HomeCheckInterval time.Duration
-	// Dial connects to another instance; nil for TCP.
+	// Dial connects to another instance; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Now gives the instant of arrival; nil for monotime.Now.
+	// Now returns the time of a request's arrival; nil means monotime.Now.
 	Now func() monotime.Instant
-	// WallClock gives the time shown in answers; nil for time.Now.
+	// WallClock returns the creation time written in answers; nil means time.Now.
 	WallClock func() time.Time
-	// Log takes what is no answer to a caller; nil for none.
+	// Log receives panics and messages of the HTTP server; nil means no logging.
 	Log *zap.Logger
 }
 
-// Defaults of Config.
+// Defaults of Config. Larger values let slow or lost callers and lost homes occupy
+// connections and memory for longer; smaller ones refuse or disconnect working callers.
+// 4096 connections with bodies of 4 MiB hold 16 GiB.
 const (
 	defaultHeaderBytes       = 16 << 10
 	defaultBodyBytes         = 4 << 20
@@ -127,7 +132,9 @@
 	defaultIdleTimeout       = 75 * time.Second
 	defaultWriteStall        = 15 * time.Second
 	defaultHomeCheckInterval = time.Second
-	relayDialTimeout         = 2 * time.Second
+	// Callers wait this long for an unreachable home; a shorter time makes a busy home
+	// look unreachable.
+	relayDialTimeout = 2 * time.Second
 )
 
 func (c Config) withDefaults() Config {
@@ -153,7 +160,7 @@
 	return c
 }
 
-// Server serves callers.
+// Server is the HTTP server for callers.
 type Server struct {
 	cfg     Config
 	backend Backend
@@ -189,9 +196,9 @@
 	return s.http.Serve(&listener{Listener: ln, server: s})
 }
 
-// Shutdown stops accepting, lets requests in flight finish until ctx ends, and
-// closes idle connections. What is in flight then is refused as "may have run",
-// and an error is returned.
+// Shutdown stops accepting connections, closes idle ones, and waits for requests in
+// flight until ctx ends. Requests still in flight then are refused with the verdict
+// "may have run", and the error of the wait is returned.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.http.ShutdownWithContext(ctx)
 	s.cancel()
@@ -204,15 +211,17 @@
 	return err
 }
 
-// shutdownRefusalTimeout is the time to tell callers that their requests are cut off.
+// shutdownRefusalTimeout bounds the time for writing refusals to callers whose requests
+// a shutdown interrupts. If it is too short, callers lose the connection without a
+// verdict; it is added to the time of a forced shutdown.
 const shutdownRefusalTimeout = 500 * time.Millisecond
 
-// Vars returns the counters and gauges, to be published by expvar.
+// Vars returns the counters and gauges for expvar.
 func (s *Server) Vars() *expvar.Map {
 	return s.counts.vars
 }
 
-// counters of one server.
+// counters holds the metrics of one server.
 type counters struct {
 	vars               *expvar.Map
 	connections        *expvar.Int
@@ -239,7 +248,7 @@
 	return c
 }
 
-// httpLogger passes fasthttp's messages on.
+// httpLogger writes fasthttp's messages to the log at debug level.
 type httpLogger struct{ log *zap.Logger }
 
 // Printf implements fasthttp.Logger.
--- a/internal/callers/chat.go
+++ b/internal/callers/chat.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// serveChat serves POST /v1/serveChat/completions.
+// serveChat serves POST /v1/chat/completions.
 func (s *Server) serveChat(ctx *fasthttp.RequestCtx) {
 	arrived := s.cfg.Now()
 	c, err := s.admit(ctx, inventory.ClassKindModel)
@@ -47,7 +47,7 @@
 	}
 }
 
-// serveService serves the paths under /v1/services/{serveService}/.
+// serveService serves the paths under /v1/services/{service}/.
 func (s *Server) serveService(ctx *fasthttp.RequestCtx) {
 	arrived := s.cfg.Now()
 	c, err := s.admit(ctx, inventory.ClassKindService)
@@ -80,7 +80,8 @@
 	}
 }
 
-// serviceRequest takes the service's own path from the path of the call.
+// serviceRequest extracts the path within the service from the path of the call. It
+// returns an error if the path names another service than target.
 func serviceRequest(ctx *fasthttp.RequestCtx, target string) (*ServiceRequest, *verdict.Error) {
 	uri := ctx.Request.URI()
 	rest := string(uri.PathOriginal()[len(pathServices):])
@@ -98,8 +99,8 @@
 	}, nil
 }
 
-// submit hands a request to the backend and follows its answer. An error has
-// been answered.
+// submit passes a request to the backend and follows its answer. If it returns an
+// error, the refusal is already in the response.
 func (s *Server) submit(ctx *fasthttp.RequestCtx, request *Request) (*follower, *verdict.Error) {
 	log, id, err := s.backend.Submit(s.ctx, request)
 	if err != nil {
@@ -117,10 +118,10 @@
 	return s.follow(ctx, request.Customer, id, log), nil
 }
 
-// fingerprint covers what makes a request another one.
+// fingerprint hashes the class, method, URI and body of a request.
 func fingerprint(ctx *fasthttp.RequestCtx, class string) uint64 {
 	h := xxhash.New()
-	// A digest never fails to write.
+	// Writes to a digest never fail.
 	_, _ = h.WriteString(class)
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write(ctx.Method())
--- a/internal/callers/chat_test.go
+++ b/internal/callers/chat_test.go
@@ -95,7 +95,7 @@
 	<-backend.delivered
 }
 
-// A token reaches the caller while the engine still works on the next one.
+// A token must reach the caller before the engine has produced the next one.
 func TestTokensAreSentAsTheyArrive(t *testing.T) {
 	step := make(chan struct{})
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
@@ -117,9 +117,9 @@
 	}
 }
 
-// The engine is lost in the middle of an answer. The caller has read a status
-// of 200 already, so it sees an error event with the verdict, no [DONE], and a
-// body that ends without its last chunk: it cannot take the part for the whole.
+// The engine is lost in the middle of an answer, after the caller has read the status
+// 200. The stream must have an error event with the verdict, no [DONE], and no last
+// chunk, or the caller would take the truncated answer for a whole one.
 func TestTruncatedStreamIsNotAWholeAnswer(t *testing.T) {
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
@@ -129,15 +129,15 @@
 	response := send(t, "POST", address, pathChat, chatBodyStream, HeaderClass, "letter")
 	events, err := readEvents(response.Body)
 	if err == nil {
-		t.Error("the body ended as a whole one does")
+		t.Error("the body ended with its last chunk")
 	}
 	if len(events) != 2 || events[1].name != "error" || !strings.Contains(events[1].data, `"verdict":"ran"`) {
 		t.Errorf("%+v", events)
 	}
 }
 
-// The same failure of an answer asked for whole: nothing was sent yet, so it is
-// an ordinary refusal, which still says that the request ran.
+// The engine is lost in the middle of an answer that is not streamed. Nothing was sent
+// yet, so the caller gets an ordinary refusal with the verdict "ran".
 func TestFailureOfAWholeAnswerIsARefusal(t *testing.T) {
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
@@ -210,9 +210,9 @@
 	}
 }
 
-// What the caller sees: a refusal that says when to come back. A process has
-// started and found neither the platform nor a peer, so it knows no customer. A
-// caller that kept its address asks it, and the process must survive that.
+// A process has started, reached neither the platform nor a peer, and so has no
+// configuration. A caller that still has its address sends a request. It must be refused
+// with a Retry-After, and the process must not panic.
 func TestWithoutAConfigurationCallersAreRefused(t *testing.T) {
 	backend := newFakeBackend(nil)
 	backend.catalog = nil
@@ -230,7 +230,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			response := send(t, tt.method, address, tt.path, tt.body, HeaderClass, "draft", HeaderRequestID, tt.id)
 			if refusal := wantRefusal(t, response, http.StatusServiceUnavailable, tt.verdict, verdict.ReasonNotReady); refusal.RetryAfterMS == 0 {
-				t.Error("no time to come back")
+				t.Error("no retry_after_ms")
 			}
 		})
 	}
@@ -272,7 +272,7 @@
 	}
 }
 
-// Two customers send the same id. Each gets its own answer.
+// Two customers send the same id. Each must get its own answer.
 func TestSameIDOfTwoCustomers(t *testing.T) {
 	backend := newFakeBackend(func(request *Request, log *answers.Log) {
 		_ = log.SetService(answers.ServiceAnswer{Status: 200, Body: []byte(request.Customer.Name)})
--- a/internal/callers/chatbody.go
+++ b/internal/callers/chatbody.go
@@ -13,16 +13,19 @@
 )
 
 const (
-	// bytesPerToken estimates prompt tokens from the size of the messages.
+	// bytesPerToken estimates prompt tokens from the size of the messages: if it is too
+	// large, prompts are underestimated.
 	bytesPerToken = 4
-	// maxPromptTokens bounds what a caller may state.
+	// maxPromptTokens is the largest prompt_tokens that a caller may give. Longer
+	// prompts are refused.
 	maxPromptTokens = 1 << 24
-	// prefixBase is the base in which a prefix made here is written.
+	// prefixBase is the number base of a generated prefix. Changing it changes the
+	// prefixes, and with them the keys of engine caches.
 	prefixBase = 16
 )
 
-// chatBody is what the router reads of a chat completion request. The rest goes
-// to the engine as it is.
+// chatBody holds the members of a chat completion request that are read here. The other
+// members are passed to the engine unchanged.
 type chatBody struct {
 	Model               string            `json:"model"`
 	Messages            []json.RawMessage `json:"messages"`
@@ -33,16 +36,16 @@
 	Prefix              string            `json:"prefix"`
 }
 
-// chatRequest is a parsed body.
+// chatRequest is a parsed and completed chat completion request.
 type chatRequest struct {
-	body         []byte // to send upstream, a copy
+	body         []byte // sent upstream; a copy
 	stream       bool
 	promptTokens int
 	maxTokens    int
 	prefix       uint64
 }
 
-// parseChat checks the body of a chat completion request of the class.
+// parseChat parses and checks the body of a chat completion request of the class.
 func parseChat(raw []byte, class *catalog.Class) (chatRequest, *verdict.Error) {
 	var body chatBody
 	if err := json.Unmarshal(raw, &body); err != nil {
@@ -56,7 +59,7 @@
 			body.Model, class.Name, class.Target))
 	}
 	prefix := cachePrefix(&body)
-	// Engines name the key of a prefix in their cache events by the same hash.
+	// Engines use the same hash of the prefix as the key in their cache events.
 	request := chatRequest{stream: body.Stream, prefix: xxhash.Sum64String(prefix)}
 	var err *verdict.Error
 	if request.promptTokens, err = promptTokens(&body); err != nil {
@@ -87,8 +90,8 @@
 	return size / bytesPerToken, nil
 }
 
-// maxTokens returns the bound of the answer. A request for more than the class
-// allows is refused, since a shorter answer would look like a whole one.
+// maxTokens returns the maximum number of tokens of the answer. A request for more than
+// the class allows is refused: a shorter answer would look complete.
 func maxTokens(body *chatBody, class *catalog.Class) (int, *verdict.Error) {
 	requested := body.MaxCompletionTokens
 	if requested == nil {
@@ -107,9 +110,9 @@
 	return *requested, nil
 }
 
-// cachePrefix names the leading part of the prompt: as the caller does, else by
-// a hash of the first message, which holds the instructions that many requests
-// share.
+// cachePrefix returns the caller's name for the leading part of the prompt. If there is
+// none, it returns a hash of the first message, which holds the instructions that many
+// requests share.
 func cachePrefix(body *chatBody) string {
 	if body.Prefix != "" {
 		return body.Prefix
@@ -117,10 +120,10 @@
 	return strconv.FormatUint(xxhash.Sum64(body.Messages[0]), prefixBase)
 }
 
-// completeBody copies the body and adds what the caller left out and the engine
-// needs. The members go last, since readers of JSON take the last of two equal
-// names and a caller may have sent an empty one. The object is known to have
-// members, since messages is one.
+// completeBody returns a copy of the body with the members added that the engine needs
+// and the caller left out. They are appended at the end: JSON parsers use the last of
+// two equal names, and the caller may have sent an empty one. The leading comma is valid
+// because the object has at least the member messages.
 func completeBody(raw []byte, body *chatBody, prefix string, maxTokens int, class *catalog.Class) []byte {
 	const addedCapacity = 96
 	end := bytes.LastIndexByte(raw, '}')
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// excessConnections is the number of connections above the limit that are
-	// still read, so that their callers get a typed refusal instead of a reset.
+	// excessConnections is the number of connections above the limit whose requests are
+	// still read and refused with a verdict. Callers beyond it get a reset instead.
 	excessConnections = 64
-	// maxWriteSize is the most that is written under one write deadline, in bytes.
+	// maxWriteSize is the maximum number of bytes written under one write deadline. With
+	// larger writes, a slow caller that does accept bytes may exceed the deadline.
 	maxWriteSize = 16 << 10
 )
 
-// pastDeadline is a deadline that ends a read at once.
+// pastDeadline is a read deadline that interrupts a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// listener wraps accepted connections and bounds their number.
+// listener wraps accepted connections and limits their number.
 type listener struct {
 	net.Listener
 	server *Server
@@ -59,13 +60,13 @@
 	l.server.counts.connections.Add(-1)
 }
 
-// conn is a caller's connection. While a handler waits for an answer, nothing
-// reads from the connection and the server would not learn that the caller is
-// gone: the work would go on for nobody. So a background read waits for the
-// end of the connection meanwhile. It may instead get the first byte of a
-// pipelined request, which is kept for the next Read.
+// conn is a caller's connection. While a handler waits for an answer, the server reads
+// nothing and would not detect that the caller has disconnected: the request would run
+// although nobody waits for it. A background read therefore waits for the end of the
+// connection. If it reads the first byte of a pipelined request instead, the byte is
+// kept for the next Read.
 //
-// Read, Write, watch and unwatch are called by the goroutine that serves the
+// Read, Write, watch and unwatch must be called by the goroutine that serves the
 // connection.
 type conn struct {
 	net.Conn
@@ -74,18 +75,18 @@
 	onClose      func()
 	isClosed     atomic.Bool
 
-	watchDone chan struct{} // closed when the background read has ended
+	watchDone chan struct{} // closed when the background read ends
 	peeked    [1]byte
 	hasPeeked bool
 
 	writeFailed       atomic.Bool
-	mu                sync.Mutex // Close may come from a shutdown
+	mu                sync.Mutex // guards deliveryCallbacks: a shutdown may call Close
 	deliveryCallbacks []func(whole bool)
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	// The server reads again only after it flushed the last response.
+	// The server reads again only after it has flushed the last response.
 	c.reportDeliveries()
 	if c.hasPeeked && len(p) > 0 {
 		c.hasPeeked = false
@@ -104,8 +105,8 @@
 	return n, err
 }
 
-// writeWithStallTimeout renews the deadline for each piece, so that it bounds the time
-// without progress and not the size of an answer.
+// writeWithStallTimeout writes p in pieces and renews the write deadline for each one.
+// The deadline thus bounds the time without progress instead of the size of an answer.
 func writeWithStallTimeout(c net.Conn, p []byte, stallTimeout time.Duration) (int, error) {
 	written := 0
 	for {
@@ -131,10 +132,10 @@
 	return err
 }
 
-// watch calls gone, once, when the caller closes or loses the connection before
+// watch calls onGone, at most once, if the caller closes or loses the connection before
 // unwatch.
 func (c *conn) watch(onGone func()) {
-	// The deadline for reading the request still stands.
+	// The deadline for reading the request is still set.
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
 		onGone()
 		return
@@ -158,7 +159,7 @@
 	}
 }
 
-// unwatch ends watch and returns when nothing reads the connection any more.
+// unwatch ends watch and waits until the background read has returned.
 func (c *conn) unwatch() {
 	if c.watchDone == nil {
 		return
@@ -169,9 +170,9 @@
 	_ = c.SetReadDeadline(time.Time{})
 }
 
-// onDelivery calls f when the response being prepared has been written, with
-// whether all of it was. The server tells a handler nothing of that, but it
-// flushes a response before it reads the next request or closes.
+// onDelivery registers f to be called once the current response has been written, with
+// complete set if all of it was. The HTTP server does not report this to handlers, but
+// it flushes a response before it reads the next request or closes the connection.
 func (c *conn) onDelivery(f func(whole bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/callers/conn_test.go
+++ b/internal/callers/conn_test.go
@@ -18,7 +18,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// rawRequest is a request as bytes, for tests that work below HTTP clients.
+// rawRequest returns a request as bytes, for tests that need no HTTP client.
 func rawRequest(class, body string, headers ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: test\r\nAuthorization: Bearer %s\r\n", pathChat, credential)
@@ -39,9 +39,9 @@
 	return c
 }
 
-// A caller gives up while its request waits in the queue: it closes the
-// connection before any token came. The backend must be told although the
-// handler neither reads nor writes, or the work is done for nobody.
+// A caller closes the connection while its request is queued, before the first token.
+// The handler neither reads nor writes then. CallerGone must be called all the same, or
+// the request would run although nobody waits for it.
 func TestCallerGoneWhileQueuedIsNoticed(t *testing.T) {
 	queued := make(chan struct{})
 	backend := newFakeBackend(func(*Request, *answers.Log) { close(queued) })
@@ -55,8 +55,8 @@
 	}
 }
 
-// The caller leaves between two tokens of a stream, while the engine is silent,
-// so that no write can fail. The read ahead sees the end of the connection.
+// The caller disconnects between two tokens of a stream. No write can fail, since the
+// engine sends nothing, so the background read must detect it.
 func TestCallerGoneWhileStreamingIsNoticed(t *testing.T) {
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
@@ -71,8 +71,8 @@
 	<-backend.gone
 }
 
-// A caller retries under its id on a new connection and then drops the old one.
-// The answer still has a reader, so the work must not be cancelled.
+// A caller retries under its id on a new connection and then closes the old one. The
+// answer still has a follower, so CallerGone must not be called.
 func TestCallerGoneOnlyAfterItsLastConnectionCloses(t *testing.T) {
 	finish := make(chan struct{})
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
@@ -93,11 +93,11 @@
 	for _, c := range []net.Conn{first, second} {
 		_, _ = io.WriteString(c, request)
 	}
-	// Both follow the answer when both have seen its first bytes.
+	// Both follow the answer once both have received its first bytes.
 	_, _ = bufio.NewReader(first).ReadString('\n')
 	_, _ = reader.ReadString('\n')
 	_ = first.Close()
-	// The first connection has ended when the gauge says so.
+	// Wait until the gauge shows that the first connection has ended.
 	for server.counts.connections.Value() > 1 {
 		runtime.Gosched()
 	}
@@ -109,13 +109,13 @@
 	<-backend.delivered
 	select {
 	case id := <-backend.gone:
-		t.Errorf("the caller of %q was taken for gone", id)
+		t.Errorf("CallerGone was called for %q", id)
 	default:
 	}
 }
 
-// A caller pipelines a second request while the first waits. The watch reads
-// its first byte, which must not be lost.
+// A caller pipelines a second request while the first one waits. The background read
+// gets its first byte, which must not be lost.
 func TestPipelinedRequestIsServed(t *testing.T) {
 	release := make(chan struct{})
 	var served atomic.Int32
@@ -146,8 +146,8 @@
 	}
 }
 
-// A connection serves many requests in a row, some streamed: the watch of one
-// must not eat bytes of the next or leave a deadline behind.
+// A connection serves many requests in a row, some of them streamed. The background read
+// of one must not consume bytes of the next or leave a read deadline set.
 func TestConnectionIsReused(t *testing.T) {
 	backend := newFakeBackend(serveTokens("a", "b"))
 	address := startServer(t, Config{}, backend)
@@ -170,9 +170,9 @@
 	}
 }
 
-// A caller reads nothing while a long answer is written. Its socket buffers
-// fill, and after the stall the connection is given up: the answer stays for
-// the caller to fetch and the connection no longer holds memory.
+// A caller reads nothing while a long answer is written, and the socket buffers fill.
+// After the stall timeout the connection must be closed, or it would hold memory. The
+// caller may still fetch the answer.
 func TestCallerThatAcceptsNoBytesIsDisconnected(t *testing.T) {
 	text := strings.Repeat("x", 1<<20)
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
@@ -193,7 +193,7 @@
 	}
 }
 
-// A caller sends its request too slowly. It is told so, and that nothing ran.
+// A caller that sends its request too slowly must be refused with "not run".
 func TestSlowSenderIsRefused(t *testing.T) {
 	address := startServer(t, Config{ReadTimeout: 50 * time.Millisecond}, newFakeBackend(nil))
 	c := dial(t, address)
@@ -206,8 +206,8 @@
 	wantRefusal(t, response, http.StatusRequestTimeout, verdict.NotRun, verdict.ReasonBadRequest)
 }
 
-// More callers connect than the instance takes. The next one gets a typed
-// refusal and is told when to come back; the ones before go on.
+// More callers connect than the limit allows. The next one must get a refusal with a
+// Retry-After, and earlier ones must still be served.
 func TestConnectionsAreBounded(t *testing.T) {
 	release := make(chan struct{})
 	backend := newFakeBackend(func(request *Request, log *answers.Log) {
@@ -234,8 +234,8 @@
 	}
 }
 
-// The shutdown's time is over while an answer still streams. The caller gets the
-// verdict and sees that the answer was cut.
+// The time of a shutdown ends while an answer is streamed. The caller must get the
+// verdict and see that the answer is truncated.
 func TestForcedShutdownSendsTheVerdict(t *testing.T) {
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
--- a/internal/callers/encode.go
+++ b/internal/callers/encode.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// chunkEncoder writes the events of one answer. What is the same in each is
-// made once.
+// chunkEncoder encodes the events of one answer. The part common to all events is
+// encoded once, in head.
 type chunkEncoder struct {
 	head []byte
 }
@@ -69,8 +69,8 @@
 	return chunkEncoder{head: head}
 }
 
-// appendChunk appends one server-sent event. Its id is the offset, so that a
-// caller who reconnects knows where to resume.
+// appendChunk appends one server-sent event. Its id is the token's offset, from which a
+// caller that reconnects resumes.
 func (e *chunkEncoder) appendChunk(dst []byte, event *engineapi.TokenEvent) []byte {
 	dst = append(dst, "id: "...)
 	dst = strconv.AppendInt(dst, int64(event.Offset), 10)
@@ -93,7 +93,7 @@
 	return appendJSONString(dst, finish)
 }
 
-// appendCompletion appends a whole answer.
+// appendCompletion appends a whole answer as JSON. events must not be empty.
 func appendCompletion(dst []byte, id string, about answers.About, events []engineapi.TokenEvent) []byte {
 	dst = append(dst, `{"id":`...)
 	dst = appendJSONString(dst, id)
@@ -114,8 +114,9 @@
 	return append(dst, "}}"...)
 }
 
-// appendContent joins the texts first: an engine may split a character between
-// two tokens, and each half alone is not valid.
+// appendContent appends the text of the events as one JSON string. The texts are joined
+// first: an engine may split a character between two tokens, and neither half is valid
+// UTF-8.
 func appendContent(dst []byte, events []engineapi.TokenEvent) []byte {
 	size := 0
 	for i := range events {
--- a/internal/callers/fake_test.go
+++ b/internal/callers/fake_test.go
@@ -29,7 +29,7 @@
 	otherCredential = "credential-two"
 )
 
-// localPrefix starts the ids that a fakeBackend takes for its own.
+// localPrefix is the prefix of the ids that are bound to a fakeBackend.
 const localPrefix = "local-"
 
 func digest(credential string) []string {
@@ -51,7 +51,7 @@
 	})
 }
 
-// fakeBackend answers each request by its serve function, on a goroutine.
+// fakeBackend answers each request by its serve function, in a goroutine.
 type fakeBackend struct {
 	catalog *catalog.Catalog
 	store   *answers.Store
@@ -133,7 +133,7 @@
 	return append([]*Request(nil), b.submitted...)
 }
 
-// serveTokens answers with the words, the last one finishing.
+// serveTokens answers with one token per word; the last one has a finish reason.
 func serveTokens(words ...string) func(*Request, *answers.Log) {
 	return func(_ *Request, log *answers.Log) {
 		for i, word := range words {
@@ -171,7 +171,7 @@
 	return ln.Addr().String()
 }
 
-// send sends a request. Header fields are given as name, value.
+// send sends a request. headers alternates names and values.
 func send(t testing.TB, method, address, path, body string, headers ...string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+address+path, strings.NewReader(body))
@@ -199,7 +199,7 @@
 	return string(body)
 }
 
-// wantRefusal checks a response for a refusal and returns it.
+// wantRefusal checks that a response is the expected refusal and returns it.
 func wantRefusal(t testing.TB, response *http.Response, status int, v verdict.Verdict, reason verdict.Reason) callerapi.RefusalError {
 	t.Helper()
 	var refusal callerapi.Refusal
@@ -223,7 +223,7 @@
 // event is one server-sent event.
 type event struct{ name, id, data string }
 
-// readEvents reads events until the body ends, and returns how it ended.
+// readEvents reads events until the body ends and returns them with the read error.
 func readEvents(body io.Reader) ([]event, error) {
 	var events []event
 	var current event
--- a/internal/callers/fuzz_test.go
+++ b/internal/callers/fuzz_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// scriptConn gives its script to the server and collects what it answers.
+// scriptConn sends its script to the server and collects the responses.
 type scriptConn struct {
 	script *strings.Reader
 	out    bytes.Buffer
@@ -34,8 +34,8 @@
 func (c *scriptConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *scriptConn) SetWriteDeadline(time.Time) error { return nil }
 
-// FuzzRequest sends arbitrary bytes. The server must answer with valid HTTP or
-// close, and without the credential nothing may be submitted.
+// FuzzRequest sends arbitrary bytes. The server must answer with valid HTTP or close the
+// connection, and must not submit a request without the credential.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(rawRequest("draft", chatBodyWhole)))
 	f.Add([]byte(rawRequest("draft", chatBodyStream, HeaderRequestID, "local-1") + rawRequest("draft", chatBodyWhole)))
@@ -69,7 +69,7 @@
 			t.Fatalf("%v in %q", err, out)
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			return // the answer to a HEAD, or a cut one: nothing follows
+			return // the answer to a HEAD, or a truncated one: nothing follows
 		}
 	}
 }
@@ -88,10 +88,10 @@
 		}
 		var sent chatBody
 		if err := json.Unmarshal(request.body, &sent); err != nil {
-			t.Fatalf("the body for the engine is no JSON: %v in %q", err, request.body)
+			t.Fatalf("the body for the engine is not valid JSON: %v in %q", err, request.body)
 		}
 		if sent.Model != class.Target || sent.Prefix == "" || len(sent.Messages) == 0 {
-			t.Errorf("the engine sees %+v", sent)
+			t.Errorf("the body for the engine is incomplete: %+v", sent)
 		}
 		if request.maxTokens < 1 || request.maxTokens > class.MaxOutputTokens || request.promptTokens < 0 {
 			t.Errorf("%+v", request)
@@ -115,7 +115,8 @@
 	})
 }
 
-// Two tokens may each hold half of a character.
+// An engine may split a character between two tokens. Encoded one by one, both halves
+// would be replaced by U+FFFD.
 func TestSplitCharacterIsWholeInTheCompletion(t *testing.T) {
 	sun := "☀"
 	backend := newFakeBackend(serveTokens(sun[:1], sun[1:]))
--- a/internal/callers/handler.go
+++ b/internal/callers/handler.go
@@ -24,31 +24,37 @@
 	suffixAnswer  = "/answer"
 )
 
-// maxIDLength bounds a request id, in bytes.
+// maxIDLength is the maximum length of a request id in bytes. Callers rely on it: a
+// smaller value refuses ids in use. The message for an invalid id names it.
 const maxIDLength = 200
 
-// unauthenticatedBodyBytes bounds the body of a request without an accepted credential.
+// unauthenticatedBodyBytes is the maximum body size without an accepted credential. It
+// bounds the memory that unauthenticated callers can occupy on each connection.
 const unauthenticatedBodyBytes = 1 << 10
 
-// connectionRetryAfter is when a caller refused for its connection should come back.
+// connectionRetryAfter is the Retry-After of a refusal for too many connections. A
+// shorter one makes the refused callers reconnect while connections are still scarce.
 const connectionRetryAfter = time.Second
 
-// notReadyRetryAfter is when to come back to an instance without a configuration.
+// notReadyRetryAfter is the Retry-After of an instance without a configuration. A longer
+// one delays callers after the configuration has arrived.
 const notReadyRetryAfter = time.Second
 
-// call is what is known of a request before it is submitted.
+// call holds what is read from a request's header before it is submitted.
 type call struct {
 	customer *catalog.Customer
 	class    *catalog.Class
 	id       string
-	// home is the address of another instance that the id is bound to.
+	// home is the address of the instance that the id is bound to; empty if the request is
+	// served here.
 	home string
 	// unbound is set for an id that no instance minted.
 	unbound bool
 }
 
-// handle routes a request. A panic is answered, since it would otherwise end
-// the process and every other request with it.
+// handle checks the connection limit and the configuration and routes the request. It
+// recovers from a panic, which would otherwise end the process and every other request
+// in it.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -68,9 +74,9 @@
 	s.route(ctx)
 }
 
-// refuseNotReady answers for an instance that has no configuration yet: a new
-// process whose platform is down, and whose peers are out of reach, can't tell
-// who calls. Callers have its address, for the directory names it by then.
+// refuseNotReady refuses a request while the instance has no configuration: a process
+// that starts while the platform is down and its peers are unreachable cannot
+// authenticate callers. They may have its address from the directory.
 func (s *Server) refuseNotReady(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek(HeaderRequestID))
 	err := verdict.New(s.earlyVerdict(nil, id), verdict.ReasonNotReady, "this instance has no configuration yet")
@@ -133,10 +139,9 @@
 	return verdict.New(v, verdict.ReasonUnauthorized, "the Authorization header holds no accepted bearer credential")
 }
 
-// authenticate finds the customer of the bearer credential, or nil. Without a
-// configuration there is none: it is asked for each header that arrives, before
-// anything else looks at the request and outside the handler that survives a
-// panic.
+// authenticate returns the customer of the bearer credential, or nil. It must handle a
+// missing configuration: it is called for each header received, before any other check
+// and outside the recover of handle.
 func (s *Server) authenticate(header *fasthttp.RequestHeader) *catalog.Customer {
 	const scheme = "Bearer "
 	value := header.Peek(fasthttp.HeaderAuthorization)
@@ -150,8 +155,8 @@
 	return cat.Authenticate(string(value[len(scheme):]))
 }
 
-// limitBody bounds the body before it is read. Without it, anybody could have
-// the instance hold a whole body on each of its connections.
+// limitBody limits the body's size before it is read. Without it, unauthenticated
+// callers could make the instance hold a body of the full size on each connection.
 func (s *Server) limitBody(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	if s.authenticate(header) == nil {
 		return fasthttp.RequestConfig{MaxRequestBodySize: min(unauthenticatedBodyBytes, s.cfg.BodyBytes)}
@@ -159,7 +164,8 @@
 	return fasthttp.RequestConfig{MaxRequestBodySize: s.cfg.BodyBytes}
 }
 
-// admit checks the header of a request that is to run: credential, id, class.
+// admit checks the id, credential and class in a request's header and locates the
+// instance that the id is bound to.
 func (s *Server) admit(ctx *fasthttp.RequestCtx, kind inventory.ClassKind) (call, *verdict.Error) {
 	var c call
 	if repeated := repeatedHeader(ctx); repeated != "" {
@@ -182,8 +188,8 @@
 	return c, s.locate(ctx, &c)
 }
 
-// repeatedHeader returns the name of a header field that must be single and is
-// not: two parties might each believe another one of its values.
+// repeatedHeader returns the name of a header field that is repeated and must not be, or
+// "". Two programs might each use a different one of its values.
 func repeatedHeader(ctx *fasthttp.RequestCtx) string {
 	for _, name := range []string{fasthttp.HeaderAuthorization, HeaderRequestID, HeaderClass} {
 		if len(ctx.Request.Header.PeekAll(name)) > 1 {
@@ -226,7 +232,7 @@
 	return nil
 }
 
-// locate finds the instance that the id is bound to.
+// locate sets c.home if the id is bound to another instance.
 func (s *Server) locate(ctx *fasthttp.RequestCtx, c *call) *verdict.Error {
 	if c.id == "" {
 		return nil
@@ -248,9 +254,9 @@
 	}
 }
 
-// unboundKeyError refuses a request that may run once only under an id that any
-// instance might run: after a partition or a crash, no instance could tell
-// whether another one ran it.
+// unboundKeyError returns the refusal of a request whose class is not idempotent and
+// whose id is not bound to an instance, else nil. Any instance might run such an id, and
+// after a partition or a crash no instance could determine whether another one did.
 func unboundKeyError(class *catalog.Class) *verdict.Error {
 	if class == nil || class.Idempotent {
 		return nil
@@ -260,8 +266,8 @@
 			"leave out "+HeaderRequestID+", or make it of an id_prefix from "+pathDirectory+" and a nonce of your own")
 }
 
-// earlyVerdict is the verdict of a refusal given before the instance that an id is
-// bound to was asked. An earlier attempt under the id may have run there.
+// earlyVerdict returns the verdict of a refusal that is sent before the instance that
+// the id is bound to was queried: an earlier attempt under the id may have run there.
 func (s *Server) earlyVerdict(customer *catalog.Customer, id string) verdict.Verdict {
 	if id == "" {
 		return verdict.NotRun
--- a/internal/callers/refuse.go
+++ b/internal/callers/refuse.go
@@ -14,14 +14,14 @@
 	"basilrudder/internal/verdict"
 )
 
-// refusalType marks refusals of this system among other errors.
+// refusalType distinguishes refusals of this system from errors of others.
 const refusalType = "basilrudder_refusal"
 
-// statusCallerGone is the status, seen in accounting only, of a request whose
-// caller closed the connection.
+// statusCallerGone is the status of a request whose caller closed the connection. It
+// appears in accounting only.
 const statusCallerGone = 499
 
-// Status returns the HTTP status that tells callers of err.
+// Status returns the HTTP status for err.
 func Status(err *verdict.Error) int {
 	if status, ok := statusByReason[err.Reason]; ok {
 		return status
@@ -29,8 +29,8 @@
 	return fasthttp.StatusInternalServerError
 }
 
-// statusByReason avoids 409 and 429 where a client library would retry by
-// itself and a retry cannot help.
+// statusByReason maps a reason to its HTTP status. Client libraries retry 409 and 429
+// automatically, so these are not used where a retry cannot succeed.
 var statusByReason = map[verdict.Reason]int{
 	verdict.ReasonBadRequest:      fasthttp.StatusBadRequest,
 	verdict.ReasonTooLarge:        fasthttp.StatusRequestEntityTooLarge,
@@ -76,8 +76,8 @@
 	ctx.SetBody(refusalJSON(id, err))
 }
 
-// refuseCall refuses a request of a customer that is known, and has it accounted:
-// the report tells who was turned away.
+// refuseCall refuses a request. If it did not run and its customer is authenticated, the
+// backend accounts the refusal, which reports then show for that customer.
 func (s *Server) refuseCall(ctx *fasthttp.RequestCtx, c *call, err *verdict.Error) {
 	if c.customer != nil && err.Verdict == verdict.NotRun {
 		s.backend.Refused(c.customer, c.class, c.id, err)
@@ -109,13 +109,14 @@
 	return body
 }
 
-// retryAfterSeconds rounds up, so that nobody comes back too early.
+// retryAfterSeconds rounds up to whole seconds: rounding down would invite retries that
+// come too early.
 func retryAfterSeconds(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// refuseUnreadable answers a request that could not be read. A request too large to
-// read was too large at every earlier attempt as well, so it never ran.
+// refuseUnreadable refuses a request that could not be read. A request that is too large
+// was so at every earlier attempt, so it never ran.
 func (s *Server) refuseUnreadable(ctx *fasthttp.RequestCtx, cause error) {
 	ctx.SetConnectionClose()
 	if s.backend.Catalog() == nil {
--- a/internal/callers/relay.go
+++ b/internal/callers/relay.go
@@ -13,18 +13,19 @@
 	"basilrudder/internal/verdict"
 )
 
-// homeRetryAfter is when a caller whose request's home was not reached should come
-// back with the same id.
+// homeRetryAfter is the Retry-After, under the same id, of a request whose home could not
+// be reached. A shorter one makes callers retry before the fleet's state has changed.
 const homeRetryAfter = time.Second
 
-// relayLoopError refuses a request that another instance relayed here although the
-// id is not bound to this instance either.
+// relayLoopError returns the refusal of a request that another instance relayed here
+// although its id is not bound to this instance either.
 func relayLoopError() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonHomeUnreachable,
 		"instances do not agree on where the id is bound").After(homeRetryAfter)
 }
 
-// relayedRequest is a request passed on to the instance its id is bound to.
+// relayedRequest is a request that is relayed to its home, the instance that its id is
+// bound to. It is the body of the response to the caller.
 type relayedRequest struct {
 	server     *Server
 	id         string
@@ -36,8 +37,8 @@
 	body       io.Reader
 }
 
-// relay passes a request on and streams the answer back. Every failure is "may
-// have run": only the home knows whether the id ran before.
+// relay sends a request to its home and streams the answer back. Every failure has the
+// verdict "may have run": only the home has a record of whether the id ran before.
 func (s *Server) relay(ctx *fasthttp.RequestCtx, id, address string) {
 	s.counts.relayed.Add(1)
 	r := &relayedRequest{server: s, id: id}
@@ -55,7 +56,7 @@
 	r.startAnswer(ctx)
 }
 
-// exchange sends the request and reads the header of the answer.
+// exchange sends the request to the home and reads the header of the answer.
 func (r *relayedRequest) exchange(ctx *fasthttp.RequestCtx, address string) error {
 	dialCtx, cancel := context.WithTimeout(r.ctx, relayDialTimeout)
 	defer cancel()
@@ -93,9 +94,9 @@
 	return writer.Flush()
 }
 
-// checkHome ends the exchange when the home has left the fleet or fallen silent.
-// A home that died silently would otherwise hold the caller for as long as TCP
-// takes.
+// checkHome cancels the exchange when the home has left the fleet or is unresponsive.
+// Otherwise a home that fails without closing its connections would keep the caller
+// waiting until TCP times out.
 func (r *relayedRequest) checkHome() {
 	ticker := time.NewTicker(r.server.cfg.HomeCheckInterval)
 	defer ticker.Stop()
@@ -124,12 +125,13 @@
 	}
 }
 
-// startAnswer starts the startAnswer to the caller.
+// startAnswer copies the status and header of the home's answer and sets its body as a
+// stream.
 func (r *relayedRequest) startAnswer(ctx *fasthttp.RequestCtx) {
 	const identityLength = -2
 	contentLength := r.response.Header.ContentLength()
 	if contentLength == identityLength {
-		// Its end could not be told from a lost connection.
+		// Its end would look like a lost connection.
 		_ = r.Close()
 		s := r.server
 		s.refuse(ctx, r.id, r.failure(errors.New("the home instance sent an answer without a length")))
@@ -149,7 +151,7 @@
 	ctx.SetBodyStream(r, contentLength)
 }
 
-// isOwnHeader reports whether the field is set by this system, at the home.
+// isOwnHeader reports whether the home itself sets the field.
 func isOwnHeader(key []byte) bool {
 	switch string(key) {
 	case HeaderRequestID, HeaderVerdict, HeaderShouldRetry:
@@ -170,8 +172,8 @@
 	return string(out)
 }
 
-// Read implements io.Reader. An error before the end makes the server close
-// the connection, so that the caller sees that the answer was cut.
+// Read implements io.Reader. After an error before the end, the server closes the
+// connection, which shows the caller that the answer is truncated.
 func (r *relayedRequest) Read(p []byte) (int, error) {
 	return r.body.Read(p)
 }
@@ -203,7 +205,7 @@
 	return c, nil
 }
 
-// stallTimeoutConn bounds the time without progress of each write.
+// stallTimeoutConn is a connection whose writes fail after stallTimeout without progress.
 type stallTimeoutConn struct {
 	net.Conn
 	stallTimeout time.Duration
--- a/internal/callers/relay_test.go
+++ b/internal/callers/relay_test.go
@@ -12,15 +12,15 @@
 	"basilrudder/internal/verdict"
 )
 
-// relayTo makes a backend whose ids with the local prefix live at address.
+// relayTo returns a backend for which all ids are bound to the instance at address.
 func relayTo(address string) *fakeBackend {
 	backend := newFakeBackend(func(*Request, *answers.Log) { panic("ran at the wrong instance") })
 	backend.home = func(string) (string, bool, *verdict.Error) { return address, false, nil }
 	return backend
 }
 
-// A caller sends a request bound to one instance to another one, which must
-// pass it on and stream the answer back instead of starting it itself.
+// An instance that receives a request bound to another one must relay it and stream the
+// answer back instead of starting the request itself.
 func TestRequestIsRelayedToItsHome(t *testing.T) {
 	home := newFakeBackend(serveTokens("a", "b"))
 	address := startServer(t, Config{}, relayTo(startServer(t, Config{}, home)))
@@ -53,8 +53,8 @@
 	}
 }
 
-// Two instances each hold the other for the home of an id. The second one ends
-// the loop. It does not say "not run", since the id may have run elsewhere.
+// Two instances each take the other for the home of an id. The second one must end the
+// loop. Its verdict is not "not run", since the id may have run elsewhere.
 func TestRelayLoopEnds(t *testing.T) {
 	var second *fakeBackend
 	firstBackend := relayTo("")
@@ -66,14 +66,14 @@
 	wantRefusal(t, response, http.StatusServiceUnavailable, verdict.MayHaveRun, verdict.ReasonHomeUnreachable)
 }
 
-// The home of the id cannot be reached. Only it knows whether the id ran, so
-// the verdict is "may have run" although this attempt started nothing.
+// The home of the id is unreachable. Only it has a record of whether the id ran, so the
+// verdict is "may have run" although this attempt started nothing.
 func TestUnreachableHome(t *testing.T) {
 	address := startServer(t, Config{}, relayTo("127.0.0.1:1"))
 	response := send(t, "POST", address, pathChat, chatBodyWhole, HeaderClass, "letter", HeaderRequestID, "local-1")
 	refusal := wantRefusal(t, response, http.StatusServiceUnavailable, verdict.MayHaveRun, verdict.ReasonHomeUnreachable)
 	if refusal.RetryAfterMS == 0 {
-		t.Error("no time to come back")
+		t.Error("no retry_after_ms")
 	}
 }
 
@@ -87,9 +87,9 @@
 	wantRefusal(t, response, http.StatusGone, verdict.MayHaveRun, verdict.ReasonHomeGone)
 }
 
-// The home dies silently while the relayed request waits: its host is gone and
-// no packet says so. The fleet notices, and the caller is told instead of
-// waiting until TCP gives up.
+// The home's host fails without closing its connections while a relayed request waits.
+// Once the fleet detects it, the caller must be refused instead of waiting until TCP
+// times out.
 func TestHomeGoneWhileARequestWaits(t *testing.T) {
 	waiting := make(chan struct{})
 	home := newFakeBackend(func(*Request, *answers.Log) { close(waiting) })
@@ -111,10 +111,9 @@
 	wantRefusal(t, response, http.StatusGone, verdict.MayHaveRun, verdict.ReasonHomeGone)
 }
 
-// The home is paused while the relayed request waits: its connections live and
-// bring nothing. The fleet takes it for dead, but it may wake and finish the
-// answer. So the caller is told to come back with the same id, and not that the
-// answer is lost.
+// The home is paused while a relayed request waits: its connections stay open and send
+// nothing. It may resume and finish the answer, so the caller must be refused with a
+// retry under the same id, and not with the loss of the answer.
 func TestUnresponsiveHomeWhileARequestWaits(t *testing.T) {
 	waiting := make(chan struct{})
 	home := newFakeBackend(func(*Request, *answers.Log) { close(waiting) })
@@ -139,8 +138,8 @@
 	}
 }
 
-// The caller of a relayed request leaves. The home must learn it, since it holds
-// the work.
+// The caller of a relayed request disconnects. The home must detect it, since the
+// request runs there.
 func TestCallerGoneReachesTheHome(t *testing.T) {
 	home := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
@@ -154,8 +153,8 @@
 	<-home.gone
 }
 
-// The home fails in the middle of a relayed stream. The caller sees the cut as
-// it would at the home.
+// An answer fails in the middle of a relayed stream. The caller must see the truncation
+// as it would at the home.
 func TestTruncationIsRelayed(t *testing.T) {
 	home := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
--- a/internal/callers/requests.go
+++ b/internal/callers/requests.go
@@ -14,7 +14,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// headerLastEventID is what browsers send when they resume an event stream.
+// headerLastEventID is the header field with which browsers resume an event stream.
 const headerLastEventID = "Last-Event-ID"
 
 // serveRequest serves GET /v1/requests/{id} and GET /v1/requests/{id}/answer.
@@ -50,8 +50,8 @@
 	}
 }
 
-// unknownRequestError does not say "not run": the request may still be on its way
-// here. Sending it again under the same id is safe and settles it.
+// unknownRequestError has the verdict "may have run" since the request may still be in
+// transit. Sending it again under the same id is safe and yields its outcome.
 func unknownRequestError() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonUnknownRequest,
 		"no request of this customer is known under the id; it may be on its way, or an older one that is forgotten")
@@ -81,7 +81,7 @@
 	ctx.SetBody(body)
 }
 
-// serveAnswer gives the answer again: as a stream from an offset, or whole.
+// serveAnswer sends the answer again, whole or as a stream from an offset.
 func (s *Server) serveAnswer(ctx *fasthttp.RequestCtx, customer *catalog.Customer, id string, log *answers.Log) {
 	offset, streamed, err := resumeFrom(ctx)
 	if err != nil {
@@ -96,8 +96,8 @@
 	s.answerWhole(ctx, f)
 }
 
-// resumeFrom reads the offset of the first token wanted, and whether the answer
-// is to be streamed.
+// resumeFrom returns the offset of the first requested token, and whether the answer is
+// to be streamed.
 func resumeFrom(ctx *fasthttp.RequestCtx) (offset int, streamed bool, err *verdict.Error) {
 	if text := ctx.QueryArgs().Peek("offset"); len(text) > 0 {
 		offset, parseErr := strconv.Atoi(string(text))
--- a/internal/callers/requests_test.go
+++ b/internal/callers/requests_test.go
@@ -11,8 +11,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// A caller loses its connection after two tokens, comes back with the id and
-// the last event id it saw, and gets the rest: the same chunks, none twice.
+// A caller loses its connection after two tokens and reconnects with the id and the last
+// event id it received. It must get the remaining chunks, none of them twice.
 func TestResumeFromAnOffset(t *testing.T) {
 	rest := make(chan struct{})
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// The same request sent again under its id does not run again.
+// A request sent again under its id must not run again.
 func TestRepeatedRequestGetsTheSameAnswer(t *testing.T) {
 	runs := make(chan struct{}, 10)
 	backend := newFakeBackend(func(request *Request, log *answers.Log) {
@@ -75,7 +75,7 @@
 	wantRefusal(t, other, http.StatusBadRequest, verdict.MayHaveRun, verdict.ReasonBadRequest)
 }
 
-// Ids are no secret. Another customer who knows one learns nothing.
+// Ids are not secret. A customer must not get anything under another customer's id.
 func TestAnswersAreForTheirCustomerOnly(t *testing.T) {
 	address := startServer(t, Config{}, newFakeBackend(serveTokens("a")))
 	readAll(t, send(t, "POST", address, pathChat, chatBodyWhole, HeaderClass, "draft", HeaderRequestID, "local-1"))
@@ -85,8 +85,8 @@
 	}
 }
 
-// A waiting request may be dispatched at any moment, so its state must never
-// say that it did not run.
+// A waiting request may be dispatched at any moment, so its state must never have the
+// verdict "not run".
 func TestStateOfARequest(t *testing.T) {
 	step := make(chan struct{})
 	backend := newFakeBackend(func(_ *Request, log *answers.Log) {
--- a/internal/callers/stream.go
+++ b/internal/callers/stream.go
@@ -13,20 +13,21 @@
 	"basilrudder/internal/verdict"
 )
 
-// errTruncated ends the connection of a stream that failed, without the last chunk
-// of the transfer encoding.
+// errTruncated makes the server close the connection of a failed stream without the last
+// chunk of the transfer encoding.
 var errTruncated = errors.New("answer failed after its stream began")
 
-// maxBuffered bounds what a stream encodes before it writes, in bytes.
+// maxBuffered is the size in bytes at which a stream stops encoding and writes. A larger
+// value takes more memory per stream, a smaller one takes more writes.
 const maxBuffered = 32 << 10
 
-// follower is one caller's connection to one answer.
+// follower attaches one caller's connection to one answer.
 type follower struct {
 	server   *Server
 	customer *catalog.Customer
 	id       string
 	log      *answers.Log
-	conn     *conn // nil in tests that serve without the listener
+	conn     *conn // nil in tests that serve without listener
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
 	detached bool
@@ -34,8 +35,8 @@
 
 var errCallerGone = errors.New("the caller closed its connection")
 
-// follow attaches the connection to an answer. Either detach or deliver must be
-// called in the end.
+// follow attaches the connection to an answer. Either detach or deliver must be called
+// in the end.
 func (s *Server) follow(ctx *fasthttp.RequestCtx, customer *catalog.Customer, id string, log *answers.Log) *follower {
 	f := &follower{server: s, customer: customer, id: id, log: log}
 	f.ctx, f.cancel = context.WithCancelCause(s.ctx)
@@ -52,25 +53,27 @@
 	return errors.Is(context.Cause(f.ctx), errCallerGone)
 }
 
-// stoppingError is the error of an answer that outlasts the instance's shutdown.
+// stoppingError returns the refusal of an answer that has not ended when the instance
+// stops.
 func stoppingError() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonDraining, "the instance stops before the answer has ended")
 }
 
-// unwatch ends the background read; nothing may be read or answered before.
+// unwatch ends the background read. It must be called before the connection is read or
+// answered.
 func (f *follower) unwatch() {
 	if f.conn != nil {
 		f.conn.unwatch()
 	}
 }
 
-// detach ends the following before the whole answer was written.
+// detach ends the attachment before the whole answer was written.
 func (f *follower) detach() {
 	f.end(false)
 }
 
-// deliver ends the following when the answer has been handed to the server, and
-// tells the backend once it was written.
+// deliver is called when the HTTP server has the whole answer. Once the answer has been
+// written, it ends the attachment and reports the delivery to the backend.
 func (f *follower) deliver() {
 	if f.conn == nil {
 		f.end(true)
@@ -91,28 +94,28 @@
 		return
 	}
 	if f.server.ctx.Err() != nil && !f.callerGone() {
-		// It is the instance that ends; it settles what it holds itself.
+		// The instance is stopping and finishes its requests itself.
 		return
 	}
 	f.server.counts.callersGone.Add(1)
-	// Another connection may follow the same answer: its caller retried.
+	// A caller that retried may follow the same answer on another connection.
 	if remaining == 0 {
 		f.server.backend.CallerGone(f.customer, f.id)
 	}
 }
 
-// sseBody is the body of a streamed answer. The server reads it and writes each
-// read as one chunk.
+// sseBody is the body of a streamed answer. The HTTP server writes the result of each
+// Read as one chunk.
 type sseBody struct {
 	follower     *follower
 	encoder      chunkEncoder
 	offset       int
 	events       []engineapi.TokenEvent // not encoded yet
 	buffer       []byte
-	consumed     int // bytes of buffer that were read
+	consumed     int // bytes of buffer that Read has returned
 	answerEnded  bool
 	err          *verdict.Error
-	fullyEncoded bool // the last bytes are in buffer
+	fullyEncoded bool // buffer holds the last bytes
 }
 
 // Read implements io.Reader.
@@ -128,7 +131,7 @@
 	return n, nil
 }
 
-// Close implements io.Closer. The server calls it after the last Read or a
+// Close implements io.Closer. The HTTP server calls it after the last Read or after a
 // failed write.
 func (b *sseBody) Close() error {
 	f := b.follower
@@ -148,7 +151,7 @@
 	return io.EOF
 }
 
-// fill encodes what has come, or waits for more.
+// fill encodes the pending events, or waits for more if there are none.
 func (b *sseBody) fill() {
 	b.buffer = b.buffer[:0]
 	b.consumed = 0
@@ -169,8 +172,8 @@
 	}
 }
 
-// interrupt ends a stream whose answer goes on. A caller that is gone gets
-// nothing more; to one that is there, the instance says that it stops.
+// interrupt ends a stream before its answer has ended. A caller that is still connected
+// receives the refusal of a stopping instance.
 func (b *sseBody) interrupt() {
 	if b.follower.callerGone() {
 		b.fullyEncoded = true
@@ -180,7 +183,7 @@
 	b.appendEnd()
 }
 
-// appendEnd appends the last event: [DONE] for a whole answer, else the refusal.
+// appendEnd appends the last event: [DONE] for a whole answer, otherwise the refusal.
 func (b *sseBody) appendEnd() {
 	b.fullyEncoded = true
 	if b.err == nil {
--- a/internal/callers/tcptimeouts_linux.go
+++ b/internal/callers/tcptimeouts_linux.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of linux/tcp.h.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT of linux/tcp.h.
 const tcpUserTimeout = 18
 
-// Keep-alive probes of a connection on which nothing is sent.
+// Keep-alive probes of an idle connection. Larger values detect a lost connection later,
+// much smaller ones close connections that lose a few packets.
 const (
 	keepAliveIdle     = 10 * time.Second
 	keepAliveInterval = 5 * time.Second
 	keepAliveCount    = 3
 )
 
-// setTCPTimeouts makes the kernel give up a connection that went silent: one with
-// unacknowledged data after stall, an idle one after its keep-alive probes. A
-// write into the socket buffer succeeds for long after the path is dead, so a
-// write deadline alone would notice late.
+// setTCPTimeouts makes the kernel close an unresponsive connection: one with
+// unacknowledged data after stallTimeout, an idle one after its keep-alive probes.
+// Writes into the socket buffer still succeed long after the path is lost, so a write
+// deadline alone would detect it late.
 func setTCPTimeouts(c net.Conn, stallTimeout time.Duration) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
