--- a/internal/daemon/dispatcher.go
+++ b/internal/daemon/dispatcher.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return d.cutOff(err)
 	}
-	attempt.Progress.Token(monotime.Now())
+	attempt.Progress.RecordToken(monotime.Now())
 	out := answers.ServiceAnswer{Status: answer.Status, Body: answer.Body}
 	for _, header := range answer.Headers {
 		out.Headers = append(out.Headers, answers.Header{Name: header.Name, Value: header.Value})
@@ -191,6 +191,6 @@
 	if err := r.log.Append(event); err != nil {
 		return err
 	}
-	r.progress.Token(monotime.Now())
+	r.progress.RecordToken(monotime.Now())
 	return nil
 }
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -71,7 +71,7 @@
 	if o.started == 0 {
 		o.started = now
 	}
-	if !o.node.MayOrder(now) || !o.metPeers(now) {
+	if !o.node.MaySendOrders(now) || !o.metPeers(now) {
 		o.rec.OnPaused(now)
 		return
 	}
@@ -134,7 +134,7 @@
 		return o.clients.Holds(ctx, target)
 	}
 	cat := o.node.Catalog()
-	if !o.node.MayOrder(monotime.Now()) || cat.Revision != uint64(action.Order.Fence) {
+	if !o.node.MaySendOrders(monotime.Now()) || cat.Revision != uint64(action.Order.Fence) {
 		return engineapi.OrderAnswer{}, errStale
 	}
 	o.log.Info("order to engine", zap.String("engine", action.Engine.ID),
--- a/internal/instance/fleet_test.go
+++ b/internal/instance/fleet_test.go
@@ -312,7 +312,7 @@
 	err := f.upstream(a)
 	f.After(answerIn, func() {
 		p.deliver(self, func() {
-			a.Progress.Token(p.clock())
+			a.Progress.RecordToken(p.clock())
 			p.inst.Node().AttemptEnded(p.clock(), a.Seq, a.Number, err)
 		})
 	})
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -102,7 +102,7 @@
 
 // noticePause asks for a confirmation at once when the node holds dispatch back.
 func (i *Instance) noticePause(now monotime.Instant) {
-	since, paused := i.node.Paused()
+	since, paused := i.node.AwaitingConfirmation()
 	if paused && !i.paused {
 		i.conf.OnPaused(now, now.Sub(since), i.confEffects(now))
 	}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -19,7 +19,7 @@
 	attemptSeparator = "."
 )
 
-func (n *Node) attemptOf(r *request) Attempt {
+func (n *Node) currentAttempt(r *request) Attempt {
 	return Attempt{
 		Seq:       r.seq,
 		Number:    r.attempt,
@@ -33,7 +33,7 @@
 
 // AttemptEnded tells how an attempt ended; err is nil for a whole answer.
 func (n *Node) AttemptEnded(now monotime.Instant, seq uint64, number int, err *verdict.Error) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	r := n.requests[seq]
 	if r == nil || r.state != stateRunning || r.attempt != number {
@@ -44,10 +44,10 @@
 		n.finish(now, r, nil)
 		return
 	}
-	r.worst = verdict.Worse(r.worst, err.Verdict)
+	r.worstVerdict = verdict.Worse(r.worstVerdict, err.Verdict)
 	n.recordDecision(now, r, string(err.Reason), "attempt failed: "+err.Message, 0)
 	switch {
-	case err.Reason == verdict.ReasonCallerGone || err.Reason == verdict.ReasonDraining || r.gone && r.Class.Idempotent:
+	case err.Reason == verdict.ReasonCallerGone || err.Reason == verdict.ReasonDraining || r.callerGone && r.Class.Idempotent:
 		n.endAttempt(now, r, sched.Cancelled)
 		n.finish(now, r, n.finalError(r, err))
 	case err.Verdict != verdict.NotRun && n.canResume(r, err):
@@ -55,13 +55,13 @@
 	case n.canRetry(now, r, err):
 		n.retry(now, r, err)
 	default:
-		n.endAttempt(now, r, outcomeOf(err))
+		n.endAttempt(now, r, failureOutcome(err))
 		n.finish(now, r, n.finalError(r, err))
 	}
 }
 
-// outcomeOf tells the owner what to think of the engine.
-func outcomeOf(err *verdict.Error) sched.Outcome {
+// failureOutcome tells the owner what to think of the engine.
+func failureOutcome(err *verdict.Error) sched.Outcome {
 	if err.Verdict == verdict.NotRun && err.Reason == verdict.ReasonUpstreamRefused {
 		return sched.Refused
 	}
@@ -72,7 +72,7 @@
 // even if the last one did not.
 func (n *Node) finalError(r *request, err *verdict.Error) *verdict.Error {
 	out := *err
-	out.Verdict = r.worst
+	out.Verdict = r.worstVerdict
 	return &out
 }
 
@@ -93,7 +93,7 @@
 
 func (n *Node) resume(_ monotime.Instant, r *request) {
 	r.state = stateRunning
-	attempt := n.attemptOf(r)
+	attempt := n.currentAttempt(r)
 	attempt.Resume = true
 	attempt.Offset = r.tokens()
 	n.eff.Start(attempt)
@@ -103,19 +103,19 @@
 // that is not idempotent may only when this attempt surely did not run. One of
 // which tokens were relayed may not: another run would give another text.
 func (n *Node) canRetry(now monotime.Instant, r *request, err *verdict.Error) bool {
-	safe := r.worst == verdict.NotRun || r.Class.Idempotent
-	if !safe || r.late(now) || r.gone || r.tokens() > 0 || err.Reason == verdict.ReasonUpstreamError {
+	safe := r.worstVerdict == verdict.NotRun || r.Class.Idempotent
+	if !safe || r.late(now) || r.callerGone || r.tokens() > 0 || err.Reason == verdict.ReasonUpstreamError {
 		return false
 	}
-	return n.budget.take()
+	return n.budget.tryTake()
 }
 
 func (n *Node) retry(now monotime.Instant, r *request, err *verdict.Error) {
-	r.avoid = r.engine.ID
-	n.endAttempt(now, r, outcomeOf(err))
+	r.avoidEngine = r.engine.ID
+	n.endAttempt(now, r, failureOutcome(err))
 	r.engine = nil
 	n.counts.Retried++
-	n.acquire(now, r)
+	n.acquireSlot(now, r)
 }
 
 // endAttempt gives the slot of the attempt back.
@@ -124,17 +124,17 @@
 	tokens := r.tokens()
 	result := sched.Result{
 		Outcome: outcome,
-		Tokens:  tokens - r.charged,
+		Tokens:  tokens - r.reportedTokens,
 		Gap:     r.progress.MeanGap(),
 	}
-	if first := r.progress.First(); first != 0 {
+	if first := r.progress.FirstTokenAt(); first != 0 {
 		result.FirstToken = first.Sub(r.started)
 	}
-	r.charged = tokens
+	r.reportedTokens = tokens
 	if outcome == sched.Finished {
 		n.measures.Learn(r.Class, tokens, now.Sub(r.started), result.FirstToken)
 	} else {
-		r.wasted += tokens
+		r.wastedTokens += tokens
 	}
 	n.release(now, r.owner, r.group.Name, r.seq, result)
 }
--- a/internal/node/joined_test.go
+++ b/internal/node/batched_test.go
@@ -19,15 +19,15 @@
 // outbox is the other end of a node's links: it keeps what was sent, joined into
 // one message for each receiver as the links do.
 type outbox struct {
-	joined  map[string]*wire.Envelope
+	batched map[string]*wire.Envelope
 	started []Attempt
 }
 
 func (o *outbox) Send(to string, env *wire.Envelope) {
-	all := o.joined[to]
+	all := o.batched[to]
 	if all == nil {
 		all = &wire.Envelope{}
-		o.joined[to] = all
+		o.batched[to] = all
 	}
 	all.Acquires = append(all.Acquires, env.Acquires...)
 	all.Withdraws = append(all.Withdraws, env.Withdraws...)
@@ -43,18 +43,18 @@
 
 // take returns what was sent to a node since the last call.
 func (o *outbox) take(to string) *wire.Envelope {
-	env := o.joined[to]
-	delete(o.joined, to)
+	env := o.batched[to]
+	delete(o.batched, to)
 	if env == nil {
 		env = &wire.Envelope{}
 	}
 	return env
 }
 
-// joinedNode returns a node that knows the members and two engines with a slot
+// newBatchedNode returns a node that knows the members and two engines with a slot
 // each.
-func joinedNode(id string, members ...string) (*Node, *outbox) {
-	out := &outbox{joined: make(map[string]*wire.Envelope)}
+func newBatchedNode(id string, members ...string) (*Node, *outbox) {
+	out := &outbox{batched: make(map[string]*wire.Envelope)}
 	inv := &inventory.Inventory{
 		DataCentres: []inventory.DataCentre{{Name: "a"}},
 		Classes:     []inventory.Class{{Name: "c", Kind: inventory.ClassKindModel, Model: "m", MaxQueueMS: 60_000, Idempotent: true}},
@@ -68,11 +68,11 @@
 	}
 	n := New(Config{Self: reqid.Incarnation{Instance: id, Token: "1.x"}, DataCentre: "a", Policy: sched.Default(), Seed: 1}, out)
 	n.SetCatalog(1, catalog.Compile(1, inv))
-	n.SetView(1, viewOf(members...))
+	n.SetView(1, newView(members...))
 	return n, out
 }
 
-func viewOf(members ...string) *membership.View {
+func newView(members ...string) *membership.View {
 	view := &membership.View{Known: len(members), Confirmed: true}
 	for _, id := range members {
 		view.Live = append(view.Live, membership.Member{ID: id, Incarnation: "1", DataCentre: "a"})
@@ -80,7 +80,7 @@
 	return view
 }
 
-func acquireOf(n *Node, seq int, avoid string) wire.Acquire {
+func newAcquire(n *Node, seq int, avoid string) wire.Acquire {
 	cat := n.Catalog()
 	return wire.Acquire{Seq: seq, Group: cat.GroupList[0].Name, Avoid: avoid, PromptTokens: 1,
 		Class: int(cat.Classes["c"].Hash), Customer: int(cat.Customers["c"].Hash)}
@@ -92,13 +92,13 @@
 // taken first, the owner would answer with the slot it knows, at the engine that
 // failed, and then forget that it is in use.
 func TestReleaseAndAcquireInOneMessage(t *testing.T) {
-	n, out := joinedNode("owner", "owner")
-	n.OnEnvelope(1, "entry", &wire.Envelope{Acquires: []wire.Acquire{acquireOf(n, 7, "")}})
+	n, out := newBatchedNode("owner", "owner")
+	n.OnEnvelope(1, "entry", &wire.Envelope{Acquires: []wire.Acquire{newAcquire(n, 7, "")}})
 	first := out.take("entry").Grants[0]
 	failed := first.Server + "/" + first.Engine
 	n.OnEnvelope(2, "entry", &wire.Envelope{
 		Releases: []wire.Release{{Seq: 7, Group: first.Group, Outcome: 3}},
-		Acquires: []wire.Acquire{acquireOf(n, 7, failed)},
+		Acquires: []wire.Acquire{newAcquire(n, 7, failed)},
 	})
 	again := out.take("entry").Grants
 	if len(again) != 1 || again[0].Server == first.Server {
@@ -113,14 +113,14 @@
 // group leaves while an instance has requests running there and waiting. The new
 // owner gets both in one message and must first learn what runs.
 func TestNewOwnerLearnsWhatRunsBeforeItGrants(t *testing.T) {
-	entry, sent := joinedNode("entry", "entry")
+	entry, sent := newBatchedNode("entry", "entry")
 	group := entry.Catalog().GroupList[0]
-	owners := ownersBesides(entry, group)
+	owners := twoOtherOwners(entry, group)
 	owner, next := owners[0], owners[1]
-	entry.SetView(1, viewOf("entry", owner))
+	entry.SetView(1, newView("entry", owner))
 	now := monotime.Instant(2)
 	for i := range 3 {
-		if _, err := entry.Submit(now, requestOf(entry, i)); err != nil {
+		if _, err := entry.Submit(now, newRequest(entry, i)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -129,8 +129,8 @@
 		entry.OnEnvelope(now, owner, &wire.Envelope{Grants: []wire.Grant{
 			{Seq: asked[i].Seq, Group: group.Name, Server: server, Engine: "e", LeaseMS: 6000}}})
 	}
-	entry.SetView(now, viewOf("entry", next))
-	n, out := joinedNode(next, "entry", next)
+	entry.SetView(now, newView("entry", next))
+	n, out := newBatchedNode(next, "entry", next)
 	msg := sent.take(next)
 	n.OnEnvelope(now, "entry", msg)
 	if grants := out.take("entry").Grants; len(grants) != 0 {
@@ -142,12 +142,12 @@
 // owner broke for a moment and the entry instance scheduled for itself. When the
 // link is back, the owner may be a new process, or have let the leases lapse; it
 // must be told which engine each slot is at, not only that it is held.
-func TestOwnerThatComesBackLearnsWhatRuns(t *testing.T) {
-	entry, sent := joinedNode("entry", "entry")
+func TestReturningOwnerReceivesEngineOfHeldSlot(t *testing.T) {
+	entry, sent := newBatchedNode("entry", "entry")
 	group := entry.Catalog().GroupList[0]
-	owner := ownersBesides(entry, group)[0]
-	entry.SetView(1, viewOf("entry", owner))
-	if _, err := entry.Submit(1, requestOf(entry, 1)); err != nil {
+	owner := twoOtherOwners(entry, group)[0]
+	entry.SetView(1, newView("entry", owner))
+	if _, err := entry.Submit(1, newRequest(entry, 1)); err != nil {
 		t.Fatal(err)
 	}
 	entry.OnEnvelope(1, owner, &wire.Envelope{Grants: []wire.Grant{
@@ -162,13 +162,13 @@
 	}
 }
 
-// ownersBesides returns two ids that own the group in a fleet of themselves and
+// twoOtherOwners returns two ids that own the group in a fleet of themselves and
 // the node.
-func ownersBesides(n *Node, group *catalog.Group) (owners [2]string) {
+func twoOtherOwners(n *Node, group *catalog.Group) (owners [2]string) {
 	found := 0
 	for i := 0; found < len(owners); i++ {
 		id := fmt.Sprintf("other%d", i)
-		n.SetView(1, viewOf(n.Self(), id))
+		n.SetView(1, newView(n.Self(), id))
 		if n.Owner(group) == id {
 			owners[found] = id
 			found++
@@ -177,7 +177,7 @@
 	return owners
 }
 
-func requestOf(n *Node, number int) Request {
+func newRequest(n *Node, number int) Request {
 	prefix, _ := n.cfg.Self.Prefix(time.Unix(1, 0), IDLifetime)
 	cat := n.Catalog()
 	return Request{ID: fmt.Sprintf("%sx%d", prefix, number), Customer: cat.Customers["c"], Class: cat.Classes["c"], PromptTokens: 1}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -27,7 +27,7 @@
 	defer n.mu.Unlock()
 	n.draining = true
 	all := func(*request) bool { return true }
-	n.eachWaiting(all, func(r *request) {
+	n.forEachWaiting(all, func(r *request) {
 		n.withdraw(now, r)
 		n.refuse(now, r, verdict.New(verdict.NotRun, verdict.ReasonDraining,
 			"this instance ends; ask the directory for another").After(retryWhenDraining))
--- a/internal/node/hints.go
+++ b/internal/node/engine_reports.go
@@ -28,23 +28,23 @@
 
 // LoadReport passes a load report on to the owned group of the engine.
 func (n *Node) LoadReport(now monotime.Instant, engineID string, report engineapi.LoadReport) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
-	if g := n.ownerGroupOf(engineID); g != nil {
+	if g := n.ownedGroupOfEngine(engineID); g != nil {
 		g.sched.LoadReport(now, engineID, report)
 	}
 }
 
 // CacheEvents passes a page of cache events on to the owned group of the engine.
 func (n *Node) CacheEvents(now monotime.Instant, engineID string, events engineapi.CacheEvents) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
-	if g := n.ownerGroupOf(engineID); g != nil {
+	if g := n.ownedGroupOfEngine(engineID); g != nil {
 		g.sched.CacheEvents(now, engineID, events)
 	}
 }
 
-func (n *Node) ownerGroupOf(engineID string) *ownedGroup {
+func (n *Node) ownedGroupOfEngine(engineID string) *ownedGroup {
 	engine := n.catalog.Load().Engines[engineID]
 	if engine == nil {
 		return nil
--- a/internal/node/envelope.go
+++ b/internal/node/envelope.go
@@ -12,20 +12,20 @@
 // are in use before it gives any. Progress goes before releases, which end it,
 // and acquires before withdrawals.
 func (n *Node) OnEnvelope(now monotime.Instant, from string, env *wire.Envelope) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
-	n.heard(now, from, env)
+	n.recordOwnerAnswer(now, from, env)
 	for _, m := range env.Progress {
-		n.progressOwned(now, from, m)
+		n.onProgress(now, from, m)
 	}
 	for _, m := range env.Releases {
-		n.releaseOwned(now, from, m)
+		n.onRelease(now, from, m)
 	}
 	for _, m := range env.Acquires {
-		n.submitOwned(now, from, m)
+		n.onAcquire(now, from, m)
 	}
 	for _, m := range env.Withdraws {
-		n.withdrawOwned(now, from, m)
+		n.onWithdraw(now, from, m)
 	}
 	for _, m := range env.Grants {
 		n.onGrant(now, from, m)
@@ -34,7 +34,7 @@
 		n.onRefuse(now, from, m)
 	}
 	for _, m := range env.Queued {
-		n.picker.Observe(m.Group, m.Tier, milliseconds(m.BacklogMS), now)
+		n.picker.Observe(m.Group, m.Tier, msToDuration(m.BacklogMS), now)
 	}
 	for _, m := range env.PermitAsks {
 		n.onPermitAsk(now, from, m)
--- a/internal/node/expire.go
+++ b/internal/node/expire.go
@@ -22,7 +22,7 @@
 		}
 	}
 	isLate := func(r *request) bool { return r.late(now) }
-	n.eachWaiting(isLate, func(r *request) {
+	n.forEachWaiting(isLate, func(r *request) {
 		n.withdraw(now, r)
 		n.refuse(now, r, deadlineError())
 	})
@@ -34,18 +34,18 @@
 	if cat == nil {
 		return
 	}
-	interval := milliseconds(cat.Rules.GrantLeaseMS) / renewalsPerLease
-	if now.Sub(n.renewed) < interval {
+	interval := msToDuration(cat.Rules.GrantLeaseMS) / renewalsPerLease
+	if now.Sub(n.renewedAt) < interval {
 		return
 	}
-	n.renewed = now
+	n.renewedAt = now
 	n.renew(now, func(*request) bool { return true })
-	n.markLong(now)
+	n.recordMarks(now)
 }
 
-// renewMoved tells a new owner at once what runs in its group, so that it does
+// renewAtNewOwners tells a new owner at once what runs in its group, so that it does
 // not hand out slots that are in use.
-func (n *Node) renewMoved(now monotime.Instant) {
+func (n *Node) renewAtNewOwners(now monotime.Instant) {
 	n.renew(now, func(r *request) bool { return n.ownerOf(r.group) != r.owner })
 }
 
@@ -54,19 +54,19 @@
 	group *catalog.Group
 }
 
-// renewedItem is what an owner that gave the slot needs.
-func renewedItem(r *request, tokens int) wire.ProgressItem {
+// progressItem is what an owner that gave the slot needs.
+func progressItem(r *request, tokens int) wire.ProgressItem {
 	return wire.ProgressItem{Seq: int(r.seq), Tokens: tokens}
 }
 
-// movedItem is what a new owner needs to take the slot into its books.
-func (n *Node) movedItem(r *request, tokens int) wire.ProgressItem {
-	item := renewedItem(r, tokens)
+// adoptionItem is what a new owner needs to take the slot into its books.
+func (n *Node) adoptionItem(r *request, tokens int) wire.ProgressItem {
+	item := progressItem(r, tokens)
 	item.Engine = r.engine.ID
 	item.Class = int(r.Class.Hash)
 	item.Customer = int(r.Customer.Hash)
 	item.Tier = r.tier
-	item.HoldMS = n.holdMS(r)
+	item.HoldMS = n.expectedHoldMS(r)
 	return item
 }
 
@@ -77,18 +77,18 @@
 		if r.state == stateWaiting || !match(r) {
 			continue
 		}
-		itemOf := renewedItem
+		itemOf := progressItem
 		if owner := n.ownerOf(r.group); owner != r.owner {
 			r.owner = owner
-			itemOf = n.movedItem
+			itemOf = n.adoptionItem
 		}
 		key := renewalKey{owner: r.owner, group: r.group}
 		if items[key] == nil {
 			keys = append(keys, key)
 		}
 		tokens := r.tokens()
-		items[key] = append(items[key], itemOf(r, tokens-r.charged))
-		r.charged = tokens
+		items[key] = append(items[key], itemOf(r, tokens-r.reportedTokens))
+		r.reportedTokens = tokens
 	}
 	for _, key := range keys {
 		n.sendProgress(now, key.owner, wire.Progress{Group: key.group.Name, Items: items[key]})
@@ -97,7 +97,7 @@
 
 func (n *Node) sendProgress(now monotime.Instant, owner string, msg wire.Progress) {
 	if owner == n.self() {
-		n.progressOwned(now, n.self(), msg)
+		n.onProgress(now, n.self(), msg)
 		return
 	}
 	n.eff.Send(owner, &wire.Envelope{Progress: []wire.Progress{msg}})
@@ -114,7 +114,7 @@
 		Outcome:      int(result.Outcome),
 	}
 	if owner == n.self() {
-		n.releaseOwned(now, n.self(), msg)
+		n.onRelease(now, n.self(), msg)
 		return
 	}
 	n.eff.Send(owner, &wire.Envelope{Releases: []wire.Release{msg}})
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -10,10 +10,10 @@
 	"basilrudder/internal/verdict"
 )
 
-// maxGroups bounds how many groups one request asks after a refusal. A second
+// maxGroupsPerRequest bounds how many groups one request asks after a refusal. A second
 // one pays when the backlogs this node knew were out of date; more would only
 // delay the refusal.
-const maxGroups = 3
+const maxGroupsPerRequest = 3
 
 // onGrant takes a slot that the owner from granted.
 func (n *Node) onGrant(now monotime.Instant, from string, g wire.Grant) {
@@ -22,9 +22,9 @@
 		n.release(now, from, g.Group, uint64(g.Seq), sched.Result{Outcome: sched.Unused})
 		return
 	}
-	n.picker.Observe(g.Group, r.tier, milliseconds(g.BacklogMS), now)
+	n.picker.Observe(g.Group, r.tier, msToDuration(g.BacklogMS), now)
 	if n.gate.closed {
-		r.held = true
+		r.grantDeferred = true
 		n.release(now, from, g.Group, r.seq, sched.Result{Outcome: sched.Unused})
 		return
 	}
@@ -35,7 +35,7 @@
 // wait and just before the start: a grant may have been overtaken by a deadline
 // or a withdrawal of the server while this process did not run.
 func (n *Node) dispatch(now monotime.Instant, r *request, g wire.Grant) {
-	engine := n.usable(g)
+	engine := n.usableEngine(g)
 	late := r.late(now)
 	if engine == nil || late {
 		n.release(now, r.owner, g.Group, r.seq, sched.Result{Outcome: sched.Unused})
@@ -45,15 +45,15 @@
 		return
 	}
 	if engine == nil {
-		n.acquire(now, r)
+		n.acquireSlot(now, r)
 		return
 	}
 	n.start(now, r, engine, g.Priority)
 }
 
-// usable returns the engine of a grant if this node's configuration lets it get
+// usableEngine returns the engine of a grant if this node's configuration lets it get
 // new work.
-func (n *Node) usable(g wire.Grant) *catalog.Engine {
+func (n *Node) usableEngine(g wire.Grant) *catalog.Engine {
 	engine := n.catalog.Load().Engines[g.Server+"/"+g.Engine]
 	if engine == nil || engine.Server.Spec.Withdrawn {
 		return nil
@@ -69,12 +69,12 @@
 	r.priority = priority
 	r.started = now
 	r.progress = NewProgress()
-	r.charged = 0
-	r.limited = 0
+	r.reportedTokens = 0
+	r.chargedTokens = 0
 	n.picker.Ran(now, r.Prefix, r.group)
-	r.queued += now.Sub(r.askedAt)
-	n.recordDecision(now, r, "started", n.whyGranted(now, r), r.believed.age)
-	n.eff.Start(n.attemptOf(r))
+	r.queueTime += now.Sub(r.requestedAt)
+	n.recordDecision(now, r, "started", n.grantExplanation(now, r), r.estimate.age)
+	n.eff.Start(n.currentAttempt(r))
 }
 
 // onRefuse takes the refusal of a slot.
@@ -83,44 +83,44 @@
 	if r == nil || r.state != stateWaiting || r.owner != from || r.group.Name != f.Group {
 		return
 	}
-	n.picker.Observe(f.Group, r.tier, milliseconds(f.BacklogMS), now)
+	n.picker.Observe(f.Group, r.tier, msToDuration(f.BacklogMS), now)
 	err := verdict.New(verdict.NotRun, verdict.Reason(f.Reason), "no server can serve the request in time").
-		After(milliseconds(f.RetryAfterMS))
-	r.skip = append(r.skip, f.Group)
-	n.recordDecision(now, r, f.Reason, n.whyRefused(now, r, from, f), r.believed.age)
-	if len(r.skip) < maxGroups && n.askElsewhere(now, r) {
+		After(msToDuration(f.RetryAfterMS))
+	r.refusedBy = append(r.refusedBy, f.Group)
+	n.recordDecision(now, r, f.Reason, n.refusalExplanation(now, r, from, f), r.estimate.age)
+	if len(r.refusedBy) < maxGroupsPerRequest && n.tryOtherGroup(now, r) {
 		return
 	}
 	n.refuse(now, r, err)
 }
 
-// askElsewhere asks another group, if there is one that was not just refused.
-func (n *Node) askElsewhere(now monotime.Instant, r *request) bool {
+// tryOtherGroup asks another group, if there is one that was not just refused.
+func (n *Node) tryOtherGroup(now monotime.Instant, r *request) bool {
 	cat := n.catalog.Load()
-	other := n.picker.Pick(now, cat, n.askFor(r), n.rng)
-	if other == nil {
+	group := n.picker.Pick(now, cat, n.routeQuery(r), n.rng)
+	if group == nil {
 		return false
 	}
-	r.group = other
-	r.askedAt = now
-	n.ask(now, r)
+	r.group = group
+	r.requestedAt = now
+	n.requestSlot(now, r)
 	return true
 }
 
 // CallerGone tells that the caller of a request has vanished. Idempotent work
 // is cancelled; other work goes on, and its answer is kept for the caller.
 func (n *Node) CallerGone(now monotime.Instant, id string) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	r := n.byID[id]
-	if r == nil || r.gone {
+	if r == nil || r.callerGone {
 		return
 	}
-	r.gone = true
+	r.callerGone = true
 	switch {
 	case r.state == stateWaiting:
 		n.withdraw(now, r)
-		n.finish(now, r, verdict.New(r.worst, verdict.ReasonCallerGone, "the caller left before the request started"))
+		n.finish(now, r, verdict.New(r.worstVerdict, verdict.ReasonCallerGone, "the caller left before the request started"))
 	case r.Class.Idempotent && r.state == stateRunning:
 		n.eff.CancelAttempt(r.ID)
 	}
@@ -128,7 +128,7 @@
 
 // refuse ends a waiting request at once.
 func (n *Node) refuse(now monotime.Instant, r *request, err *verdict.Error) {
-	err.Verdict = verdict.Worse(err.Verdict, r.worst)
+	err.Verdict = verdict.Worse(err.Verdict, r.worstVerdict)
 	n.finish(now, r, err)
 }
 
@@ -137,6 +137,6 @@
 		After(time.Second)
 }
 
-func milliseconds(ms int) time.Duration {
+func msToDuration(ms int) time.Duration {
 	return time.Duration(ms) * time.Millisecond
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,13 +28,13 @@
 const (
 	// TickInterval is how often Tick is to be called.
 	TickInterval = 50 * time.Millisecond
-	// pauseGap is the gap between calls that counts as a pause of the process.
+	// pauseThreshold is the gap between calls that counts as a pause of the process.
 	// It is far above scheduling noise and below the time in which a withdrawn
 	// server must have stopped receiving work.
-	pauseGap = time.Second
-	// confirmWait is how long dispatch waits for a confirmation after a pause
+	pauseThreshold = time.Second
+	// confirmTimeout is how long dispatch waits for a confirmation after a pause
 	// before the node counts as isolated.
-	confirmWait = 2 * time.Second
+	confirmTimeout = 2 * time.Second
 	// unreachableFor is how long an owner whose link broke is passed over.
 	unreachableFor = 5 * time.Second
 	// IDLifetime is how long a request id stays valid after the directory answer
@@ -107,26 +107,26 @@
 	byID     map[string]*request
 	order    requestList
 	// undelivered and ended hold requests whose answer waits for its caller.
-	undelivered map[string]*request
-	ended       requestList
-	recordSeq   int
-	owned       map[string]*ownedGroup
-	down        map[string]monotime.Instant
-	owners      map[string]*ownerTalk
-	measures    *sched.Measures
-	// idle names groups of this node that were dropped because nobody used them.
-	idle     map[string]bool
-	budget   retryBudget
-	gate     gate
-	permits  permits
-	draining bool
-	cutOff   bool
-	lastTick monotime.Instant
-	renewed  monotime.Instant
-	counts   Counts
+	undelivered   map[string]*request
+	ended         requestList
+	recordSeq     int
+	owned         map[string]*ownedGroup
+	unreachable   map[string]monotime.Instant
+	ownerContacts map[string]*ownerContact
+	measures      *sched.Measures
+	// droppedIdle names groups of this node that were dropped because nobody used them.
+	droppedIdle map[string]bool
+	budget      retryBudget
+	gate        dispatchGate
+	permits     permits
+	draining    bool
+	cutOff      bool
+	lastTick    monotime.Instant
+	renewedAt   monotime.Instant
+	counts      Counts
 
-	pending   []pendingDecision
-	answering bool
+	pendingDecisions []pendingDecision
+	sendingDecisions bool
 }
 
 // New returns a node without a configuration; it refuses requests until
@@ -137,22 +137,22 @@
 	}
 	rng := rand.New(rand.NewPCG(cfg.Seed, 1))
 	n := &Node{
-		cfg:         cfg,
-		eff:         eff,
-		rng:         rng,
-		picker:      route.NewPicker(),
-		ids:         reqid.NewTable(cfg.Capacity*idsPerRequest, IDLifetime),
-		nextSeq:     uint64(rng.Uint32() >> 1),
-		requests:    make(map[uint64]*request),
-		byID:        make(map[string]*request),
-		undelivered: make(map[string]*request),
-		owned:       make(map[string]*ownedGroup),
-		down:        make(map[string]monotime.Instant),
-		owners:      make(map[string]*ownerTalk),
-		idle:        make(map[string]bool),
-		measures:    sched.NewMeasures(),
-		budget:      retryBudget{tokens: retryBurst},
-		permits:     newPermits(),
+		cfg:           cfg,
+		eff:           eff,
+		rng:           rng,
+		picker:        route.NewPicker(),
+		ids:           reqid.NewTable(cfg.Capacity*idsPerRequest, IDLifetime),
+		nextSeq:       uint64(rng.Uint32() >> 1),
+		requests:      make(map[uint64]*request),
+		byID:          make(map[string]*request),
+		undelivered:   make(map[string]*request),
+		owned:         make(map[string]*ownedGroup),
+		unreachable:   make(map[string]monotime.Instant),
+		ownerContacts: make(map[string]*ownerContact),
+		droppedIdle:   make(map[string]bool),
+		measures:      sched.NewMeasures(),
+		budget:        retryBudget{tokens: retryBurst},
+		permits:       newPermits(),
 	}
 	return n
 }
@@ -179,7 +179,7 @@
 
 // SetCatalog puts a configuration in force.
 func (n *Node) SetCatalog(now monotime.Instant, cat *catalog.Catalog) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	if old := n.catalog.Load(); old != nil && old.Revision >= cat.Revision {
 		return
@@ -189,58 +189,58 @@
 	n.ids.SetLifetime(IDLifetime + time.Duration(cat.Rules.DirectoryTTLS)*time.Second)
 	n.picker.Forget(cat)
 	n.reconfigureOwned(now, cat)
-	n.reroute(now, n.stale)
+	n.reroute(now, n.groupRemoved)
 }
 
 // SetView replaces the membership known.
 func (n *Node) SetView(now monotime.Instant, view *membership.View) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	old := n.view.Swap(view)
 	n.members = routeMembers(view)
-	n.noteLost()
-	n.dropGoneHolders(now, old, view)
+	n.markOwnedElsewhere()
+	n.releaseGoneHolders(now, old, view)
 	n.updateShares(view)
 	n.setPermitMembers(now, view)
-	n.renewMoved(now)
-	n.reroute(now, n.misowned)
+	n.renewAtNewOwners(now)
+	n.reroute(now, n.ownerChanged)
 }
 
 // LinkDown tells that the link to an instance broke or cannot be made. Requests
 // that wait at that owner are asked for elsewhere at once: a crash of the owner
 // in a burst must not cost them a membership timeout.
 func (n *Node) LinkDown(now monotime.Instant, id string) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
-	n.ownerLost(now, id)
+	n.markOwnerUnreachable(now, id)
 }
 
 // LinkUp tells that the link to an instance works.
 func (n *Node) LinkUp(_ monotime.Instant, id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.down, id)
+	delete(n.unreachable, id)
 }
 
 // Tick does what is due; call it every TickInterval.
 func (n *Node) Tick(now monotime.Instant) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	n.lastTick = now
-	n.openGate(now)
-	n.expireDown(now)
+	n.openGateOnTimeout(now)
+	n.expireUnreachable(now)
 	n.tickOwned(now)
 	n.checkOwners(now)
 	n.tickPermits(now)
 	n.expireRequests(now)
-	n.settleOld(now)
+	n.accountExpired(now)
 	n.renewLeases(now)
 }
 
-func (n *Node) expireDown(now monotime.Instant) {
-	for id, until := range n.down {
+func (n *Node) expireUnreachable(now monotime.Instant) {
+	for id, until := range n.unreachable {
 		if until.Before(now) {
-			delete(n.down, id)
+			delete(n.unreachable, id)
 		}
 	}
 }
@@ -259,12 +259,12 @@
 }
 
 func (n *Node) reachable() []route.Member {
-	if len(n.down) == 0 {
+	if len(n.unreachable) == 0 {
 		return n.members
 	}
 	out := make([]route.Member, 0, len(n.members))
 	for _, member := range n.members {
-		if _, isDown := n.down[member.ID]; !isDown {
+		if _, isDown := n.unreachable[member.ID]; !isDown {
 			out = append(out, member)
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,8 +11,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// started waits until a request runs.
-func (w *world) started(p *proc, c *call) *request {
+// waitRunning waits until a request runs.
+func (w *world) waitRunning(p *proc, c *call) *request {
 	w.t.Helper()
 	for range 1000 {
 		if r := p.node.byID[c.id]; r != nil && r.state == stateRunning {
@@ -24,15 +24,15 @@
 	return nil
 }
 
-// quietWorld is a world without faults in which requests go to the first process.
-func quietWorld(t *testing.T) (*world, *proc) {
+// faultFreeWorld is a world without faults in which requests go to the first process.
+func faultFreeWorld(t *testing.T) (*world, *proc) {
 	w := newWorld(t, 1)
 	w.Run(time.Second)
 	return w, w.procs[0]
 }
 
 func TestAnOlderCatalogNeverReplacesANewer(t *testing.T) {
-	w, p := quietWorld(t)
+	w, p := faultFreeWorld(t)
 	old := w.catalog()
 	w.revision = 5
 	p.node.SetCatalog(p.clock(), w.catalog())
@@ -43,7 +43,7 @@
 }
 
 func TestARefusalAtAdmissionIsCountedOnce(t *testing.T) {
-	w, p := quietWorld(t)
+	w, p := faultFreeWorld(t)
 	p.node.Drain(p.clock())
 	w.send(p, "often")
 	counts := p.node.Status(p.clock()).Counts
@@ -55,9 +55,9 @@
 // What the caller sees: one answer. An attempt that was given up reports its end
 // while the next one runs; the report must not end the request.
 func TestTheEndOfAFormerAttemptIsIgnored(t *testing.T) {
-	w, p := quietWorld(t)
+	w, p := faultFreeWorld(t)
 	c := w.send(p, "often")
-	r := w.started(p, c)
+	r := w.waitRunning(p, c)
 	r.attempt = 2
 	p.node.AttemptEnded(p.clock(), r.seq, 1, verdict.New(verdict.Ran, verdict.ReasonUpstreamError, "late"))
 	if r.state != stateRunning || len(c.verdicts) > 0 {
@@ -69,9 +69,9 @@
 // use; the holder tells the new owner at once which engines they use. Without
 // that the new owner would fill engines that are already full.
 func TestANewOwnerLearnsWhichSlotsAreHeld(t *testing.T) {
-	w, p := quietWorld(t)
+	w, p := faultFreeWorld(t)
 	c := w.send(p, "often")
-	r := w.started(p, c)
+	r := w.waitRunning(p, c)
 	old, next := r.owner, w.procs[0]
 	for _, q := range w.procs {
 		if q.name != old {
@@ -93,7 +93,7 @@
 // after the request was asked for elsewhere. It goes back, so that the slot is
 // not held until its lease ends.
 func TestAGrantOfAFormerOwnerGoesBack(t *testing.T) {
-	w, p := quietWorld(t)
+	w, p := faultFreeWorld(t)
 	c := w.send(p, "often")
 	r := p.node.byID[c.id]
 	if r == nil {
@@ -102,7 +102,7 @@
 	r.state = stateWaiting
 	r.owner = w.procs[1].name
 	former := w.procs[2]
-	sent := &spy{effects: p.node.eff.(*effects)}
+	sent := &releaseRecorder{effects: p.node.eff.(*effects)}
 	p.node.eff = sent
 	p.node.OnEnvelope(p.clock(), former.name, &wire.Envelope{Grants: []wire.Grant{{
 		Seq: int(r.seq), Group: r.group.Name, Server: "s0", Engine: "e"}}})
@@ -118,7 +118,7 @@
 // heard yet that the server was withdrawn, the holder has; the holder does not
 // use the grant and asks again.
 func TestAGrantOfAWithdrawnServerIsNotUsed(t *testing.T) {
-	w, p := quietWorld(t)
+	w, p := faultFreeWorld(t)
 	c := w.send(p, "often")
 	r := p.node.byID[c.id]
 	w.withdrawn["s0"] = w.Now()
@@ -131,8 +131,8 @@
 		t.Errorf("started at %v", r.engine.ID)
 	}
 	w.Run(time.Second)
-	if len(c.verdicts) != 1 || !c.whole {
-		t.Errorf("verdicts %v, whole %v", c.verdicts, c.whole)
+	if len(c.verdicts) != 1 || !c.complete {
+		t.Errorf("verdicts %v, whole %v", c.verdicts, c.complete)
 	}
 }
 
@@ -140,8 +140,8 @@
 // slept. Whatever runs first after a pause can free a slot and start a request,
 // so each way in must notice the pause; at first a new view and a new
 // configuration did not.
-func TestEveryWayInNoticesAPause(t *testing.T) {
-	ways := map[string]func(p *proc, now monotime.Instant){
+func TestEveryEntryPointDetectsAPause(t *testing.T) {
+	variants := map[string]func(p *proc, now monotime.Instant){
 		"tick":     func(p *proc, now monotime.Instant) { p.node.Tick(now) },
 		"view":     func(p *proc, now monotime.Instant) { p.node.SetView(now, p.node.View()) },
 		"catalog":  func(p *proc, now monotime.Instant) { p.node.SetCatalog(now, p.w.catalog()) },
@@ -150,10 +150,10 @@
 		"caller":   func(p *proc, now monotime.Instant) { p.node.CallerGone(now, "x") },
 		"attempt":  func(p *proc, now monotime.Instant) { p.node.AttemptEnded(now, 1, 1, nil) },
 	}
-	for name, enter := range ways {
-		_, p := quietWorld(t)
+	for name, enter := range variants {
+		_, p := faultFreeWorld(t)
 		enter(p, p.clock().Add(4*time.Second))
-		if _, paused := p.node.Paused(); !paused {
+		if _, paused := p.node.AwaitingConfirmation(); !paused {
 			t.Errorf("%s does not notice a pause", name)
 		}
 	}
@@ -164,8 +164,8 @@
 // be the next overload. Retries stay within the budget: a burst at first, then
 // the share of requests that the rules allow.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
-	w, p := quietWorld(t)
-	refusing := &refuser{effects: p.node.eff.(*effects)}
+	w, p := faultFreeWorld(t)
+	refusing := &refusingEffects{effects: p.node.eff.(*effects)}
 	p.node.eff = refusing
 	const sent = 40
 	for range sent {
@@ -175,21 +175,21 @@
 	w.Run(5 * time.Second)
 	retries := int(p.node.Status(p.clock()).Counts.Retried)
 	share := p.node.Catalog().Rules.RetryBudget
-	if most := retryBurst + int(share*sent); retries == 0 || retries > most {
-		t.Errorf("%d retries of %d requests, want some and at most %d", retries, sent, most)
+	if maxRetries := retryBurst + int(share*sent); retries == 0 || retries > maxRetries {
+		t.Errorf("%d retries of %d requests, want some and at most %d", retries, sent, maxRetries)
 	}
 	if refusing.starts != sent+retries {
 		t.Errorf("%d starts, want %d", refusing.starts, sent+retries)
 	}
 }
 
-// refuser is an upstream that refuses every request before it starts.
-type refuser struct {
+// refusingEffects is an upstream that refuses every request before it starts.
+type refusingEffects struct {
 	*effects
 	starts int
 }
 
-func (r *refuser) Start(a Attempt) {
+func (r *refusingEffects) Start(a Attempt) {
 	r.starts++
 	p, self := r.p, r.self
 	p.w.After(time.Millisecond, func() {
@@ -199,13 +199,13 @@
 	})
 }
 
-// spy keeps the releases that a node sends.
-type spy struct {
+// releaseRecorder keeps the releases that a node sends.
+type releaseRecorder struct {
 	*effects
 	releases []wire.Release
 }
 
-func (s *spy) Send(to string, env *wire.Envelope) {
+func (s *releaseRecorder) Send(to string, env *wire.Envelope) {
 	s.releases = append(s.releases, env.Releases...)
 	s.effects.Send(to, env)
 }
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -13,8 +13,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// idleGroupAfter is how long an owned group without requests is kept.
-const idleGroupAfter = time.Minute
+// idleGroupTimeout is how long an owned group without requests is kept.
+const idleGroupTimeout = time.Minute
 
 const (
 	// ownerWarmUp covers the time until every holder has heard of the change and
@@ -25,11 +25,11 @@
 // ownedGroup is a scheduling group that this instance runs. It is soft state:
 // a new owner starts empty and learns from the holders' renewals what runs.
 type ownedGroup struct {
-	name  string
-	sched *sched.Group
-	used  monotime.Instant
-	// lost says that another instance has owned the group since.
-	lost bool
+	name     string
+	sched    *sched.Group
+	lastUsed monotime.Instant
+	// ownedElsewhere says that another instance has owned the group since.
+	ownedElsewhere bool
 }
 
 // pendingDecision is a decision of an owned group on its way to the holder.
@@ -38,13 +38,13 @@
 	decision sched.Decision
 }
 
-// ownedFor returns the scheduler of a group, created on first use. Whoever asks
+// ensureOwned returns the scheduler of a group, created on first use. Whoever asks
 // believes that this instance owns the group; serving two believers of different
 // owners costs quality, refusing one of them would cost an answer.
-func (n *Node) ownedFor(now monotime.Instant, name string) *ownedGroup {
+func (n *Node) ensureOwned(now monotime.Instant, name string) *ownedGroup {
 	if g := n.owned[name]; g != nil {
-		g.used = now
-		n.warmAgain(now, g)
+		g.lastUsed = now
+		n.warmUpRegained(now, g)
 		return g
 	}
 	cat := n.catalog.Load()
@@ -52,15 +52,15 @@
 		return nil
 	}
 	g := &ownedGroup{
-		name:  name,
-		sched: sched.New(now, cat.Groups[name], cat, n.cfg.Policy, n.rng.Uint64()),
-		used:  now,
+		name:     name,
+		sched:    sched.New(now, cat.Groups[name], cat, n.cfg.Policy, n.rng.Uint64()),
+		lastUsed: now,
 	}
 	g.sched.SetMeasures(n.measures)
-	if !n.idle[name] && len(n.members) > 1 {
+	if !n.droppedIdle[name] && len(n.members) > 1 {
 		g.sched.Warm(now.Add(ownerWarmUp))
 	}
-	delete(n.idle, name)
+	delete(n.droppedIdle, name)
 	n.owned[name] = g
 	if view := n.view.Load(); view != nil {
 		g.sched.SetShare(n.slotShare(view))
@@ -76,46 +76,46 @@
 	return route.Owner(group, n.members)
 }
 
-// noteLost marks the groups that another instance owns now; groups that were
+// markOwnedElsewhere marks the groups that another instance owns now; groups that were
 // dropped while nobody used them may have had another owner meanwhile.
-func (n *Node) noteLost() {
-	clear(n.idle)
+func (n *Node) markOwnedElsewhere() {
+	clear(n.droppedIdle)
 	cat := n.catalog.Load()
 	if cat == nil {
 		return
 	}
 	for name, g := range n.owned {
-		g.lost = g.lost || n.ownerOf(cat.Groups[name]) != n.self()
+		g.ownedElsewhere = g.ownedElsewhere || n.ownerOf(cat.Groups[name]) != n.self()
 	}
 }
 
-// warmAgain lets a group that comes back to this instance start carefully: its
+// warmUpRegained lets a group that comes back to this instance start carefully: its
 // books are those of before.
-func (n *Node) warmAgain(now monotime.Instant, g *ownedGroup) {
+func (n *Node) warmUpRegained(now monotime.Instant, g *ownedGroup) {
 	group := n.catalog.Load().Groups[g.name]
-	if g.lost && group != nil && n.ownerOf(group) == n.self() {
-		g.lost = false
+	if g.ownedElsewhere && group != nil && n.ownerOf(group) == n.self() {
+		g.ownedElsewhere = false
 		g.sched.Warm(now.Add(ownerWarmUp))
 	}
 }
 
-func (n *Node) submitOwned(now monotime.Instant, from string, msg wire.Acquire) {
-	demand, ok := n.demandOf(now, from, msg)
-	g := n.ownedFor(now, msg.Group)
+func (n *Node) onAcquire(now monotime.Instant, from string, msg wire.Acquire) {
+	demand, ok := n.resolveDemand(now, from, msg)
+	g := n.ensureOwned(now, msg.Group)
 	if g == nil || !ok {
-		n.answer(now, pendingDecision{group: msg.Group, decision: sched.Decision{
+		n.sendDecision(now, pendingDecision{group: msg.Group, decision: sched.Decision{
 			Ticket: ticket(from, msg.Seq),
 			Reason: verdict.ReasonNotReady,
 		}})
 		return
 	}
-	n.answerAll(now, g, g.sched.Submit(now, demand, nil))
-	n.tellQueued(now, from, g, demand)
+	n.sendDecisions(now, g, g.sched.Submit(now, demand, nil))
+	n.sendQueued(now, from, g, demand)
 }
 
-// demandOf resolves what the message names by hash. A sender with another
+// resolveDemand resolves what the message names by hash. A sender with another
 // revision may name a class or customer unknown here.
-func (n *Node) demandOf(now monotime.Instant, from string, msg wire.Acquire) (sched.Demand, bool) {
+func (n *Node) resolveDemand(now monotime.Instant, from string, msg wire.Acquire) (sched.Demand, bool) {
 	cat := n.catalog.Load()
 	if cat == nil {
 		return sched.Demand{}, false
@@ -136,7 +136,7 @@
 		EndBy:        dueAt(now, msg.EndBudgetMS),
 		Target:       class.Target,
 		Avoid:        msg.Avoid,
-		ExpectedHold: milliseconds(msg.HoldMS),
+		ExpectedHold: msToDuration(msg.HoldMS),
 	}, true
 }
 
@@ -144,32 +144,32 @@
 	if budgetMS == 0 {
 		return 0
 	}
-	return now.Add(milliseconds(budgetMS))
+	return now.Add(msToDuration(budgetMS))
 }
 
 func ticket(from string, seq int) sched.Ticket {
 	return sched.Ticket{Holder: from, Seq: uint64(seq)}
 }
 
-func (n *Node) withdrawOwned(now monotime.Instant, from string, msg wire.Withdraw) {
+func (n *Node) onWithdraw(now monotime.Instant, from string, msg wire.Withdraw) {
 	if g := n.owned[msg.Group]; g != nil {
-		n.answerAll(now, g, g.sched.Withdraw(now, ticket(from, msg.Seq), nil))
+		n.sendDecisions(now, g, g.sched.Withdraw(now, ticket(from, msg.Seq), nil))
 	}
 }
 
-func (n *Node) progressOwned(now monotime.Instant, from string, msg wire.Progress) {
-	g := n.ownedFor(now, msg.Group)
+func (n *Node) onProgress(now monotime.Instant, from string, msg wire.Progress) {
+	g := n.ensureOwned(now, msg.Group)
 	if g == nil {
 		return
 	}
 	for _, item := range msg.Items {
-		n.adopt(now, g, from, item)
-		n.answerAll(now, g, g.sched.Progress(now, ticket(from, item.Seq), item.Tokens, nil))
+		n.adoptSlot(now, g, from, item)
+		n.sendDecisions(now, g, g.sched.Progress(now, ticket(from, item.Seq), item.Tokens, nil))
 	}
 }
 
-// adopt takes a slot into the books of a group that this instance owns newly.
-func (n *Node) adopt(now monotime.Instant, g *ownedGroup, from string, item wire.ProgressItem) {
+// adoptSlot takes a slot into the books of a group that this instance owns newly.
+func (n *Node) adoptSlot(now monotime.Instant, g *ownedGroup, from string, item wire.ProgressItem) {
 	if item.Engine == "" {
 		return
 	}
@@ -179,11 +179,11 @@
 		Class:        cat.ClassByHash[uint32(item.Class)],
 		Customer:     cat.CustomerByHash[uint64(item.Customer)],
 		Tier:         item.Tier,
-		ExpectedHold: milliseconds(item.HoldMS),
+		ExpectedHold: msToDuration(item.HoldMS),
 	})
 }
 
-func (n *Node) releaseOwned(now monotime.Instant, from string, msg wire.Release) {
+func (n *Node) onRelease(now monotime.Instant, from string, msg wire.Release) {
 	g := n.owned[msg.Group]
 	if g == nil {
 		return
@@ -191,21 +191,21 @@
 	result := sched.Result{
 		Outcome:    sched.Outcome(msg.Outcome),
 		Tokens:     msg.Tokens,
-		FirstToken: milliseconds(msg.FirstTokenMS),
+		FirstToken: msToDuration(msg.FirstTokenMS),
 		Gap:        time.Duration(msg.GapUS) * time.Microsecond,
 	}
-	n.answerAll(now, g, g.sched.Release(now, ticket(from, msg.Seq), result, nil))
+	n.sendDecisions(now, g, g.sched.Release(now, ticket(from, msg.Seq), result, nil))
 }
 
 func (n *Node) tickOwned(now monotime.Instant) {
 	for _, name := range n.ownedNames() {
 		g := n.owned[name]
-		if now.Sub(g.used) > idleGroupAfter && g.sched.Idle() {
+		if now.Sub(g.lastUsed) > idleGroupTimeout && g.sched.Idle() {
 			delete(n.owned, name)
-			n.idle[name] = !g.lost
+			n.droppedIdle[name] = !g.ownedElsewhere
 			continue
 		}
-		n.answerAll(now, g, g.sched.Tick(now, nil))
+		n.sendDecisions(now, g, g.sched.Tick(now, nil))
 	}
 }
 
@@ -219,30 +219,30 @@
 	return names
 }
 
-// answerAll passes decisions on. Decisions for this instance's own requests can
+// sendDecisions passes decisions on. Decisions for this instance's own requests can
 // lead to further decisions (a granted engine was withdrawn, so the slot goes
 // back and another is asked for); a queue instead of recursion keeps the group
 // from being entered while it is still being read.
-func (n *Node) answerAll(now monotime.Instant, g *ownedGroup, decisions []sched.Decision) {
+func (n *Node) sendDecisions(now monotime.Instant, g *ownedGroup, decisions []sched.Decision) {
 	for _, d := range decisions {
-		n.pending = append(n.pending, pendingDecision{group: g.name, decision: d})
+		n.pendingDecisions = append(n.pendingDecisions, pendingDecision{group: g.name, decision: d})
 	}
-	if n.answering {
+	if n.sendingDecisions {
 		return
 	}
-	n.answering = true
-	for len(n.pending) > 0 {
-		next := n.pending[0]
-		n.pending = n.pending[1:]
-		n.answer(now, next)
+	n.sendingDecisions = true
+	for len(n.pendingDecisions) > 0 {
+		next := n.pendingDecisions[0]
+		n.pendingDecisions = n.pendingDecisions[1:]
+		n.sendDecision(now, next)
 	}
-	n.pending = nil
-	n.answering = false
+	n.pendingDecisions = nil
+	n.sendingDecisions = false
 }
 
-func (n *Node) answer(now monotime.Instant, p pendingDecision) {
+func (n *Node) sendDecision(now monotime.Instant, p pendingDecision) {
 	if p.decision.Granted {
-		n.answerGrant(now, p)
+		n.sendGrant(now, p)
 		return
 	}
 	refuse := wire.Refuse{
@@ -259,7 +259,7 @@
 	n.eff.Send(p.decision.Holder, &wire.Envelope{Refuses: []wire.Refuse{refuse}})
 }
 
-func (n *Node) answerGrant(now monotime.Instant, p pendingDecision) {
+func (n *Node) sendGrant(now monotime.Instant, p pendingDecision) {
 	grant := wire.Grant{
 		Seq:       int(p.decision.Seq),
 		Group:     p.group,
@@ -286,13 +286,13 @@
 			delete(n.owned, name)
 			continue
 		}
-		n.answerAll(now, g, g.sched.Reconfigure(now, cat, nil))
+		n.sendDecisions(now, g, g.sched.Reconfigure(now, cat, nil))
 	}
 }
 
-// dropGoneHolders frees the slots of instances that died or were replaced by a
+// releaseGoneHolders frees the slots of instances that died or were replaced by a
 // new incarnation, which knows nothing of the requests of the old one.
-func (n *Node) dropGoneHolders(now monotime.Instant, old, view *membership.View) {
+func (n *Node) releaseGoneHolders(now monotime.Instant, old, view *membership.View) {
 	if old == nil {
 		return
 	}
@@ -313,7 +313,7 @@
 	}
 	for _, name := range n.ownedNames() {
 		g := n.owned[name]
-		n.answerAll(now, g, g.sched.HolderGone(now, id, nil))
+		n.sendDecisions(now, g, g.sched.HolderGone(now, id, nil))
 	}
 }
 
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -18,10 +18,10 @@
 // permits is the state of customers' limits at this node: what it holds, what
 // it issues as home, and the requests that wait for a permit.
 type permits struct {
-	local   *limits.Local
-	home    *limits.Home
-	waiting []*request
-	charged monotime.Instant
+	local     *limits.Local
+	home      *limits.Home
+	waiting   []*request
+	chargedAt monotime.Instant
 }
 
 func newPermits() permits {
@@ -31,8 +31,8 @@
 // topTier is the tier that may overdraw its customer's limits.
 const topTier = 0
 
-// permit judges a new request before it is admitted.
-func (n *Node) permit(now monotime.Instant, in Request) (limits.Verdict, *verdict.Error) {
+// checkLimits judges a new request before it is admitted.
+func (n *Node) checkLimits(now monotime.Instant, in Request) (limits.Verdict, *verdict.Error) {
 	v, after := n.permits.local.Admit(now, in.Customer)
 	if v == limits.Waiting {
 		// The home may be this node, which answers at once.
@@ -63,22 +63,22 @@
 		"the customer's rate over all instances is used up").After(after)
 }
 
-// hold keeps a request until a permit comes.
-func (n *Node) hold(r *request) {
-	r.unpermitted = true
+// awaitPermit keeps a request until a permit comes.
+func (n *Node) awaitPermit(r *request) {
+	r.awaitingPermit = true
 	n.permits.waiting = append(n.permits.waiting, r)
 }
 
-// judgeWaiting asks again for the requests that wait for a permit. Each waits
+// recheckWaiting asks again for the requests that wait for a permit. Each waits
 // for AnswerLimit at most: then this node goes on without the home.
-func (n *Node) judgeWaiting(now monotime.Instant) {
+func (n *Node) recheckWaiting(now monotime.Instant) {
 	if len(n.permits.waiting) == 0 {
 		return
 	}
 	waiting := n.permits.waiting
 	n.permits.waiting = nil
 	for _, r := range waiting {
-		if !r.unpermitted || r.state != stateWaiting {
+		if !r.awaitingPermit || r.state != stateWaiting {
 			n.permits.local.Forget(r.Customer)
 			continue
 		}
@@ -90,9 +90,9 @@
 		case limits.Refused:
 			n.refuse(now, r, rateError(v, after))
 		default:
-			r.unpermitted = false
-			r.queued += now.Sub(r.arrived)
-			n.acquire(now, r)
+			r.awaitingPermit = false
+			r.queueTime += now.Sub(r.arrived)
+			n.acquireSlot(now, r)
 		}
 	}
 	n.askPermits(now)
@@ -100,7 +100,7 @@
 
 // askPermits sends the asks that are due.
 func (n *Node) askPermits(now monotime.Instant) {
-	n.permits.local.Asks(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendAsk(now, to, ask) })
+	n.permits.local.Asks(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendPermitAsk(now, to, ask) })
 }
 
 // homeOf returns the member that keeps the customer's limits. It follows the
@@ -113,23 +113,23 @@
 	return n.self()
 }
 
-func (n *Node) sendAsk(now monotime.Instant, to string, ask wire.PermitAsk) {
+func (n *Node) sendPermitAsk(now monotime.Instant, to string, ask wire.PermitAsk) {
 	if to != n.self() {
 		n.eff.Send(to, &wire.Envelope{PermitAsks: []wire.PermitAsk{ask}})
 		return
 	}
-	if give, ok := n.answerAsk(now, n.self(), ask); ok {
+	if give, ok := n.issuePermits(now, n.self(), ask); ok {
 		n.permits.local.OnGive(now, n.self(), give)
 	}
 }
 
 func (n *Node) onPermitAsk(now monotime.Instant, from string, ask wire.PermitAsk) {
-	if give, ok := n.answerAsk(now, from, ask); ok {
+	if give, ok := n.issuePermits(now, from, ask); ok {
 		n.eff.Send(from, &wire.Envelope{PermitGives: []wire.PermitGive{give}})
 	}
 }
 
-func (n *Node) answerAsk(now monotime.Instant, from string, ask wire.PermitAsk) (wire.PermitGive, bool) {
+func (n *Node) issuePermits(now monotime.Instant, from string, ask wire.PermitAsk) (wire.PermitGive, bool) {
 	cat := n.catalog.Load()
 	if cat == nil {
 		return wire.PermitGive{}, false
@@ -145,21 +145,21 @@
 	for _, give := range gives {
 		n.permits.local.OnGive(now, from, give)
 	}
-	n.judgeWaiting(now)
+	n.recheckWaiting(now)
 }
 
 // tickPermits does what is due.
 func (n *Node) tickPermits(now monotime.Instant) {
-	if now.Sub(n.permits.charged) >= chargeInterval {
-		n.permits.charged = now
+	if now.Sub(n.permits.chargedAt) >= chargeInterval {
+		n.permits.chargedAt = now
 		for r := n.order.head; r != nil; r = r.next {
 			n.chargeLimit(now, r)
 		}
 	}
 	n.permits.home.Tick(now)
-	n.permits.local.Tick(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendAsk(now, to, ask) })
+	n.permits.local.Tick(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendPermitAsk(now, to, ask) })
 	n.askPermits(now)
-	n.judgeWaiting(now)
+	n.recheckWaiting(now)
 }
 
 // chargeLimit charges the tokens since the last charge to the customer's limit.
@@ -168,8 +168,8 @@
 		return
 	}
 	tokens := r.tokens()
-	n.permits.local.Charge(now, r.Customer, tokens-r.limited)
-	r.limited = tokens
+	n.permits.local.Charge(now, r.Customer, tokens-r.chargedTokens)
+	r.chargedTokens = tokens
 }
 
 // setPermitMembers follows the membership.
--- a/internal/node/permits_test.go
+++ b/internal/node/permits_test.go
@@ -8,9 +8,9 @@
 	"basilrudder/internal/verdict"
 )
 
-// burstOf sends requests of the limited customer to all live processes, thrice
+// burst sends requests of the limited customer to all live processes, thrice
 // its rate, and returns those calls.
-func (w *world) burstOf(d time.Duration) []*call {
+func (w *world) burst(d time.Duration) []*call {
 	var calls []*call
 	for end := w.Now().Add(d); w.Now() < end; {
 		for _, p := range w.procs {
@@ -24,8 +24,8 @@
 	return calls
 }
 
-// limitedOut counts the calls that were refused by the limit.
-func (w *world) limitedOut(calls []*call) (refused, admitted int) {
+// countRateLimited counts the calls that were refused by the limit.
+func (w *world) countRateLimited(calls []*call) (refused, admitted int) {
 	for _, c := range calls {
 		if c.err != nil && c.err.Reason == verdict.ReasonRateLimited {
 			refused++
@@ -45,8 +45,8 @@
 // once each.
 func TestRateHoldsOverAllNodes(t *testing.T) {
 	w := newWorld(t, 1)
-	calls := w.burstOf(20 * time.Second)
-	refused, admitted := w.limitedOut(calls)
+	calls := w.burst(20 * time.Second)
+	refused, admitted := w.countRateLimited(calls)
 	t.Logf("%d admitted, %d refused in 20 s at %d a second", admitted, refused, limitedRate)
 	if bound := limitedRate*(20+int(limits.Lease/time.Second)) + limitedRate; admitted > bound || admitted < limitedRate*18 {
 		t.Errorf("%d admitted, want %d to %d", admitted, limitedRate*18, bound)
@@ -54,7 +54,7 @@
 	if left := w.unanswered(); len(left) > 0 {
 		t.Errorf("no answer for %v", left)
 	}
-	w.report()
+	w.reportFailures()
 }
 
 // What the caller sees: nothing but a short delay. The member that keeps its
@@ -62,15 +62,15 @@
 // each goes on with its own share instead of refusing everybody.
 func TestLostHomeOfALimitRefusesNobodyForLong(t *testing.T) {
 	w := newWorld(t, 1)
-	w.burstOf(time.Second)
+	w.burst(time.Second)
 	home := w.procs[0].node.homeOf(w.procs[0].node.Catalog().Customers["limited"])
 	for _, p := range w.procs {
 		if p.name == home {
 			p.dead = true
 		}
 	}
-	calls := w.burstOf(10 * time.Second)
-	refused, admitted := w.limitedOut(calls)
+	calls := w.burst(10 * time.Second)
+	refused, admitted := w.countRateLimited(calls)
 	t.Logf("%d admitted, %d refused in 10 s without a home", admitted, refused)
 	// Two of three instances admit a third of the rate each.
 	if share := limitedRate * 10 * 2 / 3; admitted < share*8/10 || admitted > limitedRate*12 {
@@ -79,5 +79,5 @@
 	if left := w.unanswered(); len(left) > 0 {
 		t.Errorf("no answer for %v", left)
 	}
-	w.report()
+	w.reportFailures()
 }
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -33,8 +33,8 @@
 	return &Progress{}
 }
 
-// Token counts one token relayed at now.
-func (p *Progress) Token(now monotime.Instant) {
+// RecordToken counts one token relayed at now.
+func (p *Progress) RecordToken(now monotime.Instant) {
 	last := monotime.Instant(p.last.Swap(int64(now)))
 	if p.tokens.Add(1) == 1 {
 		p.first.Store(int64(now))
@@ -52,8 +52,8 @@
 	return int(p.tokens.Load())
 }
 
-// First returns when the first token was relayed; 0 for not yet.
-func (p *Progress) First() monotime.Instant {
+// FirstTokenAt returns when the first token was relayed; 0 for not yet.
+func (p *Progress) FirstTokenAt() monotime.Instant {
 	return monotime.Instant(p.first.Load())
 }
 
--- a/internal/node/record.go
+++ b/internal/node/record.go
@@ -40,37 +40,37 @@
 // Delivered tells that the end of an answer was written to its caller. Only now
 // is the request accounted: an answer that is ready and reaches nobody is waste.
 func (n *Node) Delivered(now monotime.Instant, id string) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	if r := n.undelivered[id]; r != nil {
 		r.delivered = r.err == nil
-		n.settle(now, r)
+		n.accountEnded(now, r)
 	}
 }
 
-// settle accounts a request that ended.
-func (n *Node) settle(now monotime.Instant, r *request) {
+// accountEnded accounts a request that ended.
+func (n *Node) accountEnded(now monotime.Instant, r *request) {
 	delete(n.undelivered, r.ID)
 	n.ended.remove(r)
 	n.recordEnd(now, r)
 }
 
-// settleOld accounts requests whose answer is no longer kept for their callers.
-func (n *Node) settleOld(now monotime.Instant) {
+// accountExpired accounts requests whose answer is no longer kept for their callers.
+func (n *Node) accountExpired(now monotime.Instant) {
 	cat := n.catalog.Load()
 	if cat == nil {
 		return
 	}
 	keep := time.Duration(cat.Rules.AnswerKeepS) * time.Second
 	for n.ended.head != nil && now.Sub(n.ended.head.ended) > keep {
-		n.settle(now, n.ended.head)
+		n.accountEnded(now, n.ended.head)
 	}
 }
 
 // RecordRefused accounts a request that was refused before Submit. Its class may
 // be nil when the caller named none that exists.
 func (n *Node) RecordRefused(now monotime.Instant, in Request, err *verdict.Error) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	n.recordRefused(now, in, err)
 }
@@ -88,7 +88,7 @@
 	n.recordEnd(now, r)
 }
 
-func (n *Node) recordOf(r *request, kind accounting.RecordKind) accounting.Record {
+func (n *Node) newRecord(r *request, kind accounting.RecordKind) accounting.Record {
 	rec := accounting.Record{
 		Kind:         kind,
 		Instance:     n.cfg.Self.Instance,
@@ -117,29 +117,29 @@
 }
 
 func (n *Node) recordStart(_ monotime.Instant, r *request) {
-	n.eff.Record(n.recordOf(r, accounting.RecordKindStart))
+	n.eff.Record(n.newRecord(r, accounting.RecordKindStart))
 }
 
 // recordDecision records a step for explain; age is how old the knowledge was
 // that the decision used.
 func (n *Node) recordDecision(now monotime.Instant, r *request, reason, message string, age time.Duration) {
-	rec := n.recordOf(r, accounting.RecordKindDecision)
+	rec := n.newRecord(r, accounting.RecordKindDecision)
 	rec.Reason = reason
 	rec.Message = message
-	rec.AgeMS = millis(age)
-	rec.TotalMS = millis(now.Sub(r.arrived))
+	rec.AgeMS = durationToMS(age)
+	rec.TotalMS = durationToMS(now.Sub(r.arrived))
 	n.eff.Record(rec)
 }
 
-// markLong records marks for requests that run.
-func (n *Node) markLong(now monotime.Instant) {
+// recordMarks records marks for requests that run.
+func (n *Node) recordMarks(now monotime.Instant) {
 	for r := n.order.head; r != nil; r = r.next {
 		if now.Sub(r.arrived) < markAfter || now.Sub(r.marked) < markEvery {
 			continue
 		}
 		r.marked = now
-		rec := n.recordOf(r, accounting.RecordKindMark)
-		rec.TotalMS = millis(now.Sub(r.arrived))
+		rec := n.newRecord(r, accounting.RecordKindMark)
+		rec.TotalMS = durationToMS(now.Sub(r.arrived))
 		n.eff.Record(rec)
 	}
 }
@@ -153,14 +153,14 @@
 
 func (n *Node) recordEnd(now monotime.Instant, r *request) {
 	err := r.err
-	rec := n.recordOf(r, accounting.RecordKindEnd)
-	rec.TotalMS = millis(now.Sub(r.arrived))
-	rec.QueueMS = millis(r.queued)
-	rec.WastedTokens = r.wasted
+	rec := n.newRecord(r, accounting.RecordKindEnd)
+	rec.TotalMS = durationToMS(now.Sub(r.arrived))
+	rec.QueueMS = durationToMS(r.queueTime)
+	rec.WastedTokens = r.wastedTokens
 	if r.progress != nil {
-		rec.GapP95MS = millis(r.progress.GapP95())
-		if first := r.progress.First(); first != 0 {
-			rec.FirstTokenMS = millis(first.Sub(r.arrived))
+		rec.GapP95MS = durationToMS(r.progress.GapP95())
+		if first := r.progress.FirstTokenAt(); first != 0 {
+			rec.FirstTokenMS = durationToMS(first.Sub(r.arrived))
 		}
 	}
 	if err != nil {
@@ -169,13 +169,13 @@
 		rec.Message = err.Message
 		rec.RetryAfterMS = int(err.RetryAfter / time.Millisecond)
 		if r.seq != 0 {
-			n.counts.failed(err)
+			n.counts.addFailed(err)
 		}
 	} else {
 		rec.Verdict = verdict.TextRan
 		rec.Delivered = r.delivered
 		rec.OnTime = r.delivered && onTime(now, r)
-		n.counts.served(rec.OnTime)
+		n.counts.addServed(rec.OnTime)
 	}
 	if r.progress != nil && !r.delivered {
 		rec.WastedTokens = r.tokens()
@@ -190,13 +190,13 @@
 	if class.Deadline > 0 && total > class.Deadline {
 		return false
 	}
-	if class.FirstToken > 0 && r.progress.First().Sub(r.arrived) > class.FirstToken {
+	if class.FirstToken > 0 && r.progress.FirstTokenAt().Sub(r.arrived) > class.FirstToken {
 		return false
 	}
 	return class.TokenGap == 0 || r.progress.GapP95() <= class.TokenGap
 }
 
-func millis(d time.Duration) float64 {
+func durationToMS(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
 
@@ -215,7 +215,7 @@
 	Retried uint64
 }
 
-func (c *Counts) failed(err *verdict.Error) {
+func (c *Counts) addFailed(err *verdict.Error) {
 	switch err.Verdict {
 	case verdict.NotRun:
 		c.NotRun++
@@ -226,7 +226,7 @@
 	}
 }
 
-func (c *Counts) served(onTime bool) {
+func (c *Counts) addServed(onTime bool) {
 	c.Served++
 	if onTime {
 		c.OnTime++
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -63,46 +63,46 @@
 // therefore one atomic step against each other.
 type request struct {
 	Request
-	seq     uint64
-	state   requestState
-	tier    int
-	arrived monotime.Instant
-	firstBy monotime.Instant
-	endBy   monotime.Instant
-
-	group   *catalog.Group
-	owner   string
-	askedAt monotime.Instant
-	// believed is what the choice of the group went by.
-	believed belief
+	seq          uint64
+	state        requestState
+	tier         int
+	arrived      monotime.Instant
+	firstTokenBy monotime.Instant
+	endBy        monotime.Instant
+
+	group       *catalog.Group
+	owner       string
+	requestedAt monotime.Instant
+	// estimate is what the choice of the group went by.
+	estimate waitEstimate
 	// lostOwner says that an owner left this request without an answer.
-	lostOwner bool
-	skip      []string
-	avoid     string
-	held      bool
-	// unpermitted requests wait for the customer's limit, not for a slot.
-	unpermitted bool
-
-	attempt  int
-	engine   *catalog.Engine
-	priority int
-	started  monotime.Instant
-	resumes  int
-	resumeAt monotime.Instant
-	progress *Progress
-	charged  int
-	limited  int // tokens charged to the customer's limit
-
-	worst     verdict.Verdict
-	queued    time.Duration
-	wasted    int
-	gone      bool
-	delivered bool
-	err       *verdict.Error
-	ended     monotime.Instant
-	marked    monotime.Instant
-	prev      *request
-	next      *request
+	lostOwner     bool
+	refusedBy     []string
+	avoidEngine   string
+	grantDeferred bool
+	// awaitingPermit requests wait for the customer's limit, not for a slot.
+	awaitingPermit bool
+
+	attempt        int
+	engine         *catalog.Engine
+	priority       int
+	started        monotime.Instant
+	resumes        int
+	resumeAt       monotime.Instant
+	progress       *Progress
+	reportedTokens int
+	chargedTokens  int // tokens charged to the customer's limit
+
+	worstVerdict verdict.Verdict
+	queueTime    time.Duration
+	wastedTokens int
+	callerGone   bool
+	delivered    bool
+	err          *verdict.Error
+	ended        monotime.Instant
+	marked       monotime.Instant
+	prev         *request
+	next         *request
 }
 
 // giveUpAt is when a waiting request can no longer be answered usefully.
--- a/internal/node/retry.go
+++ b/internal/node/retry.go
@@ -14,12 +14,12 @@
 	retryBurst = 10
 )
 
-func (b *retryBudget) served() {
+func (b *retryBudget) credit() {
 	b.tokens = min(b.tokens+b.share, retryBurst)
 }
 
-// take reports whether a retry may be made, and counts it.
-func (b *retryBudget) take() bool {
+// tryTake reports whether a retry may be made, and counts it.
+func (b *retryBudget) tryTake() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/node/search_test.go
+++ b/internal/node/search_test.go
@@ -30,12 +30,12 @@
 		}
 		w.faults = false
 		clear(w.cut)
-		w.views()
+		w.publishViews()
 		w.Run(15 * time.Second)
 		if left := w.unanswered(); len(left) > 0 {
 			t.Errorf("seed %d: no answer for %v", seed, left)
 		}
-		w.report()
+		w.reportFailures()
 		steps += w.Events()
 		requests += len(w.calls)
 		if t.Failed() {
@@ -56,13 +56,13 @@
 	case 1:
 		w.crash(p)
 	case 2:
-		w.views()
+		w.publishViews()
 	case 3:
 		w.cutLink(p)
 	case 4:
 		w.publishWithdrawal()
 	case 5, 6:
-		w.callerLeaves()
+		w.disconnectCaller()
 	case 7, 8, 9:
 		w.sendAgain(p)
 	default:
@@ -74,16 +74,16 @@
 
 func (w *world) crash(p *proc) {
 	for _, c := range w.calls {
-		if c.at == p && len(c.verdicts) < c.submits {
+		if c.target == p && len(c.verdicts) < c.submits {
 			c.orphaned = true
 		}
 	}
 	p.dead = true
-	p.asleep = 0
+	p.pausedUntil = 0
 	w.After(w.between(time.Millisecond, 2*time.Second), func() {
 		if p.dead {
 			p.boot()
-			w.views()
+			w.publishViews()
 		}
 	})
 }
@@ -122,23 +122,23 @@
 		return
 	}
 	c := w.sent[w.rng.IntN(len(w.sent))]
-	if c.class == nil || c.at == p && len(c.verdicts) < c.submits {
+	if c.class == nil || c.target == p && len(c.verdicts) < c.submits {
 		return
 	}
 	p.deliver(p.self, func() { w.submit(p, c, c.class.Name) })
 }
 
-func (w *world) callerLeaves() {
+func (w *world) disconnectCaller() {
 	var pick *call
 	latest := monotime.Instant(0)
 	for _, c := range w.calls {
-		if len(c.verdicts) == 0 && c.at.started >= latest && (pick == nil || c.id > pick.id) {
+		if len(c.verdicts) == 0 && c.target.started >= latest && (pick == nil || c.id > pick.id) {
 			pick = c
 		}
 	}
 	if pick == nil {
 		return
 	}
-	p := pick.at
+	p := pick.target
 	p.deliver(p.self, func() { p.node.CallerGone(p.clock(), pick.id) })
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -61,7 +61,7 @@
 
 // Status returns what the node believes.
 func (n *Node) Status(now monotime.Instant) Status {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	s := Status{
 		Requests:    len(n.requests),
@@ -89,7 +89,7 @@
 		g := n.owned[name]
 		s.Owned = append(s.Owned, OwnedStatus{
 			Group: name,
-			IdleS: float64(now.Sub(g.used)) / float64(time.Second),
+			IdleS: float64(now.Sub(g.lastUsed)) / float64(time.Second),
 			Stats: g.sched.Stats(),
 		})
 	}
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -23,35 +23,35 @@
 // Submit admits a request and returns its number at this node. A refusal is
 // always NotRun, except for an id that was taken before or has expired.
 func (n *Node) Submit(now monotime.Instant, in Request) (uint64, *verdict.Error) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	cat := n.catalog.Load()
-	if err := n.admissible(cat); err != nil {
+	if err := n.checkAdmission(cat); err != nil {
 		n.recordRefused(now, in, err)
 		return 0, err
 	}
-	if err := n.claim(now, in); err != nil {
+	if err := n.claimID(now, in); err != nil {
 		n.recordRefused(now, in, err)
 		return 0, err
 	}
-	permitted, err := n.permit(now, in)
+	permitted, err := n.checkLimits(now, in)
 	if err != nil {
 		n.ids.Forget(in.ID)
 		n.recordRefused(now, in, err)
 		return 0, err
 	}
-	r := n.add(now, cat, in)
+	r := n.addRequest(now, cat, in)
 	n.recordStart(now, r)
 	if permitted == limits.Waiting {
-		n.hold(r)
+		n.awaitPermit(r)
 		return r.seq, nil
 	}
-	n.acquire(now, r)
+	n.acquireSlot(now, r)
 	return r.seq, nil
 }
 
-// admissible checks what does not depend on the request.
-func (n *Node) admissible(cat *catalog.Catalog) *verdict.Error {
+// checkAdmission checks what does not depend on the request.
+func (n *Node) checkAdmission(cat *catalog.Catalog) *verdict.Error {
 	switch {
 	case cat == nil:
 		return verdict.New(verdict.NotRun, verdict.ReasonNotReady,
@@ -69,10 +69,10 @@
 	return nil
 }
 
-// claim takes the id. A repeated request is refused here, at the one process
+// claimID takes the id. A repeated request is refused here, at the one process
 // that may ever have started the first: a second instance cannot know, and a
 // later incarnation does not accept the id.
-func (n *Node) claim(now monotime.Instant, in Request) *verdict.Error {
+func (n *Node) claimID(now monotime.Instant, in Request) *verdict.Error {
 	id, err := reqid.Parse(in.ID)
 	if err != nil {
 		return verdict.Wrap(verdict.NotRun, verdict.ReasonBadRequest, err)
@@ -99,7 +99,7 @@
 	}
 }
 
-func (n *Node) add(now monotime.Instant, cat *catalog.Catalog, in Request) *request {
+func (n *Node) addRequest(now monotime.Instant, cat *catalog.Catalog, in Request) *request {
 	n.nextSeq++
 	r := &request{
 		Request: in,
@@ -108,7 +108,7 @@
 		arrived: now,
 	}
 	if in.Class.FirstToken > 0 {
-		r.firstBy = now.Add(in.Class.FirstToken)
+		r.firstTokenBy = now.Add(in.Class.FirstToken)
 	}
 	if in.Class.Deadline > 0 {
 		r.endBy = now.Add(in.Class.Deadline)
@@ -116,44 +116,44 @@
 	n.requests[r.seq] = r
 	n.byID[r.ID] = r
 	n.order.push(r)
-	n.budget.served()
+	n.budget.credit()
 	n.counts.Admitted++
 	return r
 }
 
-// acquire asks the owner of a group for a slot.
-func (n *Node) acquire(now monotime.Instant, r *request) {
+// acquireSlot asks the owner of a group for a slot.
+func (n *Node) acquireSlot(now monotime.Instant, r *request) {
 	cat := n.catalog.Load()
 	r.state = stateWaiting
-	r.held = false
-	r.askedAt = now
-	r.group = n.picker.Pick(now, cat, n.askFor(r), n.rng)
+	r.grantDeferred = false
+	r.requestedAt = now
+	r.group = n.picker.Pick(now, cat, n.routeQuery(r), n.rng)
 	if r.group == nil {
 		n.refuse(now, r, verdict.New(verdict.NotRun, verdict.ReasonNoServer,
 			fmt.Sprintf("no server in service offers %s", r.Class.Target)).After(retryWhenNotReady))
 		return
 	}
-	n.ask(now, r)
+	n.requestSlot(now, r)
 }
 
-func (n *Node) askFor(r *request) route.Ask {
+func (n *Node) routeQuery(r *request) route.Ask {
 	return route.Ask{
 		Target:       r.Class.Target,
 		DataCentre:   n.cfg.DataCentre,
 		Tier:         r.tier,
 		Prefix:       r.Prefix,
 		PromptTokens: r.PromptTokens,
-		Skip:         r.skip,
+		Skip:         r.refusedBy,
 	}
 }
 
-// ask sends the acquire for the group already picked.
-func (n *Node) ask(now monotime.Instant, r *request) {
-	r.owner = n.ownerFor(now, r)
-	r.believed = n.beliefOf(now, r)
+// requestSlot sends the acquire for the group already picked.
+func (n *Node) requestSlot(now monotime.Instant, r *request) {
+	r.owner = n.ownerForRequest(now, r)
+	r.estimate = n.waitEstimateOf(now, r)
 	msg := n.acquireMessage(now, r)
 	if r.owner == n.self() {
-		n.submitOwned(now, n.self(), msg)
+		n.onAcquire(now, n.self(), msg)
 		return
 	}
 	n.sendAcquire(now, r.owner, msg)
@@ -168,15 +168,15 @@
 		Tier:         r.tier,
 		PromptTokens: r.PromptTokens,
 		Prefix:       int(r.Prefix),
-		BudgetMS:     budgetMS(now, r.firstBy),
+		BudgetMS:     budgetMS(now, r.firstTokenBy),
 		EndBudgetMS:  budgetMS(now, r.endBy),
-		Avoid:        r.avoid,
-		HoldMS:       n.holdMS(r),
+		Avoid:        r.avoidEngine,
+		HoldMS:       n.expectedHoldMS(r),
 	}
 }
 
-// holdMS is how long requests of the class hold a slot, as this node measured.
-func (n *Node) holdMS(r *request) int {
+// expectedHoldMS is how long requests of the class hold a slot, as this node measured.
+func (n *Node) expectedHoldMS(r *request) int {
 	return int(n.measures.ExpectedHold(r.Class) / time.Millisecond)
 }
 
@@ -191,17 +191,17 @@
 
 // reroute asks again for the waiting requests that match.
 func (n *Node) reroute(now monotime.Instant, match func(*request) bool) {
-	n.eachWaiting(match, func(r *request) {
+	n.forEachWaiting(match, func(r *request) {
 		n.withdraw(now, r)
-		n.acquire(now, r)
+		n.acquireSlot(now, r)
 	})
 }
 
-// eachWaiting calls do for the waiting requests that match. It looks at the
+// forEachWaiting calls do for the waiting requests that match. It looks at the
 // state again before each call: taking one request back can free a slot of a
 // group owned here, which starts another of the list at that moment. Asking
 // for that one again would let it run twice and be told "not run".
-func (n *Node) eachWaiting(match func(*request) bool, do func(*request)) {
+func (n *Node) forEachWaiting(match func(*request) bool, do func(*request)) {
 	var list []*request
 	for r := n.order.head; r != nil; r = r.next {
 		if r.state == stateWaiting && match(r) {
@@ -215,13 +215,13 @@
 	}
 }
 
-// misowned reports a waiting request whose group has another owner by now.
-func (n *Node) misowned(r *request) bool {
+// ownerChanged reports a waiting request whose group has another owner by now.
+func (n *Node) ownerChanged(r *request) bool {
 	return r.group != nil && n.ownerOf(r.group) != r.owner
 }
 
-// stale reports a waiting request whose group left the configuration.
-func (n *Node) stale(r *request) bool {
+// groupRemoved reports a waiting request whose group left the configuration.
+func (n *Node) groupRemoved(r *request) bool {
 	return r.group != nil && n.catalog.Load().Groups[r.group.Name] == nil
 }
 
@@ -232,7 +232,7 @@
 	}
 	msg := wire.Withdraw{Seq: int(r.seq), Group: r.group.Name}
 	if r.owner == n.self() {
-		n.withdrawOwned(now, n.self(), msg)
+		n.onWithdraw(now, n.self(), msg)
 		return
 	}
 	n.eff.Send(r.owner, &wire.Envelope{Withdraws: []wire.Withdraw{msg}})
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -36,31 +36,31 @@
 	sent      []*call
 	cut       map[[2]string]bool
 	faults    bool
-	bad       []string
+	failures  []string
 }
 
 // proc is one process with its pauses.
 type proc struct {
-	w       *world
-	name    string
-	started monotime.Instant
-	node    *Node
-	self    reqid.Incarnation
-	dead    bool
-	asleep  monotime.Instant
-	missed  []func()
+	w             *world
+	name          string
+	started       monotime.Instant
+	node          *Node
+	self          reqid.Incarnation
+	dead          bool
+	pausedUntil   monotime.Instant
+	deferredCalls []func()
 }
 
 // call is what a caller sent and what it was told.
 type call struct {
 	id       string
 	class    *catalog.Class
-	at       *proc
+	target   *proc
 	submits  int
 	verdicts []verdict.Verdict
 	err      *verdict.Error // with the last verdict, nil for a whole answer
 	customer string
-	whole    bool
+	complete bool
 	orphaned bool
 }
 
@@ -87,7 +87,7 @@
 		w.procs = append(w.procs, p)
 		p.boot()
 	}
-	w.views()
+	w.publishViews()
 	return w
 }
 
@@ -118,23 +118,23 @@
 }
 
 func (w *world) fail(format string, args ...any) {
-	w.bad = append(w.bad, fmt.Sprintf("at %v: ", time.Duration(w.Now()))+fmt.Sprintf(format, args...))
+	w.failures = append(w.failures, fmt.Sprintf("at %v: ", time.Duration(w.Now()))+fmt.Sprintf(format, args...))
 }
 
 func (w *world) chance(percent int) bool {
 	return w.faults && w.rng.IntN(100) < percent
 }
 
-func (w *world) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.rng.Int64N(int64(most-least)))
+func (w *world) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(w.rng.Int64N(int64(high-low)))
 }
 
 // boot starts a new incarnation, which knows nothing of the one before.
 func (p *proc) boot() {
 	w := p.w
 	p.dead = false
-	p.asleep = 0
-	p.missed = nil
+	p.pausedUntil = 0
+	p.deferredCalls = nil
 	p.started = w.Now()
 	p.self = reqid.NewIncarnation(p.name, time.UnixMilli(int64(w.Now())/int64(time.Millisecond)), w.rng.Uint32())
 	p.node = New(Config{Self: p.self, DataCentre: "a", Policy: sched.Default(), Seed: w.rng.Uint64()}, &effects{p: p, self: p.self})
@@ -152,8 +152,8 @@
 	if p.dead || p.self != self {
 		return
 	}
-	if p.w.Now() < p.asleep {
-		p.missed = append(p.missed, do)
+	if p.w.Now() < p.pausedUntil {
+		p.deferredCalls = append(p.deferredCalls, do)
 		return
 	}
 	do()
@@ -163,7 +163,7 @@
 	if p.dead || p.self != self {
 		return
 	}
-	if p.w.Now() >= p.asleep {
+	if p.w.Now() >= p.pausedUntil {
 		p.node.Tick(p.clock())
 	}
 	p.w.After(TickInterval, func() { p.tick(self) })
@@ -175,14 +175,14 @@
 	if p.dead {
 		return
 	}
-	p.asleep = p.w.Now().Add(d)
+	p.pausedUntil = p.w.Now().Add(d)
 	self := p.self
 	p.w.After(d, func() {
 		if p.self != self {
 			return
 		}
-		missed := p.missed
-		p.missed = nil
+		missed := p.deferredCalls
+		p.deferredCalls = nil
 		for _, do := range missed {
 			p.deliver(self, do)
 		}
@@ -202,8 +202,8 @@
 	})
 }
 
-// views gives every process a view; with faults, views are partly wrong.
-func (w *world) views() {
+// publishViews gives every process a view; with faults, publishViews are partly wrong.
+func (w *world) publishViews() {
 	for _, p := range w.procs {
 		view := &membership.View{Known: len(w.procs)}
 		for _, q := range w.procs {
@@ -264,10 +264,10 @@
 	case w.chance(10):
 		end(soon, verdict.New(verdict.MayHaveRun, verdict.ReasonUpstreamLost, "connection reset"))
 	case w.chance(10):
-		a.Progress.Token(p.clock())
+		a.Progress.RecordToken(p.clock())
 		end(soon, verdict.New(verdict.Ran, verdict.ReasonUpstreamLost, "cut off"))
 	default:
-		a.Progress.Token(p.clock())
+		a.Progress.RecordToken(p.clock())
 		end(soon, nil)
 	}
 }
@@ -291,9 +291,9 @@
 	if err != nil {
 		v = err.Verdict
 	}
-	e.p.w.told(c, v)
+	e.p.w.recordVerdict(c, v)
 	c.err = err
-	c.whole = err == nil
+	c.complete = err == nil
 	p, self := e.p, e.self
 	p.w.After(time.Millisecond, func() {
 		p.deliver(self, func() { p.node.Delivered(p.clock(), id) })
@@ -312,7 +312,7 @@
 		return nil
 	}
 	prefix, _ := p.self.Prefix(time.UnixMilli(int64(w.Now())/int64(time.Millisecond)), IDLifetime)
-	c := &call{id: fmt.Sprintf("%sx%d", prefix, len(w.calls)), at: p, customer: customer}
+	c := &call{id: fmt.Sprintf("%sx%d", prefix, len(w.calls)), target: p, customer: customer}
 	w.calls[c.id] = c
 	w.sent = append(w.sent, c)
 	p.deliver(p.self, func() { w.submit(p, c, class) })
@@ -326,21 +326,21 @@
 	_, err := p.node.Submit(p.clock(), Request{ID: c.id, Customer: cat.Customers[c.customer], Class: c.class, PromptTokens: 100})
 	if err != nil {
 		c.err = err
-		w.told(c, err.Verdict)
+		w.recordVerdict(c, err.Verdict)
 	}
 }
 
-// told takes a verdict down. "Not run" must be true when it is said; a caller
+// recordVerdict takes a verdict down. "Not run" must be true when it is said; a caller
 // that then sends the same id again may have it run.
-func (w *world) told(c *call, v verdict.Verdict) {
+func (w *world) recordVerdict(c *call, v verdict.Verdict) {
 	c.verdicts = append(c.verdicts, v)
 	if v == verdict.NotRun && len(w.runs[c.id]) > 0 {
 		w.fail("%s was told not run, but ran as %v", c.id, w.runs[c.id])
 	}
 }
 
-// check compares what engines ran with what callers were told.
-func (w *world) check() {
+// checkVerdicts compares what engines ran with what callers were told.
+func (w *world) checkVerdicts() {
 	for id, c := range w.calls {
 		runs := w.runs[id]
 		if c.class != nil && !c.class.Idempotent && len(runs) > 1 {
@@ -361,17 +361,17 @@
 func (w *world) unanswered() []string {
 	var out []string
 	for id, c := range w.calls {
-		if len(c.verdicts) < c.submits && !c.orphaned && !c.at.dead && strings.Contains(id, c.at.self.Token) {
+		if len(c.verdicts) < c.submits && !c.orphaned && !c.target.dead && strings.Contains(id, c.target.self.Token) {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-func (w *world) report() {
+func (w *world) reportFailures() {
 	w.t.Helper()
-	w.check()
-	for _, problem := range w.bad {
+	w.checkVerdicts()
+	for _, problem := range w.failures {
 		w.t.Error(problem)
 	}
 }
--- a/internal/replay/call.go
+++ b/internal/replay/call.go
@@ -138,7 +138,7 @@
 	c.tokens++
 	c.last = at
 	if c.class.Kind == inventory.ClassKindModel {
-		st.attempt.Progress.Token(at)
+		st.attempt.Progress.RecordToken(at)
 	}
 }
 
