--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -11,11 +11,13 @@
 )
 
 const (
-	// maxResumes bounds resumptions of one attempt in a row without progress.
+	// maxResumes bounds the resumptions of one attempt. With the doubling backoff, four
+	// take at least 750 ms; a larger value delays the retry or the error.
 	maxResumes = 4
-	// resumeBackoff is the first wait before a resumption; it doubles.
+	// resumeBackoff is the wait before the first resumption. It doubles with each further
+	// one.
 	resumeBackoff = 50 * time.Millisecond
-	// attemptSeparator stands between a request id and the number of an attempt.
+	// attemptSeparator separates the request id from the attempt number in an attempt id.
 	attemptSeparator = "."
 )
 
@@ -31,7 +33,8 @@
 	}
 }
 
-// AttemptEnded tells how an attempt ended; err is nil for a whole answer.
+// AttemptEnded reports the end of an attempt; err is nil for a complete answer. Reports of
+// any attempt but the current one are ignored.
 func (n *Node) AttemptEnded(now monotime.Instant, seq uint64, number int, err *verdict.Error) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
@@ -60,7 +63,7 @@
 	}
 }
 
-// failureOutcome tells the owner what to think of the engine.
+// failureOutcome returns the outcome of a failed attempt that is reported to the owner.
 func failureOutcome(err *verdict.Error) sched.Outcome {
 	if err.Verdict == verdict.NotRun && err.Reason == verdict.ReasonUpstreamRefused {
 		return sched.Refused
@@ -68,17 +71,17 @@
 	return sched.Failed
 }
 
-// finalError carries the verdict over all attempts: an earlier one may have run
-// even if the last one did not.
+// finalError returns err with the worst verdict of all attempts: an earlier attempt may
+// have run even if the last one did not.
 func (n *Node) finalError(r *request, err *verdict.Error) *verdict.Error {
 	out := *err
 	out.Verdict = r.worstVerdict
 	return &out
 }
 
-// canResume reports whether the same run can go on over a new connection. Model
-// engines keep generating for a while after a connection is lost; application
-// servers do not, and asking one again would run the call twice.
+// canResume reports whether the same run can continue over a new connection. Model engines
+// keep generating for a while after a connection is lost. Application servers do not: a
+// second request would execute the call twice.
 func (n *Node) canResume(r *request, err *verdict.Error) bool {
 	lost := err.Reason == verdict.ReasonUpstreamLost || err.Reason == verdict.ReasonUpstreamSilent ||
 		err.Reason == verdict.ReasonConnect
@@ -99,9 +102,9 @@
 	n.eff.Start(attempt)
 }
 
-// canRetry reports whether the request may start again elsewhere. A request
-// that is not idempotent may only when this attempt surely did not run. One of
-// which tokens were relayed may not: another run would give another text.
+// canRetry reports whether the request may be started again elsewhere. A request that is
+// not idempotent may be only if no attempt can have run. A request of which tokens were
+// relayed may not: another run would produce a different text.
 func (n *Node) canRetry(now monotime.Instant, r *request, err *verdict.Error) bool {
 	safe := r.worstVerdict == verdict.NotRun || r.Class.Idempotent
 	if !safe || r.late(now) || r.callerGone || r.tokens() > 0 || err.Reason == verdict.ReasonUpstreamError {
@@ -118,7 +121,7 @@
 	n.acquireSlot(now, r)
 }
 
-// endAttempt gives the slot of the attempt back.
+// endAttempt releases the slot of the attempt with its statistics.
 func (n *Node) endAttempt(now monotime.Instant, r *request, outcome sched.Outcome) {
 	n.chargeLimit(now, r)
 	tokens := r.tokens()
--- a/internal/node/batched_test.go
+++ b/internal/node/batched_test.go
@@ -16,8 +16,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// outbox is the other end of a node's links: it keeps what was sent, joined into
-// one message for each receiver as the links do.
+// outbox is the other end of a node's links. It batches what was sent into one message for
+// each receiver, as the links do.
 type outbox struct {
 	batched map[string]*wire.Envelope
 	started []Attempt
@@ -51,8 +51,7 @@
 	return env
 }
 
-// newBatchedNode returns a node that knows the members and two engines with a slot
-// each.
+// newBatchedNode returns a node with the given members and two engines of one slot each.
 func newBatchedNode(id string, members ...string) (*Node, *outbox) {
 	out := &outbox{batched: make(map[string]*wire.Envelope)}
 	inv := &inventory.Inventory{
@@ -86,11 +85,10 @@
 		Class: int(cat.Classes["c"].Hash), Customer: int(cat.Customers["c"].Hash)}
 }
 
-// What the caller sees: its request is tried at another engine than the one that
-// just failed. The entry instance gives the slot back and asks again under the
-// same number, and the links join both messages into one. Were the question
-// taken first, the owner would answer with the slot it knows, at the engine that
-// failed, and then forget that it is in use.
+// Guards against a retry at the engine that just failed. The entry instance releases the
+// slot and acquires another under the same number, and the links batch both into one
+// message. If the acquire were applied first, the owner would answer with the recorded
+// slot, at the failed engine, and then mark it as free.
 func TestReleaseAndAcquireInOneMessage(t *testing.T) {
 	n, out := newBatchedNode("owner", "owner")
 	n.OnEnvelope(1, "entry", &wire.Envelope{Acquires: []wire.Acquire{newAcquire(n, 7, "")}})
@@ -109,9 +107,9 @@
 	}
 }
 
-// What the engines see: no more requests than they have slots. The owner of a
-// group leaves while an instance has requests running there and waiting. The new
-// owner gets both in one message and must first learn what runs.
+// Guards against more requests at an engine than it has slots. The owner of a group leaves
+// while an instance has requests running and waiting there. The new owner receives both in
+// one message and must record the running ones first.
 func TestNewOwnerLearnsWhatRunsBeforeItGrants(t *testing.T) {
 	entry, sent := newBatchedNode("entry", "entry")
 	group := entry.Catalog().GroupList[0]
@@ -138,10 +136,10 @@
 	}
 }
 
-// What the engines see: no more requests than they have slots. The link to an
-// owner broke for a moment and the entry instance scheduled for itself. When the
-// link is back, the owner may be a new process, or have let the leases lapse; it
-// must be told which engine each slot is at, not only that it is held.
+// Guards against more requests at an engine than it has slots. The link to an owner broke
+// for a moment and the entry instance scheduled for itself. When the link is restored, the
+// owner may be a new process or its leases may have expired, so it must receive the engine
+// of each slot, not only that it is held.
 func TestReturningOwnerReceivesEngineOfHeldSlot(t *testing.T) {
 	entry, sent := newBatchedNode("entry", "entry")
 	group := entry.Catalog().GroupList[0]
@@ -158,12 +156,11 @@
 	entry.Tick(monotime.Instant(3 * time.Second))
 	progress := sent.take(owner).Progress
 	if len(progress) != 1 || progress[0].Items[0].Engine != "s2/e" {
-		t.Errorf("told the owner %+v", progress)
+		t.Errorf("reported to the owner: %+v", progress)
 	}
 }
 
-// twoOtherOwners returns two ids that own the group in a fleet of themselves and
-// the node.
+// twoOtherOwners returns two ids that own the group in a fleet of themselves and the node.
 func twoOtherOwners(n *Node, group *catalog.Group) (owners [2]string) {
 	found := 0
 	for i := 0; found < len(owners); i++ {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -5,23 +5,24 @@
 	"basilrudder/internal/verdict"
 )
 
-// Drain makes the node refuse new requests. Those it holds go on to their end.
+// Drain makes the node refuse new requests. Admitted requests continue to their end.
 func (n *Node) Drain(_ monotime.Instant) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.draining = true
 }
 
-// Drained reports whether no request is held any more.
+// Drained reports whether the node drains and holds neither requests nor undelivered
+// answers.
 func (n *Node) Drained() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.draining && len(n.requests) == 0 && len(n.undelivered) == 0
 }
 
-// RefuseWaiting ends the requests that have not started, for a process that ends
-// before its drain is over. They surely did not run, and their callers can be
-// told so as long as the process lives.
+// RefuseWaiting refuses the requests that have not started, for a process that exits
+// before its drain is complete. They certainly did not run, and their callers can be sent
+// that verdict only while the process lives.
 func (n *Node) RefuseWaiting(now monotime.Instant) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/engine_reports.go
+++ b/internal/node/engine_reports.go
@@ -6,8 +6,8 @@
 	"basilrudder/internal/schema/inventory"
 )
 
-// OwnedEngines returns the ids of the model engines in the groups that this node
-// owns: those whose load and cache events it should ask for.
+// OwnedEngines returns the ids of the model engines in the groups that this node owns:
+// those whose load and cache events it polls.
 func (n *Node) OwnedEngines() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/envelope.go
+++ b/internal/node/envelope.go
@@ -5,12 +5,12 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// OnEnvelope takes the parts of a peer's message that concern slots. Messages that
-// were joined into one lose their order, so the parts are taken in one that is
-// right for all: an instance that tries a request again gives its slot back and
-// asks for another under the same number, and a new owner must know which slots
-// are in use before it gives any. Progress goes before releases, which end it,
-// and acquires before withdrawals.
+// OnEnvelope applies the parts of a peer's message that concern slots and permits.
+// Batching several messages into one loses their order, so the parts are applied in a
+// fixed order that is correct for every batch. An instance that retries a request releases
+// its slot and acquires another under the same number, and a new owner must record the
+// slots in use before it grants any. So progress comes before releases, which end it, then
+// acquires, then withdrawals.
 func (n *Node) OnEnvelope(now monotime.Instant, from string, env *wire.Envelope) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
--- a/internal/node/expire.go
+++ b/internal/node/expire.go
@@ -9,12 +9,12 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// renewalsPerLease is how often a holder renews within one lease, so that two
-// lost messages in a row cost no slot.
+// renewalsPerLease is the number of renewals that a holder sends within one lease. With 3,
+// two lost messages in a row cost no slot.
 const renewalsPerLease = 3
 
-// expireRequests refuses waiting requests whose deadline has passed, asks again
-// where an owner fell silent, and starts resumptions that are due.
+// expireRequests starts resumptions that are due and refuses waiting requests whose
+// deadline or queue wait limit has passed.
 func (n *Node) expireRequests(now monotime.Instant) {
 	for r := n.order.head; r != nil; r = r.next {
 		if r.state == stateResuming && !now.Before(r.resumeAt) {
@@ -28,7 +28,8 @@
 	})
 }
 
-// renewLeases tells owners which slots are still in use, and the tokens since.
+// renewLeases reports to the owners which slots are still in use, and the tokens relayed
+// since the last report.
 func (n *Node) renewLeases(now monotime.Instant) {
 	cat := n.catalog.Load()
 	if cat == nil {
@@ -43,8 +44,8 @@
 	n.recordMarks(now)
 }
 
-// renewAtNewOwners tells a new owner at once what runs in its group, so that it does
-// not hand out slots that are in use.
+// renewAtNewOwners reports running requests to a new owner of their group at once, so that
+// it does not grant slots that are in use.
 func (n *Node) renewAtNewOwners(now monotime.Instant) {
 	n.renew(now, func(r *request) bool { return n.ownerOf(r.group) != r.owner })
 }
@@ -54,12 +55,12 @@
 	group *catalog.Group
 }
 
-// progressItem is what an owner that gave the slot needs.
+// progressItem returns what the owner that granted the slot needs for a renewal.
 func progressItem(r *request, tokens int) wire.ProgressItem {
 	return wire.ProgressItem{Seq: int(r.seq), Tokens: tokens}
 }
 
-// adoptionItem is what a new owner needs to take the slot into its books.
+// adoptionItem returns what a new owner needs to record the slot.
 func (n *Node) adoptionItem(r *request, tokens int) wire.ProgressItem {
 	item := progressItem(r, tokens)
 	item.Engine = r.engine.ID
@@ -103,7 +104,7 @@
 	n.eff.Send(owner, &wire.Envelope{Progress: []wire.Progress{msg}})
 }
 
-// release gives a slot back to the owner.
+// release returns a slot to its owner, with the result of the attempt.
 func (n *Node) release(now monotime.Instant, owner, group string, seq uint64, result sched.Result) {
 	msg := wire.Release{
 		Seq:          int(seq),
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -8,12 +8,13 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// waitEstimate is what this node knew of a group when it asked it for a slot.
+// waitEstimate is this node's estimate of a group's wait when it requested a slot.
 type waitEstimate struct {
-	// backlog is the wait that the group told last; known says whether it did.
+	// backlog is the wait that the group reported last; reported is false if there was
+	// none.
 	backlog  time.Duration
 	reported bool
-	// age of that knowledge.
+	// age of that report.
 	age time.Duration
 }
 
@@ -25,7 +26,7 @@
 	return waitEstimate{backlog: backlog, reported: true, age: age}
 }
 
-// Explanation tells the belief to an operator.
+// String describes the estimate for an operator.
 func (b waitEstimate) String() string {
 	if !b.reported {
 		return "no wait was known of the group"
@@ -42,7 +43,7 @@
 		r.estimate, from, roundMS(now.Sub(r.requestedAt)), msToDuration(f.BacklogMS))
 }
 
-// roundMS rounds for reading.
+// roundMS rounds to milliseconds for display.
 func roundMS(d time.Duration) time.Duration {
 	return d.Round(time.Millisecond)
 }
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -10,12 +10,12 @@
 	"basilrudder/internal/verdict"
 )
 
-// maxGroupsPerRequest bounds how many groups one request asks after a refusal. A second
-// one pays when the backlogs this node knew were out of date; more would only
-// delay the refusal.
+// maxGroupsPerRequest bounds the groups that one request tries. A second group helps when
+// this node's backlog estimates are out of date; more would only delay the refusal.
 const maxGroupsPerRequest = 3
 
-// onGrant takes a slot that the owner from granted.
+// onGrant handles a slot granted by an owner. A grant that no waiting request matches is
+// released at once, and so is one that arrives while dispatch is held back.
 func (n *Node) onGrant(now monotime.Instant, from string, g wire.Grant) {
 	r := n.requests[uint64(g.Seq)]
 	if r == nil || r.state != stateWaiting || r.owner != from || r.group.Name != g.Group {
@@ -31,9 +31,9 @@
 	n.dispatch(now, r, g)
 }
 
-// dispatch starts the request at the granted engine. The checks come after every
-// wait and just before the start: a grant may have been overtaken by a deadline
-// or a withdrawal of the server while this process did not run.
+// dispatch starts the request at the granted engine. The checks come after every wait and
+// just before the start: while this process did not run, the deadline may have passed or
+// the server may have been withdrawn.
 func (n *Node) dispatch(now monotime.Instant, r *request, g wire.Grant) {
 	engine := n.usableEngine(g)
 	late := r.late(now)
@@ -51,8 +51,8 @@
 	n.start(now, r, engine, g.Priority)
 }
 
-// usableEngine returns the engine of a grant if this node's configuration lets it get
-// new work.
+// usableEngine returns the engine of a grant, or nil if this node's configuration does not
+// have it or has its server withdrawn.
 func (n *Node) usableEngine(g wire.Grant) *catalog.Engine {
 	engine := n.catalog.Load().Engines[g.Server+"/"+g.Engine]
 	if engine == nil || engine.Server.Spec.Withdrawn {
@@ -77,7 +77,7 @@
 	n.eff.Start(n.currentAttempt(r))
 }
 
-// onRefuse takes the refusal of a slot.
+// onRefuse handles an owner's refusal of a slot.
 func (n *Node) onRefuse(now monotime.Instant, from string, f wire.Refuse) {
 	r := n.requests[uint64(f.Seq)]
 	if r == nil || r.state != stateWaiting || r.owner != from || r.group.Name != f.Group {
@@ -94,7 +94,8 @@
 	n.refuse(now, r, err)
 }
 
-// tryOtherGroup asks another group, if there is one that was not just refused.
+// tryOtherGroup requests a slot from a group that has not refused the request. It reports
+// whether there is one.
 func (n *Node) tryOtherGroup(now monotime.Instant, r *request) bool {
 	cat := n.catalog.Load()
 	group := n.picker.Pick(now, cat, n.routeQuery(r), n.rng)
@@ -107,8 +108,8 @@
 	return true
 }
 
-// CallerGone tells that the caller of a request has vanished. Idempotent work
-// is cancelled; other work goes on, and its answer is kept for the caller.
+// CallerGone reports that the caller of a request has disconnected. Idempotent work is
+// cancelled; other work continues, and its answer is kept for the caller.
 func (n *Node) CallerGone(now monotime.Instant, id string) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
@@ -126,7 +127,7 @@
 	}
 }
 
-// refuse ends a waiting request at once.
+// refuse ends a waiting request with err, whose verdict becomes the worst of its attempts.
 func (n *Node) refuse(now monotime.Instant, r *request, err *verdict.Error) {
 	err.Verdict = verdict.Worse(err.Verdict, r.worstVerdict)
 	n.finish(now, r, err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,11 +1,11 @@
-// Package node is one instance without its I/O: it follows each request from
-// admission to its end, and owns the scheduling groups that fall to the
-// instance. It takes the current instant with every call and acts through
-// Effects, so that the daemon and a replay run the same decisions.
+// Package node is one instance without its I/O. It follows each request from admission to
+// its end and runs the scheduling groups that the instance owns. Every call passes the
+// current instant and all output goes through Effects, so the daemon and a replay execute
+// the same decisions.
 //
-// Only the node that admitted a request ever starts it at an upstream; the
-// owner of a group hands out slots and never writes to one. Two owners of a
-// group in a partition therefore cost quality, never safety.
+// Only the node that admitted a request starts it at an upstream; the owner of a group
+// grants slots and never writes to an upstream. Two owners of one group during a partition
+// therefore cost quality, never safety.
 package node
 
 import (
@@ -26,35 +26,39 @@
 )
 
 const (
-	// TickInterval is how often Tick is to be called.
+	// TickInterval is the interval at which Tick must be called.
 	TickInterval = 50 * time.Millisecond
-	// pauseThreshold is the gap between calls that counts as a pause of the process.
-	// It is far above scheduling noise and below the time in which a withdrawn
-	// server must have stopped receiving work.
+	// pauseThreshold is the time without a tick that counts as a pause of the process. It
+	// is far above scheduling noise and below the time within which a withdrawn server
+	// must have stopped receiving work.
 	pauseThreshold = time.Second
-	// confirmTimeout is how long dispatch waits for a confirmation after a pause
-	// before the node counts as isolated.
+	// confirmTimeout is how long dispatch waits for a confirmation after a pause before
+	// the node counts as isolated. A longer one delays the waiting requests of an instance
+	// that reaches nobody.
 	confirmTimeout = 2 * time.Second
-	// unreachableFor is how long an owner whose link broke is passed over.
+	// unreachableFor is how long an owner is skipped after its link broke or it left an
+	// acquire unanswered.
 	unreachableFor = 5 * time.Second
-	// IDLifetime is how long a request id stays valid after the directory answer
-	// that gave its prefix has expired.
+	// IDLifetime is how long a request id stays valid after the directory answer that
+	// contained its prefix has expired.
 	IDLifetime = 5 * time.Minute
 
 	defaultCapacity = 4096
-	idsPerRequest   = 64
+	// idsPerRequest is the number of request ids tracked per request of the capacity. If
+	// the table is full, new requests are refused as overloaded.
+	idsPerRequest = 64
 )
 
-// Effects are what a node does to the outside. The node calls them while it
-// holds its lock: they must not block and must not call back into the node.
+// Effects are the outputs of a node. The node calls them with its lock held: they must not
+// block and must not call back into the node.
 type Effects interface {
-	// Send gives an envelope to the link to an instance.
+	// Send passes an envelope to the link to an instance.
 	Send(to string, env *wire.Envelope)
-	// Start writes an attempt to its upstream; AttemptEnded must follow once.
+	// Start sends an attempt to its upstream; AttemptEnded must follow exactly once.
 	Start(attempt Attempt)
 	// CancelAttempt stops a running attempt at the engine; AttemptEnded follows.
 	CancelAttempt(requestID string)
-	// Finish ends the answer of a request; nothing follows.
+	// Finish ends the answer of a request; no further call for the request follows.
 	Finish(requestID string, err *verdict.Error)
 	// Record writes an accounting record.
 	Record(record accounting.Record)
@@ -64,7 +68,7 @@
 type Config struct {
 	// Self is the incarnation of the process.
 	Self reqid.Incarnation
-	// DataCentre the instance stands in.
+	// DataCentre in which the instance is located.
 	DataCentre string
 	// Capacity is the number of requests held at once; default 4096.
 	Capacity int
@@ -72,21 +76,21 @@
 	Policy sched.Policy
 	// Seed of all random choices.
 	Seed uint64
-	// Ownership says who schedules a group. Anything but Owners is for comparison
+	// Ownership selects who schedules a group. Values other than Owners are for comparison
 	// in replays.
 	Ownership Ownership
 }
 
-// Ownership says who schedules a group.
+// Ownership selects which instances schedule a group.
 type Ownership uint8
 
 const (
 	// Owners: one live member schedules each group.
 	Owners Ownership = iota
-	// Independent: every node schedules all groups by what it holds itself, as if
+	// Independent: every node schedules all groups by the requests it holds itself, as if
 	// it were alone.
 	Independent
-	// Shared: like Independent, and each uses its equal share of the slots.
+	// Shared: like Independent, but each node uses only its equal share of the slots.
 	Shared
 )
 
@@ -106,7 +110,7 @@
 	requests map[uint64]*request
 	byID     map[string]*request
 	order    requestList
-	// undelivered and ended hold requests whose answer waits for its caller.
+	// undelivered and ended hold ended requests whose answer has not been delivered.
 	undelivered   map[string]*request
 	ended         requestList
 	recordSeq     int
@@ -114,7 +118,7 @@
 	unreachable   map[string]monotime.Instant
 	ownerContacts map[string]*ownerContact
 	measures      *sched.Measures
-	// droppedIdle names groups of this node that were dropped because nobody used them.
+	// droppedIdle names groups of this node that were dropped because they were unused.
 	droppedIdle map[string]bool
 	budget      retryBudget
 	gate        dispatchGate
@@ -162,7 +166,7 @@
 	return n.catalog.Load()
 }
 
-// View returns the membership known, or nil.
+// View returns the current membership view, or nil.
 func (n *Node) View() *membership.View {
 	return n.view.Load()
 }
@@ -192,7 +196,7 @@
 	n.reroute(now, n.groupRemoved)
 }
 
-// SetView replaces the membership known.
+// SetView replaces the membership view.
 func (n *Node) SetView(now monotime.Instant, view *membership.View) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
@@ -206,23 +210,23 @@
 	n.reroute(now, n.ownerChanged)
 }
 
-// LinkDown tells that the link to an instance broke or cannot be made. Requests
-// that wait at that owner are asked for elsewhere at once: a crash of the owner
-// in a burst must not cost them a membership timeout.
+// LinkDown reports that the link to an instance broke or cannot be established. Requests
+// that wait at that owner are sent to another at once: a crash of the owner during a burst
+// must not cost them a membership timeout.
 func (n *Node) LinkDown(now monotime.Instant, id string) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	n.markOwnerUnreachable(now, id)
 }
 
-// LinkUp tells that the link to an instance works.
+// LinkUp reports that the link to an instance works.
 func (n *Node) LinkUp(_ monotime.Instant, id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.unreachable, id)
 }
 
-// Tick does what is due; call it every TickInterval.
+// Tick performs the timed work; call it every TickInterval.
 func (n *Node) Tick(now monotime.Instant) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
@@ -245,8 +249,8 @@
 	}
 }
 
-// ownerOf returns the instance that schedules a group, as far as this node can
-// reach it. A node that reaches none schedules the group itself.
+// ownerOf returns the instance that schedules a group among the reachable members. A node
+// that reaches none schedules the group itself.
 func (n *Node) ownerOf(group *catalog.Group) string {
 	if n.cfg.Ownership != Owners {
 		return n.self()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,7 +11,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// waitRunning waits until a request runs.
+// waitRunning runs the world until the request runs.
 func (w *world) waitRunning(p *proc, c *call) *request {
 	w.t.Helper()
 	for range 1000 {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// faultFreeWorld is a world without faults in which requests go to the first process.
+// faultFreeWorld returns a world without faults and its first process.
 func faultFreeWorld(t *testing.T) (*world, *proc) {
 	w := newWorld(t, 1)
 	w.Run(time.Second)
@@ -52,8 +52,8 @@
 	}
 }
 
-// What the caller sees: one answer. An attempt that was given up reports its end
-// while the next one runs; the report must not end the request.
+// Guards against a late report of an abandoned attempt that ends the request while the
+// next attempt runs.
 func TestTheEndOfAFormerAttemptIsIgnored(t *testing.T) {
 	w, p := faultFreeWorld(t)
 	c := w.send(p, "often")
@@ -65,9 +65,8 @@
 	}
 }
 
-// What the caller sees: nothing. A group changes its owner while slots are in
-// use; the holder tells the new owner at once which engines they use. Without
-// that the new owner would fill engines that are already full.
+// Guards against a new owner that overfills engines. A group changes its owner while slots
+// are in use; the holder must report at once which engines they use.
 func TestANewOwnerLearnsWhichSlotsAreHeld(t *testing.T) {
 	w, p := faultFreeWorld(t)
 	c := w.send(p, "often")
@@ -85,13 +84,12 @@
 	w.Run(25 * time.Millisecond)
 	g := next.node.owned[r.group.Name]
 	if g == nil || g.sched.Stats().Adopted != 1 || g.sched.Stats().Held != 1 {
-		t.Errorf("the new owner %s knows %+v of the slot", next.name, g)
+		t.Errorf("the new owner %s recorded %+v", next.name, g)
 	}
 }
 
-// What the caller sees: nothing. A grant of an owner that was replaced arrives
-// after the request was asked for elsewhere. It goes back, so that the slot is
-// not held until its lease ends.
+// Guards against a slot that is held until its lease ends. The grant of a replaced owner
+// arrives after the request was sent elsewhere; it must be released.
 func TestAGrantOfAFormerOwnerGoesBack(t *testing.T) {
 	w, p := faultFreeWorld(t)
 	c := w.send(p, "often")
@@ -114,9 +112,8 @@
 	}
 }
 
-// What the caller sees: its request runs at another server. The owner has not
-// heard yet that the server was withdrawn, the holder has; the holder does not
-// use the grant and asks again.
+// Guards against a start at a withdrawn server. The holder has received the withdrawal and
+// the owner has not; the holder must not use the grant and must request another slot.
 func TestAGrantOfAWithdrawnServerIsNotUsed(t *testing.T) {
 	w, p := faultFreeWorld(t)
 	c := w.send(p, "often")
@@ -136,10 +133,9 @@
 	}
 }
 
-// What the caller sees: no work goes to a server withdrawn while the process
-// slept. Whatever runs first after a pause can free a slot and start a request,
-// so each way in must notice the pause; at first a new view and a new
-// configuration did not.
+// Guards against work sent to a server that was withdrawn while the process was paused.
+// The first call after a pause can free a slot and start a request, so each entry point
+// must detect the pause, SetView and SetCatalog included.
 func TestEveryEntryPointDetectsAPause(t *testing.T) {
 	variants := map[string]func(p *proc, now monotime.Instant){
 		"tick":     func(p *proc, now monotime.Instant) { p.node.Tick(now) },
@@ -154,15 +150,14 @@
 		_, p := faultFreeWorld(t)
 		enter(p, p.clock().Add(4*time.Second))
 		if _, paused := p.node.AwaitingConfirmation(); !paused {
-			t.Errorf("%s does not notice a pause", name)
+			t.Errorf("%s does not detect a pause", name)
 		}
 	}
 }
 
-// What the callers see: refusals that are true, at once. Every engine refuses every
-// request; each could be tried again elsewhere without end, and recovery would
-// be the next overload. Retries stay within the budget: a burst at first, then
-// the share of requests that the rules allow.
+// Guards against unlimited retries: every engine refuses every request, and each could be
+// retried elsewhere without end. Retries must stay within the burst and the share of
+// requests that the rules allow.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	w, p := faultFreeWorld(t)
 	refusing := &refusingEffects{effects: p.node.eff.(*effects)}
@@ -199,7 +194,7 @@
 	})
 }
 
-// releaseRecorder keeps the releases that a node sends.
+// releaseRecorder records the releases that a node sends.
 type releaseRecorder struct {
 	*effects
 	releases []wire.Release
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -13,34 +13,37 @@
 	"basilrudder/internal/verdict"
 )
 
-// idleGroupTimeout is how long an owned group without requests is kept.
+// idleGroupTimeout is how long an owned group without requests is kept. A shorter time
+// discards the scheduler's state between requests; a longer one keeps more of it in
+// memory.
 const idleGroupTimeout = time.Minute
 
 const (
-	// ownerWarmUp covers the time until every holder has heard of the change and
-	// told what it holds.
+	// ownerWarmUp covers the time until every holder has received the change of owner and
+	// reported the slots it holds.
 	ownerWarmUp = 400 * time.Millisecond
 )
 
-// ownedGroup is a scheduling group that this instance runs. It is soft state:
-// a new owner starts empty and learns from the holders' renewals what runs.
+// ownedGroup is a scheduling group that this instance runs. It is soft state: a new owner
+// starts empty and records the running requests from the holders' renewals.
 type ownedGroup struct {
 	name     string
 	sched    *sched.Group
 	lastUsed monotime.Instant
-	// ownedElsewhere says that another instance has owned the group since.
+	// ownedElsewhere is set if another instance has owned the group since it was last
+	// warmed up here.
 	ownedElsewhere bool
 }
 
-// pendingDecision is a decision of an owned group on its way to the holder.
+// pendingDecision is a decision of an owned group that has yet to be sent to the holder.
 type pendingDecision struct {
 	group    string
 	decision sched.Decision
 }
 
-// ensureOwned returns the scheduler of a group, created on first use. Whoever asks
-// believes that this instance owns the group; serving two believers of different
-// owners costs quality, refusing one of them would cost an answer.
+// ensureOwned returns the scheduler of a group, created on first use; nil if the group is
+// not in the configuration. It serves every sender that takes this instance for the owner:
+// two owners of one group cost quality, while refusing would cost an answer.
 func (n *Node) ensureOwned(now monotime.Instant, name string) *ownedGroup {
 	if g := n.owned[name]; g != nil {
 		g.lastUsed = now
@@ -68,16 +71,16 @@
 	return g
 }
 
-// Owner returns the instance that owns the group among all live members,
-// whether or not this one has a link to it; "" while no member is known.
+// Owner returns the instance that owns the group among all live members, whether or not
+// this one has a link to it; "" while there are no members.
 func (n *Node) Owner(group *catalog.Group) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return route.Owner(group, n.members)
 }
 
-// markOwnedElsewhere marks the groups that another instance owns now; groups that were
-// dropped while nobody used them may have had another owner meanwhile.
+// markOwnedElsewhere marks the groups that another instance owns now. It also forgets
+// which groups were dropped idle, since they may have had another owner meanwhile.
 func (n *Node) markOwnedElsewhere() {
 	clear(n.droppedIdle)
 	cat := n.catalog.Load()
@@ -89,8 +92,8 @@
 	}
 }
 
-// warmUpRegained lets a group that comes back to this instance start carefully: its
-// books are those of before.
+// warmUpRegained starts the warm-up of a group whose ownership returned to this instance:
+// its records predate the other owner.
 func (n *Node) warmUpRegained(now monotime.Instant, g *ownedGroup) {
 	group := n.catalog.Load().Groups[g.name]
 	if g.ownedElsewhere && group != nil && n.ownerOf(group) == n.self() {
@@ -113,8 +116,8 @@
 	n.sendQueued(now, from, g, demand)
 }
 
-// resolveDemand resolves what the message names by hash. A sender with another
-// revision may name a class or customer unknown here.
+// resolveDemand resolves the class and customer that the message names by hash. It fails
+// if they are not in this node's configuration: the sender may have another revision.
 func (n *Node) resolveDemand(now monotime.Instant, from string, msg wire.Acquire) (sched.Demand, bool) {
 	cat := n.catalog.Load()
 	if cat == nil {
@@ -168,7 +171,7 @@
 	}
 }
 
-// adoptSlot takes a slot into the books of a group that this instance owns newly.
+// adoptSlot records a slot in use that another owner granted.
 func (n *Node) adoptSlot(now monotime.Instant, g *ownedGroup, from string, item wire.ProgressItem) {
 	if item.Engine == "" {
 		return
@@ -209,7 +212,8 @@
 	}
 }
 
-// ownedNames is sorted, so that no decision depends on the order of a map.
+// ownedNames returns the owned groups in sorted order, so that no decision depends on map
+// order.
 func (n *Node) ownedNames() []string {
 	names := make([]string, 0, len(n.owned))
 	for name := range n.owned {
@@ -219,10 +223,10 @@
 	return names
 }
 
-// sendDecisions passes decisions on. Decisions for this instance's own requests can
-// lead to further decisions (a granted engine was withdrawn, so the slot goes
-// back and another is asked for); a queue instead of recursion keeps the group
-// from being entered while it is still being read.
+// sendDecisions sends decisions to their holders. Decisions for this instance's own
+// requests can lead to further ones: if the granted engine was withdrawn, the slot is
+// released and another requested. A queue instead of recursion keeps a group from being
+// modified while it is being read.
 func (n *Node) sendDecisions(now monotime.Instant, g *ownedGroup, decisions []sched.Decision) {
 	for _, d := range decisions {
 		n.pendingDecisions = append(n.pendingDecisions, pendingDecision{group: g.name, decision: d})
@@ -290,8 +294,8 @@
 	}
 }
 
-// releaseGoneHolders frees the slots of instances that died or were replaced by a
-// new incarnation, which knows nothing of the requests of the old one.
+// releaseGoneHolders frees the slots of instances that died or were replaced by a new
+// incarnation, which has no record of the requests of the old one.
 func (n *Node) releaseGoneHolders(now monotime.Instant, old, view *membership.View) {
 	if old == nil {
 		return
@@ -323,7 +327,7 @@
 	}
 }
 
-// slotShare is the part of a group's slots that this node may hand out.
+// slotShare returns the fraction live/total of a group's slots that this node may grant.
 func (n *Node) slotShare(view *membership.View) (live, total int) {
 	if n.cfg.Ownership == Shared {
 		return 1, max(view.Known, 1)
@@ -331,8 +335,8 @@
 	return ShareOf(view)
 }
 
-// ShareOf returns how many of the known instances this part of the fleet sees.
-// In a partition each part uses about that share of a server both reach.
+// ShareOf returns how many instances are live in the view and how many are recorded in
+// all. During a partition, each part uses about that share of a server that both reach.
 func ShareOf(view *membership.View) (live, total int) {
 	live = len(view.Live) + len(view.Leaving)
 	return live, max(view.Known, live)
--- a/internal/node/owner_contact.go
+++ b/internal/node/owner_contact.go
@@ -11,27 +11,27 @@
 )
 
 const (
-	// ownerAnswerTimeout is how long an owner may take to answer an acquire. It answers
-	// at once, if only to say that the request waits; the time covers the way
-	// between regions and back and a garbage collection. A top-tier request has
-	// 400 ms, so a longer wait leaves no time to ask the next owner.
+	// ownerAnswerTimeout is how long an owner may take to answer an acquire. It answers at
+	// once, even if the request must wait, so the time covers a round trip between regions
+	// and a garbage collection. A top-tier request has 400 ms: a longer timeout leaves no
+	// time to ask the next owner.
 	ownerAnswerTimeout = 100 * time.Millisecond
-	// acquireRepeatInterval is how long an owner that keeps requests waiting may be
-	// silent before it is asked again.
+	// acquireRepeatInterval is how long an owner with waiting requests may send no answer
+	// before the acquire is repeated.
 	acquireRepeatInterval = 500 * time.Millisecond
-	// recentAnswerAge is the age up to which an answer of an owner shows that it is
-	// there.
+	// recentAnswerAge is the age up to which an answer shows that its owner is reachable.
+	// It exceeds acquireRepeatInterval: below that, an owner with waiting requests would
+	// count as unreachable between two answers.
 	recentAnswerAge = time.Second
 )
 
-// ownerContact is when an owner was last asked and heard. A process that is stopped
-// and one behind a partition accept messages and say nothing; the heartbeat
-// takes seconds to tell, which is longer than a top-tier request can wait. The
-// acquires themselves show it sooner: each is answered at once, so an owner that
-// leaves one unanswered is passed over. Being wrong costs a second owner for a
-// few seconds, which is quality and never safety.
+// ownerContact records when an owner was last asked and last answered. A stopped process
+// and one behind a partition accept messages and send nothing. The heartbeat takes seconds
+// to detect that, longer than a top-tier request can wait. Every acquire is answered at
+// once, so an owner that leaves one unanswered is skipped. A false detection costs a
+// second owner for a few seconds, which is quality and never safety.
 type ownerContact struct {
-	// unansweredSince is when the oldest acquire without an answer was sent; 0 for none.
+	// unansweredSince is when the oldest unanswered acquire was sent; 0 for none.
 	unansweredSince monotime.Instant
 	// answeredAt is when the owner last answered.
 	answeredAt monotime.Instant
@@ -49,7 +49,7 @@
 	n.eff.Send(owner, &wire.Envelope{Acquires: []wire.Acquire{msg}})
 }
 
-// recordOwnerAnswer notes that an owner answered.
+// recordOwnerAnswer records that an owner answered.
 func (n *Node) recordOwnerAnswer(now monotime.Instant, from string, env *wire.Envelope) {
 	if len(env.Grants)+len(env.Refuses)+len(env.Queued) == 0 {
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-// sendQueued answers an acquire of a peer that waits.
+// sendQueued answers a peer's acquire that must wait.
 func (n *Node) sendQueued(now monotime.Instant, from string, g *ownedGroup, d sched.Demand) {
 	if from == n.self() || !g.sched.Waits(d.Ticket) {
 		return
@@ -70,8 +70,8 @@
 	n.eff.Send(from, &wire.Envelope{Queued: []wire.Queued{msg}})
 }
 
-// checkOwners passes over owners that fell silent, and asks those again that
-// keep requests waiting and said nothing for a while.
+// checkOwners skips unresponsive owners, and repeats acquires to those that keep requests
+// waiting without an answer for acquireRepeatInterval.
 func (n *Node) checkOwners(now monotime.Instant) {
 	var unresponsive []string
 	for id, contact := range n.ownerContacts {
@@ -89,8 +89,8 @@
 	}
 }
 
-// repeatAcquire repeats the acquire of a waiting request; an owner that knows it
-// already only answers.
+// repeatAcquire repeats the acquire of a waiting request. An owner that already has it
+// only answers.
 func (n *Node) repeatAcquire(now monotime.Instant, r *request) {
 	if r.state != stateWaiting || r.grantDeferred || r.group == nil {
 		return
@@ -102,8 +102,8 @@
 	n.sendAcquire(now, r.owner, n.acquireMessage(now, r))
 }
 
-// markOwnerUnreachable passes over an owner for a while: what waits there is asked for
-// elsewhere at once, and the new owner learns what runs.
+// markOwnerUnreachable skips an owner for unreachableFor. Requests waiting there are sent
+// elsewhere at once, and the new owner receives the running ones.
 func (n *Node) markOwnerUnreachable(now monotime.Instant, id string) {
 	n.unreachable[id] = now.Add(unreachableFor)
 	n.markOwnedElsewhere()
@@ -115,10 +115,10 @@
 	})
 }
 
-// ownerForRequest returns the owner to ask for a waiting request. One that lost an
-// owner trusts only those heard lately, or this instance itself: in a partition
-// several owners are silent, and finding them one after another would take
-// longer than the request can wait.
+// ownerForRequest returns the owner to ask for a waiting request. A request that lost an
+// owner is sent only to members that answered recently, or to this instance itself: in a
+// partition several owners are unresponsive, and detecting them one after another would
+// take longer than the request can wait.
 func (n *Node) ownerForRequest(now monotime.Instant, r *request) string {
 	if !r.lostOwner {
 		return n.ownerOf(r.group)
--- a/internal/node/pause.go
+++ b/internal/node/pause.go
@@ -9,19 +9,20 @@
 // dispatchGate holds dispatch back after a pause of the process until a peer or the
 // platform has confirmed the configuration.
 //
-// A process that was stopped wakes up believing what it knew before: it would
-// send work to a server withdrawn meanwhile, since a grant that lay in its
-// queue looks valid. The gap in its own calls shows the pause. It is looked for
-// on every way in, not in Tick alone: whatever goroutine runs first after the
-// pause may free a slot and thereby start a request, even one that brings a
-// configuration or a view. A pause between this check and the write to the socket
-// is not caught here, and neither is work of an instance that is cut off: the
-// engines of a withdrawn server are ordered to refuse it before it starts.
+// A process that resumes after being stopped has outdated state: a queued grant looks
+// valid although its server may have been withdrawn meanwhile. The pause shows as a gap
+// between ticks. Every entry point that may dispatch checks for it, not Tick alone,
+// because the first goroutine to run after the pause may free a slot and so start a
+// request, even one that applies a configuration or a view.
+//
+// Two cases are not covered here: a pause between this check and the write to the socket,
+// and work of an instance that is cut off. For those, the engines of a withdrawn server
+// are ordered to refuse work before it starts.
 type dispatchGate struct {
 	closed   bool
 	closedAt monotime.Instant
 	pauses   int
-	// isolated is set when no confirmation came in time, until one comes.
+	// isolated is set when no confirmation came in time, until the next confirmation.
 	isolated bool
 	// confirmedAt is the instant of the last confirmation.
 	confirmedAt monotime.Instant
@@ -33,7 +34,7 @@
 	n.detectPause(now)
 }
 
-// detectPause closes the gate when the process has not run for a while.
+// detectPause closes the gate if the time since the last tick reaches pauseThreshold.
 func (n *Node) detectPause(now monotime.Instant) {
 	if n.lastTick == 0 || now.Sub(n.lastTick) < pauseThreshold {
 		return
@@ -46,15 +47,16 @@
 	n.lastTick = now
 }
 
-// AwaitingConfirmation reports whether dispatch waits for a confirmation, and since when.
+// AwaitingConfirmation reports whether dispatch waits for a confirmation after a pause,
+// and since when.
 func (n *Node) AwaitingConfirmation() (monotime.Instant, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.gate.closedAt, n.gate.closed
 }
 
-// Confirm tells that a peer or the platform confirmed at the given instant that
-// the configuration in force is the newest it knows.
+// Confirm reports that a peer or the platform confirmed at the given instant that the
+// configuration in force is the newest it has.
 func (n *Node) Confirm(now, confirmedAt monotime.Instant) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
@@ -70,15 +72,14 @@
 }
 
 // maxConfirmationAge is the age of the last confirmation up to which orders may be sent.
-// It is above the longest wait of a watch, so that one instance alone with the
-// platform sends them.
+// It must exceed the longest wait of a watch, or an instance alone with the platform could
+// not send them.
 const maxConfirmationAge = 2 * time.Minute
 
-// MaySendOrders reports whether the configuration is known well enough to send
-// orders to engines by it. Requests are dispatched with less: a stale order
-// makes an engine drop the right model for everybody, while a stale dispatch
-// costs one request. So an instance that nobody confirms sends none, neither
-// after a pause nor cut off for long.
+// MaySendOrders reports whether the configuration is confirmed recently enough to send
+// orders to engines. Dispatch requires less: a stale order makes an engine drop the right
+// model for everybody, while a stale dispatch costs one request. An instance that is not
+// confirmed, after a pause or because it is cut off, therefore sends none.
 func (n *Node) MaySendOrders(now monotime.Instant) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -87,18 +88,18 @@
 	return !n.gate.closed && !n.gate.isolated && !unconfirmed
 }
 
-// SetCutOff tells whether nobody has confirmed the configuration for longer than
-// the rules let the instance go on. It then takes no new request: what it knows
-// of servers and limits is too old to act on, and callers have other instances.
+// SetCutOff sets whether the configuration has gone unconfirmed for longer than the rules
+// allow. If so, the node refuses new requests: its state of servers and limits is too old
+// to act on, and callers have other instances.
 func (n *Node) SetCutOff(cutOff bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cutOff = cutOff
 }
 
-// openGateOnTimeout opens the gate when nobody could confirm: an instance that reaches
-// neither a peer nor the platform goes on with what it knows rather than
-// refuse everybody, for as long as the rules say.
+// openGateOnTimeout opens the gate if no confirmation arrived within confirmTimeout. An
+// instance that reaches neither a peer nor the platform continues with its last state for
+// as long as the rules allow, rather than refuse all requests.
 func (n *Node) openGateOnTimeout(now monotime.Instant) {
 	if !n.gate.closed || now.Sub(n.gate.closedAt) < confirmTimeout {
 		return
@@ -108,9 +109,9 @@
 	n.reacquireDeferred(now)
 }
 
-// reacquireDeferred asks for the slots that were granted while the gate was closed. The
-// grants themselves were given back: one that lay in a queue through the pause
-// may be older than its lease, and the slot somebody else's by now.
+// reacquireDeferred requests new slots for the requests whose grants arrived while the
+// gate was closed. Those grants were released: one that was queued during the pause may be
+// older than its lease, and its slot granted to another request.
 func (n *Node) reacquireDeferred(now monotime.Instant) {
 	isDeferred := func(r *request) bool { return r.grantDeferred }
 	n.forEachWaiting(isDeferred, func(r *request) { n.acquireSlot(now, r) })
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -12,11 +12,12 @@
 	"basilrudder/internal/verdict"
 )
 
-// chargeInterval is the time between charges of tokens to customers' limits.
+// chargeInterval is the time between charges of tokens to customers' limits. A longer one
+// lets a customer exceed its token limit for longer.
 const chargeInterval = 250 * time.Millisecond
 
-// permits is the state of customers' limits at this node: what it holds, what
-// it issues as home, and the requests that wait for a permit.
+// permits is the state of customers' limits at this node: the permits it holds, those it
+// issues as home, and the requests that wait for one.
 type permits struct {
 	local     *limits.Local
 	home      *limits.Home
@@ -31,11 +32,11 @@
 // topTier is the tier that may overdraw its customer's limits.
 const topTier = 0
 
-// checkLimits judges a new request before it is admitted.
+// checkLimits checks a new request against its customer's limits before admission.
 func (n *Node) checkLimits(now monotime.Instant, in Request) (limits.Verdict, *verdict.Error) {
 	v, after := n.permits.local.Admit(now, in.Customer)
 	if v == limits.Waiting {
-		// The home may be this node, which answers at once.
+		// The home may be this node, which answers immediately.
 		n.askPermits(now)
 		v, after = n.permits.local.Again(now, in.Customer)
 	}
@@ -43,8 +44,8 @@
 	return v, rateError(v, after)
 }
 
-// overdraw admits a request of the top tier that its customer's lower work left
-// no permit for.
+// overdraw admits a request of the top tier when lower tiers of its customer have used up
+// the permits, as far as the limits allow an overdraft.
 func (n *Node) overdraw(now monotime.Instant, v limits.Verdict, in Request) limits.Verdict {
 	if v != limits.Refused || in.Class.TierFor(in.Customer) != topTier {
 		return v
@@ -63,14 +64,14 @@
 		"the customer's rate over all instances is used up").After(after)
 }
 
-// awaitPermit keeps a request until a permit comes.
+// awaitPermit queues a request until a permit arrives.
 func (n *Node) awaitPermit(r *request) {
 	r.awaitingPermit = true
 	n.permits.waiting = append(n.permits.waiting, r)
 }
 
-// recheckWaiting asks again for the requests that wait for a permit. Each waits
-// for AnswerLimit at most: then this node goes on without the home.
+// recheckWaiting checks again the requests that wait for a permit. Each waits for
+// AnswerLimit at most; then this node continues without the home.
 func (n *Node) recheckWaiting(now monotime.Instant) {
 	if len(n.permits.waiting) == 0 {
 		return
@@ -98,14 +99,14 @@
 	n.askPermits(now)
 }
 
-// askPermits sends the asks that are due.
+// askPermits sends the requests for permits that are due.
 func (n *Node) askPermits(now monotime.Instant) {
 	n.permits.local.Asks(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendPermitAsk(now, to, ask) })
 }
 
-// homeOf returns the member that keeps the customer's limits. It follows the
-// membership alone and not the links that are down: two homes at a time issue
-// twice, and a holder without its home goes on with a share.
+// homeOf returns the member that keeps the customer's limits. It depends on the membership
+// alone and not on broken links: two homes at once would issue permits twice, while a
+// holder without its home continues with a share.
 func (n *Node) homeOf(customer *catalog.Customer) string {
 	if home := route.Home(customer.Hash, n.members); home != "" {
 		return home
@@ -148,7 +149,7 @@
 	n.recheckWaiting(now)
 }
 
-// tickPermits does what is due.
+// tickPermits performs the timed work of the limits.
 func (n *Node) tickPermits(now monotime.Instant) {
 	if now.Sub(n.permits.chargedAt) >= chargeInterval {
 		n.permits.chargedAt = now
@@ -162,7 +163,7 @@
 	n.recheckWaiting(now)
 }
 
-// chargeLimit charges the tokens since the last charge to the customer's limit.
+// chargeLimit charges the tokens relayed since the last charge to the customer's limit.
 func (n *Node) chargeLimit(now monotime.Instant, r *request) {
 	if r.Customer.TokensPerSecond <= 0 || r.progress == nil {
 		return
@@ -172,7 +173,7 @@
 	r.chargedTokens = tokens
 }
 
-// setPermitMembers follows the membership.
+// setPermitMembers applies a membership view to the limits.
 func (n *Node) setPermitMembers(now monotime.Instant, view *membership.View) {
 	live, known := ShareOf(view)
 	n.permits.local.SetKnown(known)
--- a/internal/node/permits_test.go
+++ b/internal/node/permits_test.go
@@ -8,8 +8,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// burst sends requests of the limited customer to all live processes, thrice
-// its rate, and returns those calls.
+// burst sends requests of the limited customer to all live processes at three times its
+// rate, and returns those calls.
 func (w *world) burst(d time.Duration) []*call {
 	var calls []*call
 	for end := w.Now().Add(d); w.Now() < end; {
@@ -24,7 +24,7 @@
 	return calls
 }
 
-// countRateLimited counts the calls that were refused by the limit.
+// countRateLimited counts the calls refused by the limit and the others.
 func (w *world) countRateLimited(calls []*call) (refused, admitted int) {
 	for _, c := range calls {
 		if c.err != nil && c.err.Reason == verdict.ReasonRateLimited {
@@ -39,10 +39,9 @@
 	return refused, admitted
 }
 
-// What the caller sees: above its customer's rate it is told "not run" and when
-// to come back, at whichever instance it asks. Three instances get thrice the
-// rate together; they hold permits of one home and admit the rate once, not
-// once each.
+// Guards against a limit that applies per instance: three instances get three times the
+// rate together. They hold permits of one home and must admit the rate once, not once
+// each. Callers above the rate are answered "not run" with a time to retry.
 func TestRateHoldsOverAllNodes(t *testing.T) {
 	w := newWorld(t, 1)
 	calls := w.burst(20 * time.Second)
@@ -57,9 +56,9 @@
 	w.reportFailures()
 }
 
-// What the caller sees: nothing but a short delay. The member that keeps its
-// customer's limit is killed. Those that ask it get no answer; after a moment
-// each goes on with its own share instead of refusing everybody.
+// Guards against refusing everybody when the home of a limit is lost. The member that
+// keeps the customer's limit is killed; the others get no answer and must continue with
+// their own shares after a short delay.
 func TestLostHomeOfALimitRefusesNobodyForLong(t *testing.T) {
 	w := newWorld(t, 1)
 	w.burst(time.Second)
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -9,6 +9,8 @@
 	"basilrudder/internal/monotime"
 )
 
+// The histogram of token gaps resolves 100 µs at one significant digit, which keeps it
+// small. Gaps above a minute count as a minute.
 const (
 	gapUnit       = 100 * time.Microsecond
 	longestGap    = time.Minute
@@ -16,15 +18,14 @@
 	gapPercentile = 95
 )
 
-// Progress is what an attempt has relayed so far. The relaying goroutine alone
-// calls Token; the counters may be read at any time, without a lock.
+// Progress is the state of the relayed part of an attempt. Only the relaying goroutine
+// calls RecordToken; the counters may be read at any time, without a lock.
 type Progress struct {
 	tokens atomic.Int64
 	first  atomic.Int64
 	last   atomic.Int64
-	// gaps is nil before the second token: plain services and answers of one
-	// token have no gap, and a histogram takes more memory than all else that
-	// is kept of such a request.
+	// gaps is nil before the second token: services and answers of one token have no gap,
+	// and a histogram takes more memory than all other state of such a request.
 	gaps *hdrhistogram.Histogram
 }
 
@@ -33,7 +34,7 @@
 	return &Progress{}
 }
 
-// RecordToken counts one token relayed at now.
+// RecordToken records one token relayed at now.
 func (p *Progress) RecordToken(now monotime.Instant) {
 	last := monotime.Instant(p.last.Swap(int64(now)))
 	if p.tokens.Add(1) == 1 {
@@ -52,12 +53,12 @@
 	return int(p.tokens.Load())
 }
 
-// FirstTokenAt returns when the first token was relayed; 0 for not yet.
+// FirstTokenAt returns when the first token was relayed; 0 if none was.
 func (p *Progress) FirstTokenAt() monotime.Instant {
 	return monotime.Instant(p.first.Load())
 }
 
-// MeanGap returns the mean time between tokens; 0 below two tokens.
+// MeanGap returns the mean time between tokens; 0 for fewer than two tokens.
 func (p *Progress) MeanGap() time.Duration {
 	n := p.tokens.Load()
 	if n < 2 {
--- a/internal/node/record.go
+++ b/internal/node/record.go
@@ -9,7 +9,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// finish ends the work on a request and hands the rest to its caller.
+// finish ends the processing of a request and keeps its answer for delivery if there is
+// one.
 func (n *Node) finish(now monotime.Instant, r *request, err *verdict.Error) {
 	delete(n.requests, r.seq)
 	delete(n.byID, r.ID)
@@ -29,16 +30,16 @@
 	n.eff.Finish(r.ID, err)
 }
 
-// nothingToDeliver reports whether no caller will come for the answer. Work that
-// was cancelled because its caller left or the process ends has none; were it kept like an answer, a
-// drain would wait for it and a crash meanwhile would leave it unaccounted.
+// nothingToDeliver reports whether no caller will fetch the answer. Work that was
+// cancelled because its caller left or the process ends has none. If it were kept like an
+// answer, a drain would wait for it, and a crash meanwhile would leave it unaccounted.
 func nothingToDeliver(err *verdict.Error) bool {
 	return err != nil && (err.Verdict == verdict.NotRun ||
 		err.Reason == verdict.ReasonCallerGone || err.Reason == verdict.ReasonDraining)
 }
 
-// Delivered tells that the end of an answer was written to its caller. Only now
-// is the request accounted: an answer that is ready and reaches nobody is waste.
+// Delivered reports that the end of an answer was written to its caller. The request is
+// accounted only now: an answer that reaches nobody is waste.
 func (n *Node) Delivered(now monotime.Instant, id string) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// accountEnded accounts a request that ended.
+// accountEnded accounts a request that ended and drops its answer.
 func (n *Node) accountEnded(now monotime.Instant, r *request) {
 	delete(n.undelivered, r.ID)
 	n.ended.remove(r)
@@ -67,8 +68,8 @@
 	}
 }
 
-// RecordRefused accounts a request that was refused before Submit. Its class may
-// be nil when the caller named none that exists.
+// RecordRefused accounts a request that was refused before Submit. Its class may be nil if
+// the caller named an unknown one.
 func (n *Node) RecordRefused(now monotime.Instant, in Request, err *verdict.Error) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
@@ -120,8 +121,8 @@
 	n.eff.Record(n.newRecord(r, accounting.RecordKindStart))
 }
 
-// recordDecision records a step for explain; age is how old the knowledge was
-// that the decision used.
+// recordDecision records a step for explain; age is the age of the state that the decision
+// used.
 func (n *Node) recordDecision(now monotime.Instant, r *request, reason, message string, age time.Duration) {
 	rec := n.newRecord(r, accounting.RecordKindDecision)
 	rec.Reason = reason
@@ -131,7 +132,7 @@
 	n.eff.Record(rec)
 }
 
-// recordMarks records marks for requests that run.
+// recordMarks writes intermediate records of long requests.
 func (n *Node) recordMarks(now monotime.Instant) {
 	for r := n.order.head; r != nil; r = r.next {
 		if now.Sub(r.arrived) < markAfter || now.Sub(r.marked) < markEvery {
@@ -145,8 +146,8 @@
 }
 
 const (
-	// markAfter and markEvery pace the marks of long requests, so that a crash
-	// loses at most that much of what is known of them.
+	// markAfter and markEvery are the age of the first mark and the interval of the
+	// further marks of a long request. A crash loses at most that much of its accounting.
 	markAfter = 10 * time.Second
 	markEvery = 30 * time.Second
 )
@@ -206,10 +207,10 @@
 	Admitted uint64
 	// Refused requests that were never admitted.
 	Refused uint64
-	// NotRun, MayHaveRun and RanFailed count requests that ended without a whole
+	// NotRun, MayHaveRun and RanFailed count requests that ended without a complete
 	// answer, by verdict.
 	NotRun, MayHaveRun, RanFailed uint64
-	// Served counts whole answers; OnTime those of them that met their targets.
+	// Served counts complete answers; OnTime those that met their targets.
 	Served, OnTime uint64
 	// Retried counts attempts after the first.
 	Retried uint64
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -8,7 +8,7 @@
 	"basilrudder/internal/verdict"
 )
 
-// Request is what a caller wants.
+// Request is a caller's request.
 type Request struct {
 	// ID is bound to this incarnation.
 	ID string
@@ -16,7 +16,7 @@
 	Customer *catalog.Customer
 	// Class it belongs to.
 	Class *catalog.Class
-	// PromptTokens is an estimate.
+	// PromptTokens is the estimated length of the prompt.
 	PromptTokens int
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
@@ -30,37 +30,36 @@
 	Number int
 	// RequestID is the id of the request.
 	RequestID string
-	// ID is the id that the engine sees; each attempt has its own, so that an
-	// engine never takes a second run for the first.
+	// ID is the id sent to the engine. Each attempt has its own, so that an engine never
+	// takes a second run for the first.
 	ID string
 	// Engine that runs it.
 	Engine *catalog.Engine
 	// Priority at the engine; 0 is the highest.
 	Priority int
-	// Resume says that the engine already runs it.
+	// Resume is set if the engine already runs the attempt.
 	Resume bool
-	// Offset is the next token wanted, for a resumption.
+	// Offset is the first token requested by a resumption.
 	Offset int
-	// Progress is to be told of each token.
+	// Progress records each relayed token.
 	Progress *Progress
 }
 
 type requestState uint8
 
 const (
-	// stateWaiting: no slot yet; nothing was written for the current attempt.
+	// stateWaiting: no slot yet; nothing was sent upstream for the current attempt.
 	stateWaiting requestState = iota
-	// stateRunning: Start was called and AttemptEnded has not come.
+	// stateRunning: Start was called and AttemptEnded was not.
 	stateRunning
-	// stateResuming: the connection was lost and the resumption waits its backoff.
+	// stateResuming: the connection was lost and the resumption waits for its backoff.
 	stateResuming
 	// stateEnded: Finish was called.
 	stateEnded
 )
 
-// request is the state of one request. It moves between states only under the
-// node's lock: leaving stateWaiting for stateRunning and answering "not run" are
-// therefore one atomic step against each other.
+// request is the state of one request. It changes state only under the node's lock, so
+// starting it (stateWaiting to stateRunning) and answering "not run" exclude each other.
 type request struct {
 	Request
 	seq          uint64
@@ -73,14 +72,17 @@
 	group       *catalog.Group
 	owner       string
 	requestedAt monotime.Instant
-	// estimate is what the choice of the group went by.
+	// estimate is the backlog estimate at the time the slot was requested.
 	estimate waitEstimate
-	// lostOwner says that an owner left this request without an answer.
-	lostOwner     bool
-	refusedBy     []string
-	avoidEngine   string
+	// lostOwner is set if an owner left this request unanswered.
+	lostOwner bool
+	// refusedBy names the groups that refused this request.
+	refusedBy   []string
+	avoidEngine string
+	// grantDeferred is set if a grant was released because the gate was closed.
 	grantDeferred bool
-	// awaitingPermit requests wait for the customer's limit, not for a slot.
+	// awaitingPermit is set while the request waits for its customer's limit, not for a
+	// slot.
 	awaitingPermit bool
 
 	attempt        int
@@ -90,7 +92,7 @@
 	resumes        int
 	resumeAt       monotime.Instant
 	progress       *Progress
-	reportedTokens int
+	reportedTokens int // tokens already reported to the owner
 	chargedTokens  int // tokens charged to the customer's limit
 
 	worstVerdict verdict.Verdict
@@ -105,7 +107,7 @@
 	next         *request
 }
 
-// giveUpAt is when a waiting request can no longer be answered usefully.
+// giveUpAt returns when a waiting request can no longer be answered usefully; 0 for never.
 func (r *request) giveUpAt() monotime.Instant {
 	switch {
 	case r.endBy != 0:
@@ -123,7 +125,7 @@
 	return by != 0 && !now.Before(by)
 }
 
-// tokens is the number of tokens relayed to the caller.
+// tokens returns the number of tokens relayed to the caller.
 func (r *request) tokens() int {
 	if r.progress == nil {
 		return 0
@@ -131,8 +133,8 @@
 	return r.progress.Tokens()
 }
 
-// requestList keeps requests in order of arrival, so that walks over them do
-// not depend on the order of a map.
+// requestList keeps requests in the order in which they were added, so that iteration does
+// not depend on map order.
 type requestList struct {
 	head, tail *request
 }
--- a/internal/node/retry.go
+++ b/internal/node/retry.go
@@ -1,16 +1,16 @@
 package node
 
-// retryBudget bounds retries to a share of the requests served lately, so that
-// recovery from a failure does not become the next overload: without it each
-// failed engine would multiply the load on those left.
+// retryBudget bounds retries to a share of the requests admitted. Without it, each failed
+// engine would multiply the load on the remaining ones, and recovery from a failure would
+// become the next overload.
 type retryBudget struct {
 	share  float64
 	tokens float64
 }
 
 const (
-	// retryBurst is how many retries may come at once; it lets a lightly loaded
-	// instance retry at all.
+	// retryBurst is the number of retries that may be made at once. It lets a lightly
+	// loaded instance retry at all.
 	retryBurst = 10
 )
 
--- a/internal/node/search_test.go
+++ b/internal/node/search_test.go
@@ -13,11 +13,11 @@
 	searchActions = flag.Int("search.actions", 400, "actions of each schedule")
 )
 
-// What the caller sees: each request gets one answer, and "not run" is true.
-// Processes pause and wake with old grants in their queues, crash and return as
-// new incarnations, believe wrong things of each other, lose messages, and lose
-// connections to engines before and after the engine started; servers are
-// withdrawn meanwhile. The world compares every run with every verdict.
+// Guards against false verdicts: each request gets one answer, and "not run" is true.
+// Processes pause and resume with old grants in their queues, crash and restart as new
+// incarnations, have wrong views of each other, lose messages, and lose connections to
+// engines before and after the engine started; servers are withdrawn meanwhile. The world
+// compares every run with every verdict.
 func TestNoScheduleContradictsAVerdict(t *testing.T) {
 	steps := 0
 	requests := 0
@@ -96,8 +96,8 @@
 	p.deliver(p.self, func() { p.node.LinkDown(p.clock(), q.name) })
 }
 
-// publishWithdrawal takes a server out of service, or the first back in. Each
-// process that runs learns of it within the time that configuration takes.
+// publishWithdrawal withdraws a server or restores it. Each running process receives the
+// configuration within publishDelay.
 func (w *world) publishWithdrawal() {
 	name := [...]string{"s0", "s1"}[w.rng.IntN(2)]
 	if _, ok := w.withdrawn[name]; ok {
@@ -114,9 +114,9 @@
 	}
 }
 
-// sendAgain repeats an id at the same or another process, as a caller does that
-// saw no answer or a failure. An answer that is still to come is not repeated
-// at the same process: the store of answers gives it the first one's.
+// sendAgain repeats an id at the same or another process, like a caller that received no
+// answer or a failure. An answer that is still pending is not repeated at the same
+// process: there the store of answers returns the first one's.
 func (w *world) sendAgain(p *proc) {
 	if len(w.sent) == 0 || p.dead {
 		return
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -7,7 +7,7 @@
 	"basilrudder/internal/sched"
 )
 
-// Status is what a node believes.
+// Status is a snapshot of a node's state.
 type Status struct {
 	// Revision of the configuration in force.
 	Revision uint64 `json:"revision"`
@@ -16,13 +16,13 @@
 	Waiting  int `json:"waiting"`
 	// Undelivered answers wait for their callers.
 	Undelivered int `json:"undelivered"`
-	// IDs remembered.
+	// IDs is the number of request ids that are tracked.
 	IDs int `json:"ids"`
-	// Draining says that new requests are refused.
+	// Draining is set if new requests are refused.
 	Draining bool `json:"draining"`
-	// Pauses of the process that were noticed.
+	// Pauses of the process that were detected.
 	Pauses int `json:"pauses"`
-	// Isolated says that after the last pause nobody confirmed the configuration.
+	// Isolated is set if the configuration was not confirmed after the last pause.
 	Isolated bool `json:"isolated"`
 	// Counts since the start.
 	Counts Counts `json:"counts"`
@@ -32,9 +32,9 @@
 	Owned []OwnedStatus `json:"owned"`
 }
 
-// LimitStatus is what a node holds of customers' limits.
+// LimitStatus is a node's state of customers' limits.
 type LimitStatus struct {
-	// Held counts customers of which it spends permits.
+	// Held counts customers whose permits it spends.
 	Held int `json:"held"`
 	// Home counts customers whose permits it issues.
 	Home int `json:"home"`
@@ -52,14 +52,14 @@
 	Stats sched.Stats `json:"stats"`
 }
 
-// Occupancy returns the share of the requests held to those that may be held.
+// Occupancy returns the number of requests held as a fraction of the capacity.
 func (n *Node) Occupancy() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return float64(len(n.requests)) / float64(n.cfg.Capacity)
 }
 
-// Status returns what the node believes.
+// Status returns a snapshot of the node's state.
 func (n *Node) Status(now monotime.Instant) Status {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -13,6 +13,7 @@
 	"basilrudder/internal/verdict"
 )
 
+// Retry-After values of refusals that concern the instance, not the request.
 const (
 	retryWhenDraining = time.Second
 	retryWhenNotReady = time.Second
@@ -20,8 +21,8 @@
 	retryWhenFull     = time.Second
 )
 
-// Submit admits a request and returns its number at this node. A refusal is
-// always NotRun, except for an id that was taken before or has expired.
+// Submit admits a request and returns its number at this node. A refusal is always NotRun,
+// except for an id that was used before, has expired or belongs to another process.
 func (n *Node) Submit(now monotime.Instant, in Request) (uint64, *verdict.Error) {
 	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
@@ -50,7 +51,7 @@
 	return r.seq, nil
 }
 
-// checkAdmission checks what does not depend on the request.
+// checkAdmission checks the conditions that do not depend on the request.
 func (n *Node) checkAdmission(cat *catalog.Catalog) *verdict.Error {
 	switch {
 	case cat == nil:
@@ -69,9 +70,9 @@
 	return nil
 }
 
-// claimID takes the id. A repeated request is refused here, at the one process
-// that may ever have started the first: a second instance cannot know, and a
-// later incarnation does not accept the id.
+// claimID claims the request id. A repeated request is refused here, at the only process
+// that may have started the first one: another instance has no record of it, and a later
+// incarnation does not accept the id.
 func (n *Node) claimID(now monotime.Instant, in Request) *verdict.Error {
 	id, err := reqid.Parse(in.ID)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return r
 }
 
-// acquireSlot asks the owner of a group for a slot.
+// acquireSlot picks a group and requests a slot from its owner.
 func (n *Node) acquireSlot(now monotime.Instant, r *request) {
 	cat := n.catalog.Load()
 	r.state = stateWaiting
@@ -147,7 +148,7 @@
 	}
 }
 
-// requestSlot sends the acquire for the group already picked.
+// requestSlot requests a slot from the owner of the group already picked.
 func (n *Node) requestSlot(now monotime.Instant, r *request) {
 	r.owner = n.ownerForRequest(now, r)
 	r.estimate = n.waitEstimateOf(now, r)
@@ -175,13 +176,14 @@
 	}
 }
 
-// expectedHoldMS is how long requests of the class hold a slot, as this node measured.
+// expectedHoldMS returns how long requests of the class hold a slot, as measured by this
+// node.
 func (n *Node) expectedHoldMS(r *request) int {
 	return int(n.measures.ExpectedHold(r.Class) / time.Millisecond)
 }
 
-// budgetMS turns an instant into the time left, since instants of two processes
-// cannot be compared. A budget used up is sent as 1, for 0 means none.
+// budgetMS returns the time left until an instant, since instants of two processes cannot
+// be compared. An exhausted budget is sent as 1, because 0 means none.
 func budgetMS(now, by monotime.Instant) int {
 	if by == 0 {
 		return 0
@@ -189,7 +191,7 @@
 	return max(int(by.Sub(now)/time.Millisecond), 1)
 }
 
-// reroute asks again for the waiting requests that match.
+// reroute withdraws the waiting requests that match and requests slots for them again.
 func (n *Node) reroute(now monotime.Instant, match func(*request) bool) {
 	n.forEachWaiting(match, func(r *request) {
 		n.withdraw(now, r)
@@ -197,10 +199,10 @@
 	})
 }
 
-// forEachWaiting calls do for the waiting requests that match. It looks at the
-// state again before each call: taking one request back can free a slot of a
-// group owned here, which starts another of the list at that moment. Asking
-// for that one again would let it run twice and be told "not run".
+// forEachWaiting calls do for the waiting requests that match. It checks the state again
+// before each call, because withdrawing one request can free a slot of a group owned here
+// and so start another request of the list. Requesting a slot for that one again would let
+// it run twice and be answered "not run".
 func (n *Node) forEachWaiting(match func(*request) bool, do func(*request)) {
 	var list []*request
 	for r := n.order.head; r != nil; r = r.next {
@@ -215,17 +217,17 @@
 	}
 }
 
-// ownerChanged reports a waiting request whose group has another owner by now.
+// ownerChanged reports whether the group of the request has another owner now.
 func (n *Node) ownerChanged(r *request) bool {
 	return r.group != nil && n.ownerOf(r.group) != r.owner
 }
 
-// groupRemoved reports a waiting request whose group left the configuration.
+// groupRemoved reports whether the group of the request is no longer in the configuration.
 func (n *Node) groupRemoved(r *request) bool {
 	return r.group != nil && n.catalog.Load().Groups[r.group.Name] == nil
 }
 
-// withdraw takes back what was asked of the owner.
+// withdraw withdraws the request from its owner.
 func (n *Node) withdraw(now monotime.Instant, r *request) {
 	if r.group == nil {
 		return
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -19,9 +19,8 @@
 	"basilrudder/internal/vtime"
 )
 
-// world is a few nodes, a network and engines in virtual time. It judges from
-// the outside: it records every run that an engine started and every verdict
-// that a caller got, and compares the two.
+// world is a few nodes, a network and engines in virtual time. It records every run that
+// an engine started and every verdict that a caller received, and compares the two.
 type world struct {
 	t   *testing.T
 	rng *rand.Rand
@@ -51,7 +50,7 @@
 	deferredCalls []func()
 }
 
-// call is what a caller sent and what it was told.
+// call is a caller's request and the verdicts it received.
 type call struct {
 	id       string
 	class    *catalog.Class
@@ -129,7 +128,7 @@
 	return low + time.Duration(w.rng.Int64N(int64(high-low)))
 }
 
-// boot starts a new incarnation, which knows nothing of the one before.
+// boot starts a new incarnation, which has no state of the previous one.
 func (p *proc) boot() {
 	w := p.w
 	p.dead = false
@@ -147,7 +146,7 @@
 	return p.w.Now() - p.started + 1
 }
 
-// deliver runs do on the process: at once, when it wakes, or never.
+// deliver runs do on the process: at once, when its pause ends, or never if it is gone.
 func (p *proc) deliver(self reqid.Incarnation, do func()) {
 	if p.dead || p.self != self {
 		return
@@ -169,8 +168,8 @@
 	p.w.After(TickInterval, func() { p.tick(self) })
 }
 
-// pause stops the process. What arrives meanwhile is handled first when it
-// wakes, before its own tick: the order in which a stale grant does most harm.
+// pause stops the process. Deliveries of that time are handled when it resumes, before its
+// own tick: the order in which a stale grant does most harm.
 func (p *proc) pause(d time.Duration) {
 	if p.dead {
 		return
@@ -190,8 +189,8 @@
 	})
 }
 
-// confirm is a peer or the platform telling the newest revision, in answer to
-// a question asked now: after the tick in which the pause was noticed.
+// confirm delivers the newest revision from a peer or the platform, in answer to a request
+// made now, after the tick that detected the pause.
 func (p *proc) confirm(self reqid.Incarnation) {
 	asked := p.clock()
 	p.w.After(150*time.Millisecond, func() {
@@ -202,7 +201,7 @@
 	})
 }
 
-// publishViews gives every process a view; with faults, publishViews are partly wrong.
+// publishViews gives every process a membership view; with faults, views are partly wrong.
 func (w *world) publishViews() {
 	for _, p := range w.procs {
 		view := &membership.View{Known: len(w.procs)}
@@ -216,7 +215,7 @@
 	}
 }
 
-// effects is what a process does to the world.
+// effects implements Effects for a process of the world.
 type effects struct {
 	p    *proc
 	self reqid.Incarnation
@@ -330,16 +329,16 @@
 	}
 }
 
-// recordVerdict takes a verdict down. "Not run" must be true when it is said; a caller
-// that then sends the same id again may have it run.
+// recordVerdict records a verdict. "Not run" must be true when it is sent; a caller that
+// then repeats the id may have it run.
 func (w *world) recordVerdict(c *call, v verdict.Verdict) {
 	c.verdicts = append(c.verdicts, v)
 	if v == verdict.NotRun && len(w.runs[c.id]) > 0 {
-		w.fail("%s was told not run, but ran as %v", c.id, w.runs[c.id])
+		w.fail("%s was answered not run, but ran as %v", c.id, w.runs[c.id])
 	}
 }
 
-// checkVerdicts compares what engines ran with what callers were told.
+// checkVerdicts compares what engines ran with the verdicts that callers received.
 func (w *world) checkVerdicts() {
 	for id, c := range w.calls {
 		runs := w.runs[id]
@@ -351,7 +350,7 @@
 		}
 		for _, v := range c.verdicts {
 			if v == verdict.NotRun && len(runs) > 0 && c.submits == 1 {
-				w.fail("%s was told not run, but ran as %v", id, runs)
+				w.fail("%s was answered not run, but ran as %v", id, runs)
 			}
 		}
 	}
