--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -28,9 +28,9 @@
 	return servers.Evacuation{DataCentre: dataCentre, Active: active, Revision: revision}
 }
 
-// A data centre is emptied, the store's history is lost while it is taken back, and an
-// instance reads everything again. Its callers must get the servers there back although
-// no event told so.
+// A data centre is evacuated, and the store's history is lost while the evacuation is
+// ended. The instance reads everything again and must use the servers there again,
+// although it received no event of the end.
 func TestAnEvacuationEndsWithTheListThatLacksIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
@@ -46,52 +46,53 @@
 		go func() { _ = fd.run(ctx) }()
 		time.Sleep(500 * time.Millisecond)
 		if diff := cmp.Diff([]string{"b"}, ready(f)); diff != "" {
-			t.Error("emptied", diff)
+			t.Error("evacuated", diff)
 		}
 		time.Sleep(time.Second)
 		if diff := cmp.Diff([]string{"a", "b"}, ready(f)); diff != "" {
-			t.Error("taken back", diff)
+			t.Error("after the evacuation", diff)
 		}
 		<-ctx.Done()
 	})
 }
 
-// The store turns an instance away while a data centre is emptied. A peer that hears
-// the store tells it; a late word of another peer does not bring the data centre back.
-func TestAPeersWordEmptiesADataCentre(t *testing.T) {
+// The store refuses an instance while a data centre is evacuated. A peer that reads the
+// store sends the evacuation; an outdated update of another peer must not end it.
+func TestPeerUpdateEvacuatesDataCentre(t *testing.T) {
 	f, _, _ := newFleet()
-	f.adopt(config(1), fromStore)
+	f.installConfig(config(1), fromStore)
 	p := linkedPeers(f, "me", wire.RelayMember{ID: "reader"}, wire.RelayMember{ID: "late"})
 	put(f, fromStore, entryIn("a", "north", 1))
 	put(f, fromStore, entryIn("b", "south", 2))
-	p.take("late", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Revision: 3}}})
-	p.take("reader", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Active: true, Revision: 7}}})
-	p.take("late", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Revision: 3}}})
+	p.receive("late", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Revision: 3}}})
+	p.receive("reader", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Active: true, Revision: 7}}})
+	p.receive("late", &wire.RelayNews{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Revision: 3}}})
 	if diff := cmp.Diff([]string{"b"}, ready(f)); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"north"}, f.evacuated()); diff != "" {
-		t.Error("told to operators", diff)
+	if diff := cmp.Diff([]string{"north"}, f.evacuatedDataCentres()); diff != "" {
+		t.Error("in the metrics", diff)
 	}
 }
 
-// What the store told this instance alone reaches its peers: with the news of the
-// change, and in the state that a peer asks for which has missed it.
-func TestEvacuationsAreToldToPeers(t *testing.T) {
+// An evacuation that only this instance read from the store must reach its peers: in the
+// update of the change, and in the state that a peer requests after it has missed the
+// update.
+func TestEvacuationsAreSentToPeers(t *testing.T) {
 	f, fd, _ := newFleet()
 	p := linkedPeers(f, "me", wire.RelayMember{ID: "peer"})
-	var told []wire.RelayEvacuation
-	f.news.send = func(n *wire.RelayNews, _ monotime.Instant, _ bool) { told = append(told, n.Evacuations...) }
-	fd.take(&Changes{Evacuations: []servers.Evacuation{evacuation("north", true, 4)}, Revision: 4})
-	f.news.flush()
+	var sent []wire.RelayEvacuation
+	f.updates.send = func(n *wire.RelayNews, _ monotime.Instant, _ bool) { sent = append(sent, n.Evacuations...) }
+	fd.applyChanges(&Changes{Evacuations: []servers.Evacuation{evacuation("north", true, 4)}, Revision: 4})
+	f.updates.flush()
 	want := []wire.RelayEvacuation{{DataCentre: "north", Active: true, Revision: 4}}
-	if diff := cmp.Diff(want, told); diff != "" {
-		t.Error("news", diff)
+	if diff := cmp.Diff(want, sent); diff != "" {
+		t.Error("update", diff)
 	}
-	if diff := cmp.Diff(want, p.stateNews().Evacuations); diff != "" {
+	if diff := cmp.Diff(want, p.stateUpdate().Evacuations); diff != "" {
 		t.Error("state", diff)
 	}
-	data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{p.stateNews()}})
+	data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{p.stateUpdate()}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,23 +105,23 @@
 	}
 }
 
-// All data centres are emptied. Callers are answered and told that no server can be
-// reached; the instance neither counts as unable to serve nor reads the store again
-// and again for servers that it knows.
+// All data centres are evacuated. Callers are told that no server can be reached. The
+// instance must neither count as unable to serve nor read the store repeatedly for
+// servers that it already tracks.
 func TestWithAllDataCentresEvacuatedCallersAreRefused(t *testing.T) {
 	f, fd, _ := newFleet()
-	f.adopt(config(1), fromStore)
+	f.installConfig(config(1), fromStore)
 	put(f, fromStore, entryIn("a", "north", 1))
-	f.takeEvacuations(fromStore, []servers.Evacuation{evacuation("north", true, 2)})
+	f.applyEvacuations(fromStore, []servers.Evacuation{evacuation("north", true, 2)})
 	if _, refusal := f.Place("svc", placement.Work{}, nil, monotime.Now()); refusal != placement.NoneReachable {
 		t.Errorf("placed: %v", refusal)
 	}
-	if f.serverCount() != 1 || fd.cold() {
-		t.Error("the instance takes itself for one that knows no servers")
+	if f.serverCount() != 1 || fd.lacksState() {
+		t.Error("the instance counts as one without servers")
 	}
 }
 
-// engines publishes a service of cold-sensitive engines.
+// engines publishes a service whose engines sustain only few requests while cold.
 func engines() *routing.Config {
 	return &routing.Config{Version: 1, Services: []routing.Service{{
 		Name: "svc", Engine: &routing.Engine{Slots: 64, MemoryTokens: 500_000},
@@ -128,8 +129,8 @@
 	}}}
 }
 
-// placed counts the requests that a fleet of one may begin within a second.
-func placed(t *testing.T, f *fleet) int {
+// countPlaced counts the requests that a fleet of one instance may begin within a second.
+func countPlaced(t *testing.T, f *fleet) int {
 	t.Helper()
 	n := 0
 	work := placement.Work{Prompt: 100, Output: 10, Goal: time.Second, Left: time.Minute}
@@ -146,61 +147,61 @@
 	return n
 }
 
-// A data centre is taken back after its servers have been started again, which their
-// entries tell a second later. Callers' requests must not rush to them meanwhile: cold
-// servers crash above what they bear.
+// The evacuation of a data centre ends after its servers have been restarted, which their
+// entries report a second later. Until then requests must not reach them at full rate:
+// cold servers crash above their capacity.
 func TestADataCentreThatIsTakenBackIsFilledSlowly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
 		f, fd, _ := newFleet()
 		time.Sleep(2 * time.Second)
-		f.adopt(engines(), fromStore)
+		f.installConfig(engines(), fromStore)
 		put(f, fromStore, entryIn("a", "north", 1))
-		if n := placed(t, f); n != 100 {
+		if n := countPlaced(t, f); n != 100 {
 			t.Errorf("%d of 100 before", n)
 		}
-		fd.take(&Changes{Evacuations: []servers.Evacuation{evacuation("north", true, 2)}, Revision: 2})
+		fd.applyChanges(&Changes{Evacuations: []servers.Evacuation{evacuation("north", true, 2)}, Revision: 2})
 		time.Sleep(time.Second)
-		fd.take(&Changes{Evacuations: []servers.Evacuation{evacuation("north", false, 3)}, Revision: 3})
-		if n := placed(t, f); n < 4 || n > 6 {
-			t.Errorf("%d in the first second, of a server that bears 6", n)
+		fd.applyChanges(&Changes{Evacuations: []servers.Evacuation{evacuation("north", false, 3)}, Revision: 3})
+		if n := countPlaced(t, f); n < 4 || n > 6 {
+			t.Errorf("%d in the first second, of a server that sustains 6", n)
 		}
 		cold := entryIn("a", "north", 4)
 		cold.ColdLeft = 3 * time.Second
 		put(f, fromStore, cold)
-		if n := placed(t, f); n < 4 || n > 6 {
+		if n := countPlaced(t, f); n < 4 || n > 6 {
 			t.Errorf("%d once its entry says that it is cold", n)
 		}
 		put(f, fromStore, entryIn("a", "north", 5))
-		if n := placed(t, f); n != 100 {
+		if n := countPlaced(t, f); n != 100 {
 			t.Errorf("%d of 100 once its entry says that it is warm", n)
 		}
 	})
 }
 
-// A server can't be reached, as after a crash, and answers again before its entry can
-// tell whether it has started again. It gets what a cold server bears until the store
-// has said that it is the same one.
+// A server is unreachable, as after a crash, and answers again before its entry can show
+// whether it has restarted. It must get only what a cold server sustains until the store
+// has confirmed that it is the same incarnation.
 func TestAServerThatAnswersAgainIsFilledSlowly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
 		f, _, _ := newFleet()
 		time.Sleep(2 * time.Second)
-		f.adopt(engines(), fromStore)
+		f.installConfig(engines(), fromStore)
 		put(f, fromStore, entryIn("a", "north", 1))
 		f.Observe("a", placement.Unreachable, monotime.Now())
 		time.Sleep(300 * time.Millisecond)
-		if n := placed(t, f); n < 4 || n > 6 {
-			t.Errorf("%d in the first second, of a server that bears 6", n)
+		if n := countPlaced(t, f); n < 4 || n > 6 {
+			t.Errorf("%d in the first second, of a server that sustains 6", n)
 		}
-		f.heard.Store(int64(monotime.Now()))
-		if n := placed(t, f); n != 100 {
-			t.Errorf("%d of 100 once the store vouches for it", n)
+		f.confirmedByStore.Store(int64(monotime.Now()))
+		if n := countPlaced(t, f); n != 100 {
+			t.Errorf("%d of 100 once the store has confirmed it", n)
 		}
 	})
 }
 
-// The list of the store fails: what was known of evacuations holds.
+// Reading the store fails. Evacuations in force must stay in force.
 func TestAnEvacuationOutlivesAnOutageOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, fd, source := newFleet()
@@ -217,18 +218,18 @@
 	})
 }
 
-// All servers of a service crash at once. Callers come back once, so those of an outage
-// for all are told a later time than those of an instance that alone reaches none. News of
-// what others send tell which it is.
-func TestAnOutageForAllIsToldFromOneOfThisInstance(t *testing.T) {
+// All servers of a service crash at once. Callers retry once, so in an outage for all
+// instances they are given a longer Retry-After than when this instance alone reaches no
+// server. The runs that peers report show which of the two it is.
+func TestServiceOutageIsDistinguishedFromLocalOutage(t *testing.T) {
 	f, _, _ := newFleet()
-	f.adopt(config(1), fromStore)
+	f.installConfig(config(1), fromStore)
 	p := linkedPeers(f, "me", wire.RelayMember{ID: "peer"})
 	put(f, fromStore, entryIn("a", "north", 1))
 	if f.Serving("svc", monotime.Now()) {
 		t.Error("nobody has sent anything")
 	}
-	p.takeRuns("peer", &wire.RelayNews{Begun: []wire.RelayRun{{Number: 1, Server: "a"}}}, monotime.Now())
+	p.applyRuns("peer", &wire.RelayNews{Begun: []wire.RelayRun{{Number: 1, Server: "a"}}}, monotime.Now())
 	if !f.Serving("svc", monotime.Now()) {
 		t.Error("a peer reaches it")
 	}
@@ -238,18 +239,18 @@
 }
 
 // All servers of a service crash while each instance sends it many requests a second. The
-// callers whose requests this ends are told to come back in 200 ms, into the outage, and
-// get nothing then: 163 of them in the first half second of one that lasted 1.5 s. News of
-// what others had begun just before the crash, some of them still on their way, were taken
-// for a sign that others reach a server.
-func TestAnOutageForAllIsKnownAtOnce(t *testing.T) {
+// runs that peers began just before the crash, some of them reported only after it, must
+// not count as a sign that a server is reachable. Otherwise callers are told to retry in
+// 200 ms, into the outage, and fail: 163 of them in the first half second of an outage of
+// 1.5 s.
+func TestServiceOutageIsDetectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
 		f, _, _ := newFleet()
-		f.adopt(config(1), fromStore)
+		f.installConfig(config(1), fromStore)
 		p := linkedPeers(f, "me", wire.RelayMember{ID: "peer"})
 		begun := func(server string) {
-			p.takeRuns("peer", &wire.RelayNews{Begun: []wire.RelayRun{{Number: 1, Server: server}}}, monotime.Now())
+			p.applyRuns("peer", &wire.RelayNews{Begun: []wire.RelayRun{{Number: 1, Server: server}}}, monotime.Now())
 		}
 		all := []string{"a", "b", "c"}
 		for n, id := range all {
@@ -264,24 +265,24 @@
 		}
 		unreachable()
 		if f.Serving("svc", monotime.Now()) {
-			t.Error("at the crash: taken for served, by what peers began before")
+			t.Error("at the crash: counts as served because of runs that peers began before")
 		}
 		time.Sleep(30 * time.Millisecond)
 		begun("a")
 		if f.Serving("svc", monotime.Now()) {
-			t.Error("30 ms later: taken for served, by news that were on their way")
+			t.Error("30 ms later: counts as served because of updates that were in transit")
 		}
-		time.Sleep(newsTravel)
+		time.Sleep(updateTravelTime)
 		begun("a")
 		if !f.Serving("svc", monotime.Now()) {
 			t.Error("a peer reaches a server, but callers are told of an outage")
 		}
 		f.Begin(relay.Target{Server: servers.Server{ID: "b", Service: "svc"}}, placement.Work{}, monotime.Now())
-		time.Sleep(newsTravel)
+		time.Sleep(updateTravelTime)
 		begun("c")
 		unreachable()
 		if f.Serving("svc", monotime.Now()) {
-			t.Error("the next outage is not known at once")
+			t.Error("the next outage is not detected at once")
 		}
 	})
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -16,42 +16,43 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// newsTravel is taken off a peer's word for the time it was on its way: several
-// times the usual, of some ms between data centres.
-const newsTravel = 100 * time.Millisecond
+// updateTravelTime is subtracted from the time of a peer's confirmation for its travel:
+// several times the usual few ms between data centres.
+const updateTravelTime = 100 * time.Millisecond
 
-// peers keeps the links to other instances and takes their news. It implements
+// peers keeps the links to other instances and applies their updates. It implements
 // peer.Handler.
 type peers struct {
 	fleet   *fleet
 	log     *zap.Logger
 	links   *peer.Links
-	configs *configs
+	configs *configSync
 
-	// warm says that what all engines keep is known, from a peer that knew it or from
-	// the engines. What some peer has just heard of a few does not count.
-	warm atomic.Bool
-	// informed says that some peer has told what engines keep. Each answer to a question
+	// cachesComplete is set once the cache state of all engines is tracked, received from
+	// a peer that had it or read from the engines. The state of a few engines that a peer
+	// has just read does not count.
+	cachesComplete atomic.Bool
+	// cachesReceived is set once any peer has sent cache state. Each answer to a request
 	// for it is as long as all servers and caches together, so peers are asked only until
 	// the first.
-	informed atomic.Bool
-
-	mu      sync.Mutex
-	node    *overlay.Node
-	differs map[string]difference // by peer
-	askedAt monotime.Instant      // when a peer was last asked for its state
-	logged  role                  // what was last logged
-	late    bool                  // news come late, as was last logged
-	// refreshing says that a refresh is due.
-	refreshing bool
+	cachesReceived atomic.Bool
+
+	mu               sync.Mutex
+	node             *overlay.Node
+	differences      map[string]difference // by peer
+	stateRequestedAt monotime.Instant      // when a peer was last asked for its state
+	loggedRole       role                  // role last logged
+	updatesLate      bool                  // updates were late when last logged
+	// refreshPending is set while a refresh is scheduled.
+	refreshPending bool
 }
 
-// refreshDelay is how long changes of what is known are gathered. While a fleet starts
-// each instance hears of each other one by itself, and 360 refreshes of half a
-// millisecond would keep a small machine from its callers for a second.
+// refreshDelay is how long changes of the view are collected. While a fleet starts, each
+// instance learns of the others one by one, and 360 refreshes of half a millisecond would
+// delay the callers of a small machine for a second.
 const refreshDelay = 10 * time.Millisecond
 
-// role is what an instance does for the others.
+// role is what an instance does for the others, and its primary hub.
 type role struct {
 	name, primary string
 }
@@ -59,8 +60,8 @@
 func newPeers(self wire.RelayMember, seeds []string, f *fleet, log *zap.Logger) *peers {
 	p := &peers{
 		fleet: f, log: log, node: overlay.New(self, seeds, monotime.Now()),
-		configs: newConfigs(self.ID, f, log),
-		differs: make(map[string]difference),
+		configs:     newConfigSync(self.ID, f, log),
+		differences: make(map[string]difference),
 	}
 	p.configs.send = func(to string, env *wire.Envelope) bool { return p.links.Send(to, env) }
 	return p
@@ -82,17 +83,17 @@
 	}
 	p.log.Info("peer_linked", zap.String("peer", id.ID), zap.String("incarnation", id.Incarnation))
 	greeting := p.node.Greeting()
-	greeting.ConfigVersion = p.version()
-	greeting.StateWanted = p.wantsState() && p.mayAsk(now)
+	greeting.ConfigVersion = p.configVersion()
+	greeting.StateWanted = p.needsState() && p.mayRequestState(now)
 	p.links.Send(id.ID, &wire.Envelope{News: []wire.RelayNews{greeting}})
-	for told := range slices.Chunk(p.fleet.crashes.all(now), crashesAtOnce) {
-		p.links.Send(id.ID, &wire.Envelope{News: []wire.RelayNews{{Crashes: told}}})
+	for list := range slices.Chunk(p.fleet.crashes.encodeAll(now), crashesPerMessage) {
+		p.links.Send(id.ID, &wire.Envelope{News: []wire.RelayNews{{Crashes: list}}})
 	}
-	p.refreshSoon()
+	p.scheduleRefresh()
 }
 
-// wantsState reports whether the next peer is to be asked for what it knows.
-func (p *peers) wantsState() bool { return !p.warm.Load() && !p.informed.Load() }
+// needsState reports whether the next peer is to be asked for its state.
+func (p *peers) needsState() bool { return !p.cachesComplete.Load() && !p.cachesReceived.Load() }
 
 // LinkDown implements peer.Handler.
 func (p *peers) LinkDown(id string, err error) {
@@ -100,49 +101,49 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.node.LinkDown(id, now)
-	delete(p.differs, id)
+	delete(p.differences, id)
 	p.log.Info("peer_lost", zap.String("peer", id), eventlog.Cause(err))
-	// At once, before the links look what to dial: of a link that the peer dropped
-	// because nobody needs it, this side would open another one, for good.
-	p.setWanted(now)
-	p.refreshSoon()
+	// At once, before the links decide what to dial: this side would reopen, for good, a
+	// link that the peer dropped because it is not needed.
+	p.updateWantedLinks(now)
+	p.scheduleRefresh()
 }
 
 // Envelope implements peer.Handler.
 func (p *peers) Envelope(from string, env *wire.Envelope) {
-	p.configs.take(from, env)
+	p.configs.receive(from, env)
 	changed := false
 	for i := range env.News {
-		changed = p.take(from, &env.News[i]) || changed
+		changed = p.receive(from, &env.News[i]) || changed
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.node.HasPending() {
-		p.fleet.news.pass()
+		p.fleet.updates.scheduleFlush()
 	}
 	if changed {
-		p.refreshSoon()
+		p.scheduleRefresh()
 	}
 }
 
-// refreshSoon has a refresh follow; mu is held.
-func (p *peers) refreshSoon() {
-	if p.refreshing {
+// scheduleRefresh schedules a refresh. mu is held.
+func (p *peers) scheduleRefresh() {
+	if p.refreshPending {
 		return
 	}
-	p.refreshing = true
+	p.refreshPending = true
 	time.AfterFunc(refreshDelay, func() {
 		p.mu.Lock()
 		p.refresh(monotime.Now())
 		p.mu.Unlock()
-		p.configs.relink(p.linked)
+		p.configs.updateLinked(p.linked)
 	})
 }
 
-// refresh does what follows from a change of what is known; mu is held, so that what
-// it sends goes out in the order of the changes.
+// refresh applies what follows from a change of the view. mu is held, so that messages
+// are sent in the order of the changes.
 func (p *peers) refresh(now monotime.Instant) {
-	p.refreshing = false
+	p.refreshPending = false
 	effects := p.node.Refresh(now)
 	p.fleet.throttle.SetMembers(p.node.Sharers())
 	for _, id := range effects.Lost {
@@ -155,15 +156,15 @@
 	if effects.RequestMembersFrom != "" {
 		p.links.Send(effects.RequestMembersFrom, &wire.Envelope{News: []wire.RelayNews{{MembersWanted: true}}})
 	}
-	p.setWanted(now)
+	p.updateWantedLinks(now)
 	if p.node.LinksChanged() {
-		p.fleet.news.pass()
+		p.fleet.updates.scheduleFlush()
 	}
 	p.logRole(now)
 }
 
-// setWanted tells the links which of them are wanted; mu is held.
-func (p *peers) setWanted(now monotime.Instant) {
+// updateWantedLinks sets the links to keep or to open. mu is held.
+func (p *peers) updateWantedLinks(now monotime.Instant) {
 	wanted := p.node.LinkTargets(now)
 	targets := make([]peer.Target, 0, len(wanted))
 	for _, t := range wanted {
@@ -172,21 +173,21 @@
 	p.links.SetWanted(targets)
 }
 
-// logRole logs what this instance does for the others, as it changes.
+// logRole logs this instance's role when it changes.
 func (p *peers) logRole(now monotime.Instant) {
-	is := role{p.node.Role(), p.node.Primary()}
-	if is == p.logged {
+	current := role{p.node.Role(), p.node.Primary()}
+	if current == p.loggedRole {
 		return
 	}
-	p.logged = is
-	p.log.Info("news_role", zap.String("role", is.name), zap.String("hub", is.primary),
+	p.loggedRole = current
+	p.log.Info("news_role", zap.String("role", current.name), zap.String("hub", current.primary),
 		zap.Int("links", len(p.node.Linked())), zap.Int("instances", len(p.node.Reachable())),
 		zap.Duration("news_age_ms", p.node.Staleness(now)))
 }
 
-// tick does what is due by time alone.
+// tick runs the tasks that depend on time alone.
 func (p *peers) tick(now monotime.Instant) {
-	p.configs.relink(p.linked)
+	p.configs.updateLinked(p.linked)
 	p.configs.tick(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,28 +199,28 @@
 }
 
 const (
-	// newsLate is the age from which on news count as late: requests are then placed on
-	// engines that have been given some ten others meanwhile. newsFresh is the age at
-	// which they no longer do.
-	newsLate  = 200 * time.Millisecond
-	newsFresh = 100 * time.Millisecond
+	// lateUpdateAge is the age from which updates count as late: requests are then placed
+	// on engines that have received some ten others meanwhile. freshUpdateAge is the age
+	// at which they no longer do.
+	lateUpdateAge  = 200 * time.Millisecond
+	freshUpdateAge = 100 * time.Millisecond
 )
 
-// logLateness logs that news come late, and that they no longer do.
+// logLateness logs that updates are late, and that they no longer are.
 func (p *peers) logLateness(now monotime.Instant) {
 	age := p.node.Staleness(now)
 	switch {
-	case !p.late && age >= newsLate:
-		p.late = true
+	case !p.updatesLate && age >= lateUpdateAge:
+		p.updatesLate = true
 		p.log.Warn("news_late", zap.String("hub", p.node.Primary()), zap.Duration("news_age_ms", age), zap.Int("missed", p.node.MissedUpdates()))
-	case p.late && age <= newsFresh:
-		p.late = false
+	case p.updatesLate && age <= freshUpdateAge:
+		p.updatesLate = false
 		p.log.Info("news_fresh", zap.String("hub", p.node.Primary()), zap.Duration("news_age_ms", age), zap.Int("missed", p.node.MissedUpdates()))
 	}
 }
 
-// newsState is what an operator asks about the news of other instances.
-type newsState struct {
+// updateMetrics is the state of updates of other instances in the metrics.
+type updateMetrics struct {
 	Role      string `json:"role"`
 	Hub       string `json:"hub"`
 	Links     int    `json:"links"`
@@ -228,38 +229,39 @@
 	Missed    int    `json:"missed"`
 }
 
-// state returns what is known of the news now, for metrics.
-func (p *peers) state() newsState {
+// metrics returns the current state of updates.
+func (p *peers) metrics() updateMetrics {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return newsState{
+	return updateMetrics{
 		Role: p.node.Role(), Hub: p.node.Primary(), Links: len(p.node.Linked()),
 		Instances: len(p.node.Reachable()), AgeMS: p.node.Staleness(monotime.Now()).Milliseconds(), Missed: p.node.MissedUpdates(),
 	}
 }
 
-// gather is how long news are gathered before they are sent.
-func (p *peers) gather() time.Duration {
+// batchDelay returns how long updates are collected before they are sent.
+func (p *peers) batchDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.BatchDelay()
 }
 
-// due reports whether peers are to be told something although nothing happened.
+// due reports whether a status is to be sent to peers although there is no update.
 func (p *peers) due() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.StatusDue(monotime.Now())
 }
 
-// staleness is about how long after a choice of another instance it is known here.
+// staleness returns about how long a choice of another instance takes to be recorded
+// here.
 func (p *peers) staleness() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Staleness(monotime.Now())
 }
 
-// broadcast sends own news and those held for others.
+// broadcast sends an update of this instance and those held for others.
 func (p *peers) broadcast(own *wire.RelayNews, since monotime.Instant, urgent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -268,7 +270,7 @@
 	}
 }
 
-// leave has other instances take over what this one does for them.
+// leave hands over to other instances what this one does for them.
 func (p *peers) leave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -282,7 +284,7 @@
 	return p.node.Linked()
 }
 
-// setSeeds replaces the addresses to start from.
+// setSeeds replaces the seed addresses.
 func (p *peers) setSeeds(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -290,7 +292,7 @@
 	p.refresh(monotime.Now())
 }
 
-// routeMembers returns the instances that can be reached and this one.
+// routeMembers returns this instance and those that can be reached.
 func (p *peers) routeMembers() []route.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -301,35 +303,36 @@
 	return out
 }
 
-// rank returns this instance's place among those that can be reached in an order that
-// all of them agree on, and how many they are.
+// rank returns this instance's rank among those that can be reached, in an order that all
+// of them agree on, and how many they are.
 func (p *peers) rank() (place, of int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Rank()
 }
 
-// hears reports whether this instance hears all news over a hub.
-func (p *peers) hears() bool {
+// hasHub reports whether this instance receives all updates over a hub.
+func (p *peers) hasHub() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Primary() != ""
 }
 
-// count returns the number of instances that can be reached or could be lately, this
-// one among them.
+// count returns the number of instances that can be reached or could be recently,
+// including this one.
 func (p *peers) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.MemberCount()
 }
 
-// staying returns the instances that can be reached and do not leave, by id.
+// staying returns the other instances that can be reached and do not leave, in order of
+// id.
 func (p *peers) staying() []wire.RelayMember {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.Staying()
 }
 
-// version of the configuration in force, or 0.
-func (p *peers) version() int { return int(p.fleet.version()) }
+// configVersion returns the version of the configuration in force, or 0.
+func (p *peers) configVersion() int { return int(p.fleet.configVersion()) }
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -16,13 +16,14 @@
 
 var twoRegions = regions{"hall": "north", "yard": "south"}
 
-// A customer's certificates must stay in the north. The server there is lost; the caller
-// is refused although one in the south is free, and so is one whose route and customer
-// leave no region in common, or while nobody says where a data centre lies.
+// A customer's data must stay in the north, and the server there is lost. The caller must
+// be refused although a server in the south is free, and so must one whose route and
+// customer have no region in common. A data centre without a configured region gets
+// neither.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	f, _, _ := newFleet()
 	f.regions = twoRegions
-	f.adopt(config(1), fromStore)
+	f.installConfig(config(1), fromStore)
 	put(f, fromStore, entryIn("a", "hall", 1))
 	put(f, fromStore, entryIn("b", "yard", 2))
 	put(f, fromStore, entryIn("c", "nowhere", 3))
@@ -35,22 +36,22 @@
 		{"north", []string{"north"}, nil, "a"},
 		{"south", []string{"south"}, nil, "b"},
 		{"north without its server", []string{"north"}, map[string]bool{"a": true}, ""},
-		{"no region in common", routing.Homes(&routing.Route{Homes: []string{"north"}}, &routing.Customer{Homes: []string{"south"}}), nil, ""},
-		{"both in common", routing.Homes(&routing.Route{Homes: []string{"north", "south"}}, &routing.Customer{Homes: []string{"south"}}), nil, "b"},
-		{"customer alone", routing.Homes(&routing.Route{}, &routing.Customer{Homes: []string{"south"}}), nil, "b"},
+		{"no region in common", routing.AllowedRegions(&routing.Route{AllowedRegions: []string{"north"}}, &routing.Customer{AllowedRegions: []string{"south"}}), nil, ""},
+		{"both in common", routing.AllowedRegions(&routing.Route{AllowedRegions: []string{"north", "south"}}, &routing.Customer{AllowedRegions: []string{"south"}}), nil, "b"},
+		{"customer alone", routing.AllowedRegions(&routing.Route{}, &routing.Customer{AllowedRegions: []string{"south"}}), nil, "b"},
 	} {
 		target, refusal := f.Place("svc", placement.Work{Homes: c.homes}, c.excluded, monotime.Now())
 		if target.ID != c.want || (refusal == placement.Chosen) != (c.want != "") {
 			t.Errorf("%s: %q %v", c.name, target.ID, refusal)
 		}
 	}
-	if homes := routing.Homes(&routing.Route{}, nil); homes != nil {
+	if homes := routing.AllowedRegions(&routing.Route{}, nil); homes != nil {
 		t.Errorf("bound to %v without any", homes)
 	}
 }
 
-// The regions come from the settings: an instance that lost them would refuse every
-// request that is bound to one.
+// The regions come from the settings: an instance without them would refuse every request
+// that must stay in one.
 func TestRegionsAreTakenFromTheSettings(t *testing.T) {
 	g, err := New(Config{Log: zap.NewNop(), Settings: &relaysettings.RelaySettings{
 		Places:  []relaysettings.PlaceSettings{{DataCentre: "hall", Region: "north"}, {DataCentre: "yard", Region: "south"}},
@@ -64,7 +65,7 @@
 	}
 }
 
-// Callers of a region are sent to its instances, and elsewhere only when it has none.
+// Callers of a region are sent to its instances, and to others only if it has none.
 func TestTheDirectoryNamesInstancesOfTheCallersRegion(t *testing.T) {
 	f, _, _ := newFleet()
 	f.regions = twoRegions
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -13,8 +13,9 @@
 	"basilrudder/internal/servers"
 )
 
-// bornEntry is the entry of a start of engine "a", which keeps its name and address.
-func bornEntry(born int64, revision servers.Revision) servers.Server {
+// incarnationEntry returns the entry of an incarnation of engine "a", which keeps its
+// name and address.
+func incarnationEntry(born int64, revision servers.Revision) servers.Server {
 	return servers.Server{
 		ID: servers.Incarnation("a", born), Name: "a", Born: born, Service: "llm",
 		Address: "10.0.0.1:80", DataCentre: "here", Slots: 4, Revision: revision,
@@ -22,7 +23,7 @@
 }
 
 func put(f *fleet, from string, s servers.Server) {
-	f.update(from, func(r *servers.Registry, now monotime.Instant) []string {
+	f.changeServers(from, func(r *servers.Registry, now monotime.Instant) []string {
 		if r.Put(s, now) == servers.Unchanged {
 			return nil
 		}
@@ -30,56 +31,56 @@
 	})
 }
 
-// An engine that kept a caller's prompt drains, stops and starts again under its
-// name. A peer that was cut off then tells of the former start. The next caller's
-// request goes to the new start, which is taken to keep nothing, and peers are
-// told that the former one is gone.
+// An engine that keeps a caller's prompt drains, stops and restarts under its name. A
+// peer that was disconnected then sends the former incarnation. The next request must go
+// to the new incarnation, which counts as keeping nothing, and peers must receive that
+// the former one is gone.
 func TestAServerThatStartsAgainUnderItsNameIsAnother(t *testing.T) {
 	f, _, _ := newFleet()
-	var told []wire.RelayServer
-	f.news.send = func(n *wire.RelayNews, _ monotime.Instant, _ bool) { told = append(told, n.Servers...) }
-	f.adopt(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 4, MemoryTokens: 100_000}}}}, fromStore)
+	var sent []wire.RelayServer
+	f.updates.send = func(n *wire.RelayNews, _ monotime.Instant, _ bool) { sent = append(sent, n.Servers...) }
+	f.installConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 4, MemoryTokens: 100_000}}}}, fromStore)
 	work := placement.Work{Parts: []placement.Part{{ID: "p", Tokens: 5000}, {ID: "own", Tokens: 100}}, Prompt: 5100, Goal: time.Second}
 
-	former := bornEntry(1000, 5)
+	former := incarnationEntry(1000, 5)
 	put(f, fromStore, former)
 	target, _ := f.Place("llm", work, nil, monotime.Now())
 	run, _ := f.Begin(target, work, monotime.Now())
 	f.First(run, monotime.Now())
 	f.End(run, monotime.Now())
 	if again, _ := f.Place("llm", work, nil, monotime.Now()); again.Choice.Unread != 0 {
-		t.Fatalf("the engine is not taken to keep the prompt: %+v", again.Choice)
+		t.Fatalf("the engine does not count as keeping the prompt: %+v", again.Choice)
 	}
 	former.Draining, former.Revision = true, 6
 	put(f, fromStore, former)
-	put(f, fromStore, bornEntry(2000, 7))
+	put(f, fromStore, incarnationEntry(2000, 7))
 	put(f, "peer", former)
 
 	next, refusal := f.Place("llm", work, nil, monotime.Now())
 	if refusal != placement.Chosen || next.ID != "a@2000" || next.Name != "a" || next.Choice.Unread != work.Prompt {
 		t.Errorf("%v %+v", refusal, next)
 	}
-	f.news.flush()
+	f.updates.flush()
 	gone := map[string]bool{}
-	for _, state := range told {
+	for _, state := range sent {
 		gone[state.ID] = state.Gone
 	}
 	if diff := cmp.Diff(map[string]bool{"a@1000": true, "a@2000": false}, gone); diff != "" {
-		t.Error("told to peers", diff)
+		t.Error("sent to peers", diff)
 	}
 }
 
-// The entry of one of two servers turns unreadable. Callers of it are sent to the
-// other one, and the server is back with its next good entry.
+// The entry of one of two servers becomes unreadable. Its requests must go to the other
+// server, and the server must be used again with its next valid entry.
 func TestAnUnreadableEntryTakesItsServerOutAlone(t *testing.T) {
 	f, fd, _ := newFleet()
-	f.adopt(config(1), fromStore)
-	fd.take(&Changes{Servers: []servers.Server{entry("a", 1), entry("b", 2)}, Revision: 2})
-	fd.take(&Changes{Invalid: []servers.EntryRef{{Name: "a", Revision: 3}}, Revision: 3})
+	f.installConfig(config(1), fromStore)
+	fd.applyChanges(&Changes{Servers: []servers.Server{entry("a", 1), entry("b", 2)}, Revision: 2})
+	fd.applyChanges(&Changes{Invalid: []servers.EntryRef{{Name: "a", Revision: 3}}, Revision: 3})
 	if diff := cmp.Diff([]string{"b"}, ready(f)); diff != "" {
 		t.Error("while it is unreadable", diff)
 	}
-	fd.take(&Changes{Servers: []servers.Server{entry("a", 4)}, Revision: 4})
+	fd.applyChanges(&Changes{Servers: []servers.Server{entry("a", 4)}, Revision: 4})
 	if diff := cmp.Diff([]string{"a", "b"}, ready(f)); diff != "" {
 		t.Error("written well again", diff)
 	}
--- a/internal/gateway/news_fuzz_test.go
+++ b/internal/gateway/updates_fuzz_test.go
@@ -11,9 +11,9 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// FuzzNews: whatever a peer's frame says of servers, runs, caches, engines, crashes and
-// configurations, the instance goes on placing requests, and predicts times that are not
-// negative.
+// FuzzNews checks that whatever a peer's frame holds about servers, runs, caches,
+// engines, crashes and configurations, the instance goes on placing requests and predicts
+// no negative times.
 func FuzzNews(f *testing.F) {
 	for _, news := range []wire.RelayNews{
 		{Servers: []wire.RelayServer{{ID: "a@7", Name: "a", Born: 7, Service: "llm", Address: "10.0.0.1:80", Slots: 4, Revision: 3}}},
@@ -41,20 +41,20 @@
 			return
 		}
 		fl, _, _ := newFleet()
-		fl.adopt(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 4, MemoryTokens: 100_000}}}}, fromStore)
-		put(fl, fromStore, bornEntry(1, 1))
+		fl.installConfig(&routing.Config{Version: 1, Services: []routing.Service{{Name: "llm", Engine: &routing.Engine{Slots: 4, MemoryTokens: 100_000}}}}, fromStore)
+		put(fl, fromStore, incarnationEntry(1, 1))
 		p := linkedPeers(fl, "me", wire.RelayMember{ID: "peer"})
-		p.configs.take("peer", env)
+		p.configs.receive("peer", env)
 		for i := range env.News {
-			p.takeRuns("peer", &env.News[i], monotime.Now())
+			p.applyRuns("peer", &env.News[i], monotime.Now())
 			_, _ = p.node.Receive("peer", &env.News[i], monotime.Now())
 			p.node.Refresh(monotime.Now())
 			p.node.Flush(wire.RelayNews{}, 0, true, monotime.Now())
-			fl.takeEvacuations("peer", decodeEvacuations(env.News[i].Evacuations))
-			p.takeServers("peer", env.News[i].Servers, 0)
-			p.takeCaches(&env.News[i])
-			p.takeEvidence("peer", &env.News[i])
-			p.takeCrashes("peer", &env.News[i], true)
+			fl.applyEvacuations("peer", decodeEvacuations(env.News[i].Evacuations))
+			p.applyServers("peer", env.News[i].Servers, 0)
+			p.applyCaches(&env.News[i])
+			p.applyPaceStats("peer", &env.News[i])
+			p.applyCrashes("peer", &env.News[i], true)
 		}
 		work := placement.Work{Prompt: 1000, Output: 100, Goal: time.Second, MaxGap: time.Second, Left: time.Minute}
 		target, refusal := fl.Place("llm", work, nil, monotime.Now())
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -11,118 +11,118 @@
 	return &catalog.Customer{Name: "c", Hash: 7, RequestsPerSecond: perSecond, Burst: burst}
 }
 
-// withinBound fails when more was admitted than the stated bound.
-func (f *fleet) withinBound(t *testing.T, admitted int, over time.Duration, extra float64) {
+// checkBound fails if more requests were admitted than the bound in the package comment
+// allows.
+func (f *fleet) checkBound(t *testing.T, admitted int, over time.Duration, extra float64) {
 	t.Helper()
 	c := f.customer
 	bound := c.RequestsPerSecond*(over+Lease).Seconds() + burst(c, c.RequestsPerSecond) + extra
 	t.Logf("admitted %d in %v, rate allows %.0f, bound %.0f; refused %d, %d messages, longest wait %v",
-		admitted, over, c.RequestsPerSecond*over.Seconds(), bound, f.refused, f.messages, f.longest)
+		admitted, over, c.RequestsPerSecond*over.Seconds(), bound, f.refused, f.messages, f.longestWait)
 	if float64(admitted) > bound {
 		t.Errorf("admitted %d, bound %.0f", admitted, bound)
 	}
 }
 
-func TestRateHoldsOverTheFleet(t *testing.T) {
-	// A customer sends three times its rate to five instances, unevenly. The
-	// fleet as a whole must admit its rate, no more than the bound and not
-	// much less.
+func TestFleetAdmitsAtTheRate(t *testing.T) {
+	// A customer sends three times its rate to five instances, unevenly. The fleet must
+	// admit no more than the bound and at least 90% of the rate.
 	for _, rate := range []float64{1, 20, 200} {
 		f := newFleet(t, 5, requestLimit(rate, 2*time.Second))
-		f.load(3*rate, 0, 1, 2, 3, 4)
+		f.sendRequests(3*rate, 0, 1, 2, 3, 4)
 		f.Run(time.Minute)
-		f.withinBound(t, f.admitted, time.Minute, 0)
+		f.checkBound(t, f.admitted, time.Minute, 0)
 		if float64(f.admitted) < 0.9*rate*60 {
 			t.Errorf("admitted %d of %.0f", f.admitted, rate*60)
 		}
 	}
 }
 
-func TestWithinTheRateNobodyIsRefused(t *testing.T) {
-	// A customer stays at 70% of its rate. Permits lie at several instances,
-	// some expire unused and come back; next to nobody may be refused.
+func TestRequestsBelowTheRateAreAdmitted(t *testing.T) {
+	// A customer sends 70% of its rate. Permits are spread over several instances, and
+	// some expire unused and are returned; at most 1% of the requests may be refused.
 	f := newFleet(t, 5, requestLimit(20, 2*time.Second))
-	f.load(14, 0, 1, 2, 3, 4)
+	f.sendRequests(14, 0, 1, 2, 3, 4)
 	f.Run(5 * time.Minute)
-	f.withinBound(t, f.admitted, 5*time.Minute, 0)
+	f.checkBound(t, f.admitted, 5*time.Minute, 0)
 	if share := float64(f.refused) / float64(f.admitted+f.refused); share > 0.01 {
 		t.Errorf("%.1f%% refused", 100*share)
 	}
 }
 
-func TestHomeCrashes(t *testing.T) {
-	// The customer's home dies. Until the membership says so its holders get no
-	// answer; they go on with a share of their own, and nobody waits longer
-	// than AnswerLimit. Then another member becomes home, with a fresh bucket.
+func TestHolderFallsBackWhenHomeCrashes(t *testing.T) {
+	// The customer's home crashes. Until the membership changes, holders get no answer.
+	// They must fall back to their own share of the rate, and no request may wait
+	// longer than AnswerTimeout and two ticks. Then another member becomes home with a
+	// new bucket.
 	f := newFleet(t, 5, requestLimit(50, 2*time.Second))
-	f.load(150, 1, 2, 3)
+	f.sendRequests(150, 1, 2, 3)
 	f.Run(20 * time.Second)
 	f.instances[0].dead = true
 	before := f.admitted
 	f.Run(4 * time.Second)
-	gap := f.admitted - before
-	f.views(1, 4, 5)
+	withoutHome := f.admitted - before
+	f.setMembership(1, 4, 5)
 	f.Run(36 * time.Second)
-	f.withinBound(t, f.admitted, time.Minute, 50+1)
-	t.Logf("admitted %d in the 4 s without a home", gap)
-	if gap == 0 {
-		t.Error("a lost home refused everybody")
+	f.checkBound(t, f.admitted, time.Minute, 50+1)
+	t.Logf("admitted %d in the 4 s without a home", withoutHome)
+	if withoutHome == 0 {
+		t.Error("no request was admitted while the home was down")
 	}
-	if f.longest > AnswerLimit+2*testTick {
-		t.Errorf("somebody waited %v", f.longest)
+	if f.longestWait > AnswerTimeout+2*testTick {
+		t.Errorf("a request waited %v", f.longestWait)
 	}
 }
 
-func TestInstancesComeAndGo(t *testing.T) {
-	// Every 5 s the membership changes and the customer's home moves. Each move
-	// may cost one second of the rate and not more.
+func TestHomeChangesStayWithinBound(t *testing.T) {
+	// The membership changes every 5 s and the customer's home moves each time. Each move
+	// may add at most one second of the rate, plus one request.
 	f := newFleet(t, 5, requestLimit(50, 2*time.Second))
-	f.load(150, 0, 1, 2, 3, 4)
+	f.sendRequests(150, 0, 1, 2, 3, 4)
 	const moves = 12
 	for i := range moves {
 		f.Run(5 * time.Second)
-		f.views(i%5, 5, 5)
+		f.setMembership(i%5, 5, 5)
 	}
-	f.withinBound(t, f.admitted, moves*5*time.Second, moves*(50+1))
+	f.checkBound(t, f.admitted, moves*5*time.Second, moves*(50+1))
 	if f.admitted < 50*60*8/10 {
 		t.Errorf("admitted %d of %d", f.admitted, 50*60)
 	}
 }
 
-func TestPartition(t *testing.T) {
-	// Two of five instances are cut off for 40 s. Each part has a home that
-	// issues its share of the rate, so that together they stay at the limit;
-	// only until the views change two homes may issue too much.
+func TestPartitionStaysWithinBound(t *testing.T) {
+	// Two of five instances are cut off for 40 s. The home of each part issues its share
+	// of the rate, so both together stay within the limit. Only until the views change
+	// may the two homes issue more.
 	f := newFleet(t, 5, requestLimit(50, 2*time.Second))
-	f.load(150, 0, 1, 2)
-	f.load(150, 3, 4)
+	f.sendRequests(150, 0, 1, 2)
+	f.sendRequests(150, 3, 4)
 	f.Run(10 * time.Second)
-	far := func(i int) bool { return i >= 3 }
-	f.cut = func(a, b int) bool { return far(a) != far(b) }
+	isolated := func(i int) bool { return i >= 3 }
+	f.partitioned = func(a, b int) bool { return isolated(a) != isolated(b) }
 	f.Run(6 * time.Second)
-	f.views(0, 3, 5, 0, 1, 2)
-	f.views(3, 2, 5, 3, 4)
+	f.setMembership(0, 3, 5, 0, 1, 2)
+	f.setMembership(3, 2, 5, 3, 4)
 	before := f.admitted
 	f.Run(34 * time.Second)
-	parted := f.admitted - before
-	f.cut = func(int, int) bool { return false }
-	f.views(0, 5, 5)
+	duringPartition := f.admitted - before
+	f.partitioned = func(int, int) bool { return false }
+	f.setMembership(0, 5, 5)
 	f.Run(10 * time.Second)
-	f.withinBound(t, parted, 34*time.Second, 100+51)
-	f.withinBound(t, f.admitted, time.Minute, 100+51+50*6)
-	if parted < 50*34*8/10 {
-		t.Errorf("admitted %d of %d while parted", parted, 50*34)
+	f.checkBound(t, duringPartition, 34*time.Second, 100+51)
+	f.checkBound(t, f.admitted, time.Minute, 100+51+50*6)
+	if duringPartition < 50*34*8/10 {
+		t.Errorf("admitted %d of %d during the partition", duringPartition, 50*34)
 	}
 }
 
-func TestTokensAreHeldOverTime(t *testing.T) {
-	// Answers of unknown length use up the token rate. What runs overdraws when
-	// permits end; the debt is repaid, so that a minute later the fleet is at
-	// its rate and not above it.
+func TestTokenOverdraftIsRepaid(t *testing.T) {
+	// Answers of unknown length use up the token rate. Requests in flight overdraw when the
+	// permits run out. The debt must be repaid: the fleet stays at its rate over 2 min.
 	c := &catalog.Customer{Name: "c", Hash: 7, TokensPerSecond: 1000, Burst: 2 * time.Second}
 	f := newFleet(t, 3, c)
 	for i := range 1200 {
-		f.After(time.Duration(i)*100*time.Millisecond, func() { f.stream(i%3, 200) })
+		f.After(time.Duration(i)*100*time.Millisecond, func() { f.generateTokens(i%3, 200) })
 	}
 	f.Run(2 * time.Minute)
 	allowed := 1000 * 120
@@ -133,23 +133,23 @@
 	}
 }
 
-func TestPauseDoesNotSpendOldPermits(t *testing.T) {
-	// A holder is stopped with permits in hand and wakes after their lease. The
-	// home may have issued others since; the old ones must not count.
+func TestPausedHolderDoesNotUseExpiredPermits(t *testing.T) {
+	// A holder is paused with unused permits and resumes after their lease. The home may
+	// have issued others since, so the expired ones must not be used.
 	f := newFleet(t, 2, requestLimit(10, time.Second))
 	in := f.instances[1]
 	in.request()
 	f.Run(20 * time.Millisecond)
 	in.local.accounts[7].requests = 5
 	f.Run(Lease + testTick)
-	if verdict, _ := in.local.Admit(f.Now(), f.customer); verdict != Waiting {
-		t.Errorf("verdict %v with permits whose lease is over", verdict)
+	if decision, _ := in.local.Admit(f.Now(), f.customer); decision != Waiting {
+		t.Errorf("decision %v with expired permits", decision)
 	}
 }
 
-func TestUnlimitedCustomersCostNothing(t *testing.T) {
+func TestUnlimitedCustomersNeedNoPermits(t *testing.T) {
 	f := newFleet(t, 2, &catalog.Customer{Name: "c", Hash: 7})
-	f.load(100, 0, 1)
+	f.sendRequests(100, 0, 1)
 	f.Run(10 * time.Second)
 	if f.refused != 0 || f.messages != 0 || f.instances[0].local.Len() != 0 {
 		t.Errorf("%d refused, %d messages, %d accounts", f.refused, f.messages, f.instances[0].local.Len())
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -47,7 +47,7 @@
 		n.finish(now, r, nil)
 		return
 	}
-	r.worstVerdict = verdict.Worse(r.worstVerdict, err.Verdict)
+	r.worstVerdict = verdict.Worst(r.worstVerdict, err.Verdict)
 	n.recordDecision(now, r, string(err.Reason), "attempt failed: "+err.Message, 0)
 	switch {
 	case err.Reason == verdict.ReasonCallerGone || err.Reason == verdict.ReasonDraining || r.callerGone && r.Class.Idempotent:
@@ -135,7 +135,7 @@
 	}
 	r.reportedTokens = tokens
 	if outcome == sched.Finished {
-		n.measures.Learn(r.Class, tokens, now.Sub(r.started), result.FirstToken)
+		n.measures.Record(r.Class, tokens, now.Sub(r.started), result.FirstToken)
 	} else {
 		r.wastedTokens += tokens
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -19,7 +19,7 @@
 }
 
 func (n *Node) waitEstimateOf(now monotime.Instant, r *request) waitEstimate {
-	backlog, age, known := n.picker.Told(now, r.group.Name, r.tier)
+	backlog, age, known := n.picker.LastBacklog(now, r.group.Name, r.tier)
 	if !known {
 		return waitEstimate{}
 	}
--- a/internal/node/grant.go
+++ b/internal/node/grant.go
@@ -22,7 +22,7 @@
 		n.release(now, from, g.Group, uint64(g.Seq), sched.Result{Outcome: sched.Unused})
 		return
 	}
-	n.picker.Observe(g.Group, r.tier, msToDuration(g.BacklogMS), now)
+	n.picker.ObserveBacklog(g.Group, r.tier, msToDuration(g.BacklogMS), now)
 	if n.gate.closed {
 		r.grantDeferred = true
 		n.release(now, from, g.Group, r.seq, sched.Result{Outcome: sched.Unused})
@@ -71,7 +71,7 @@
 	r.progress = NewProgress()
 	r.reportedTokens = 0
 	r.chargedTokens = 0
-	n.picker.Ran(now, r.Prefix, r.group)
+	n.picker.RecordPrefix(now, r.Prefix, r.group)
 	r.queueTime += now.Sub(r.requestedAt)
 	n.recordDecision(now, r, "started", n.grantExplanation(now, r), r.estimate.age)
 	n.eff.Start(n.currentAttempt(r))
@@ -83,7 +83,7 @@
 	if r == nil || r.state != stateWaiting || r.owner != from || r.group.Name != f.Group {
 		return
 	}
-	n.picker.Observe(f.Group, r.tier, msToDuration(f.BacklogMS), now)
+	n.picker.ObserveBacklog(f.Group, r.tier, msToDuration(f.BacklogMS), now)
 	err := verdict.New(verdict.NotRun, verdict.Reason(f.Reason), "no server can serve the request in time").
 		After(msToDuration(f.RetryAfterMS))
 	r.refusedBy = append(r.refusedBy, f.Group)
@@ -129,7 +129,7 @@
 
 // refuse ends a waiting request with err, whose verdict becomes the worst of its attempts.
 func (n *Node) refuse(now monotime.Instant, r *request, err *verdict.Error) {
-	err.Verdict = verdict.Worse(err.Verdict, r.worstVerdict)
+	err.Verdict = verdict.Worst(err.Verdict, r.worstVerdict)
 	n.finish(now, r, err)
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,7 +117,7 @@
 	owned         map[string]*ownedGroup
 	unreachable   map[string]monotime.Instant
 	ownerContacts map[string]*ownerContact
-	measures      *sched.Measures
+	measures      *sched.Measurements
 	// droppedIdle names groups of this node that were dropped because they were unused.
 	droppedIdle map[string]bool
 	budget      retryBudget
@@ -154,7 +154,7 @@
 		unreachable:   make(map[string]monotime.Instant),
 		ownerContacts: make(map[string]*ownerContact),
 		droppedIdle:   make(map[string]bool),
-		measures:      sched.NewMeasures(),
+		measures:      sched.NewMeasurements(),
 		budget:        retryBudget{tokens: retryBurst},
 		permits:       newPermits(),
 	}
@@ -191,7 +191,7 @@
 	n.catalog.Store(cat)
 	n.budget.share = cat.Rules.RetryBudget
 	n.ids.SetLifetime(IDLifetime + time.Duration(cat.Rules.DirectoryTTLS)*time.Second)
-	n.picker.Forget(cat)
+	n.picker.Prune(cat)
 	n.reconfigureOwned(now, cat)
 	n.reroute(now, n.groupRemoved)
 }
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -59,9 +59,9 @@
 		sched:    sched.New(now, cat.Groups[name], cat, n.cfg.Policy, n.rng.Uint64()),
 		lastUsed: now,
 	}
-	g.sched.SetMeasures(n.measures)
+	g.sched.SetMeasurements(n.measures)
 	if !n.droppedIdle[name] && len(n.members) > 1 {
-		g.sched.Warm(now.Add(ownerWarmUp))
+		g.sched.BeginTakeover(now.Add(ownerWarmUp))
 	}
 	delete(n.droppedIdle, name)
 	n.owned[name] = g
@@ -98,7 +98,7 @@
 	group := n.catalog.Load().Groups[g.name]
 	if g.ownedElsewhere && group != nil && n.ownerOf(group) == n.self() {
 		g.ownedElsewhere = false
-		g.sched.Warm(now.Add(ownerWarmUp))
+		g.sched.BeginTakeover(now.Add(ownerWarmUp))
 	}
 }
 
@@ -177,7 +177,7 @@
 		return
 	}
 	cat := n.catalog.Load()
-	g.sched.Adopt(now, ticket(from, item.Seq), sched.Held{
+	g.sched.Adopt(now, ticket(from, item.Seq), sched.HeldSlot{
 		Engine:       item.Engine,
 		Class:        cat.ClassByHash[uint32(item.Class)],
 		Customer:     cat.CustomerByHash[uint64(item.Customer)],
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -33,12 +33,12 @@
 const topTier = 0
 
 // checkLimits checks a new request against its customer's limits before admission.
-func (n *Node) checkLimits(now monotime.Instant, in Request) (limits.Verdict, *verdict.Error) {
+func (n *Node) checkLimits(now monotime.Instant, in Request) (limits.Decision, *verdict.Error) {
 	v, after := n.permits.local.Admit(now, in.Customer)
 	if v == limits.Waiting {
 		// The home may be this node, which answers immediately.
 		n.askPermits(now)
-		v, after = n.permits.local.Again(now, in.Customer)
+		v, after = n.permits.local.Recheck(now, in.Customer)
 	}
 	v = n.overdraw(now, v, in)
 	return v, rateError(v, after)
@@ -46,7 +46,7 @@
 
 // overdraw admits a request of the top tier when lower tiers of its customer have used up
 // the permits, as far as the limits allow an overdraft.
-func (n *Node) overdraw(now monotime.Instant, v limits.Verdict, in Request) limits.Verdict {
+func (n *Node) overdraw(now monotime.Instant, v limits.Decision, in Request) limits.Decision {
 	if v != limits.Refused || in.Class.TierFor(in.Customer) != topTier {
 		return v
 	}
@@ -56,7 +56,7 @@
 	return limits.Admitted
 }
 
-func rateError(v limits.Verdict, after time.Duration) *verdict.Error {
+func rateError(v limits.Decision, after time.Duration) *verdict.Error {
 	if v != limits.Refused {
 		return nil
 	}
@@ -71,7 +71,7 @@
 }
 
 // recheckWaiting checks again the requests that wait for a permit. Each waits for
-// AnswerLimit at most; then this node continues without the home.
+// AnswerTimeout at most; then this node continues without the home.
 func (n *Node) recheckWaiting(now monotime.Instant) {
 	if len(n.permits.waiting) == 0 {
 		return
@@ -80,10 +80,10 @@
 	n.permits.waiting = nil
 	for _, r := range waiting {
 		if !r.awaitingPermit || r.state != stateWaiting {
-			n.permits.local.Forget(r.Customer)
+			n.permits.local.CancelWait(r.Customer)
 			continue
 		}
-		v, after := n.permits.local.Again(now, r.Customer)
+		v, after := n.permits.local.Recheck(now, r.Customer)
 		v = n.overdraw(now, v, r.Request)
 		switch v {
 		case limits.Waiting:
@@ -101,7 +101,7 @@
 
 // askPermits sends the requests for permits that are due.
 func (n *Node) askPermits(now monotime.Instant) {
-	n.permits.local.Asks(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendPermitAsk(now, to, ask) })
+	n.permits.local.SendAsks(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendPermitAsk(now, to, ask) })
 }
 
 // homeOf returns the member that keeps the customer's limits. It depends on the membership
@@ -139,7 +139,7 @@
 	if customer == nil {
 		return wire.PermitGive{}, false
 	}
-	return n.permits.home.Ask(now, from, customer, ask)
+	return n.permits.home.OnAsk(now, from, customer, ask)
 }
 
 func (n *Node) onPermitGives(now monotime.Instant, from string, gives []wire.PermitGive) {
@@ -176,7 +176,7 @@
 // setPermitMembers applies a membership view to the limits.
 func (n *Node) setPermitMembers(now monotime.Instant, view *membership.View) {
 	live, known := ShareOf(view)
-	n.permits.local.SetKnown(known)
+	n.permits.local.SetMemberCount(known)
 	n.permits.home.SetMembers(now, live, known, func(customer uint64) bool {
 		return route.Home(customer, n.members) == n.self()
 	})
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -137,8 +137,8 @@
 	n.requestSlot(now, r)
 }
 
-func (n *Node) routeQuery(r *request) route.Ask {
-	return route.Ask{
+func (n *Node) routeQuery(r *request) route.Request {
+	return route.Request{
 		Target:       r.Class.Target,
 		DataCentre:   n.cfg.DataCentre,
 		Tier:         r.tier,
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -14,17 +14,18 @@
 )
 
 const (
-	// longestLatency bounds the histograms, in microseconds: a minute, above
-	// the longest deadline.
-	longestLatency = 60_000_000
-	// digits of the histograms' values.
-	digits = 2
+	// maxLatencyMicros bounds the histograms, in microseconds: a minute, above the
+	// longest deadline. Latencies beyond it count as this value.
+	maxLatencyMicros = 60_000_000
+	// significantDigits is the precision of the histograms, in significant decimal
+	// digits.
+	significantDigits = 2
 )
 
 // Metrics counts requests by how they ended and keeps histograms of latency.
 type Metrics struct {
 	inFlight  expvar.Int
-	answers   expvar.Map // by status; "cut" for answers that were cut off
+	answers   expvar.Map // by status; "cut" for aborted answers without a status
 	reasons   expvar.Map
 	sends     expvar.Map // failed sends by reason
 	total     histogram
@@ -39,12 +40,12 @@
 	m.reasons.Init()
 	m.sends.Init()
 	for _, h := range []*histogram{&m.total, &m.firstByte, &m.gaps} {
-		h.values = hdrhistogram.New(1, longestLatency, digits)
+		h.values = hdrhistogram.New(1, maxLatencyMicros, significantDigits)
 	}
 	return m
 }
 
-// Vars returns the variables, to be published by expvar.
+// Vars returns the variables to be published by expvar.
 func (m *Metrics) Vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
 	vars.Set("in_flight", &m.inFlight)
@@ -61,7 +62,7 @@
 	m.sends.Add(string(reason), 1)
 }
 
-func (m *Metrics) ended(f *flight, now monotime.Instant) {
+func (m *Metrics) ended(f *forwarder, now monotime.Instant) {
 	status := "cut"
 	if f.status != 0 {
 		status = strconv.Itoa(f.status)
@@ -88,11 +89,11 @@
 func (h *histogram) record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A value beyond the bound counts as the bound.
-	_ = h.values.RecordValue(min(max(d.Microseconds(), 1), longestLatency))
+	// RecordValue fails only for values outside the bounds.
+	_ = h.values.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros))
 }
 
-// String returns count and quantiles as JSON, as expvar.Var wants.
+// String returns count and quantiles as JSON. It implements expvar.Var.
 func (h *histogram) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -23,20 +23,20 @@
 		var got *http.Request
 		var body string
 		b := newRig(t, allRoutes, map[string][]script{"s1": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-			got, body = take(t, in)
+			got, body = readRequest(t, in)
 			_, _ = io.WriteString(c, answer("r1", 201, "X-Other: kept\r\nKeep-Alive: timeout=5\r\n", "hello"))
 			_, _ = in.ReadByte()
 		}}}, "s1")
 		req := request("POST", "/once/a%2Fb?q=1", "r1", "body")
 		req.Header.Set("Connection", "X-Drop")
 		req.Header.Set("X-Drop", "1")
-		rec, aborted := b.ask(req)
+		rec, aborted := b.serve(req)
 		b.close()
 		if aborted || rec.Code != 201 || rec.Body.String() != "hello" || rec.Header().Get("X-Other") != "kept" || rec.Header().Get("X-Seal") != "s" {
 			t.Errorf("aborted %v, %d %q %v", aborted, rec.Code, rec.Body, rec.Header())
 		}
 		if rec.Header().Get("Keep-Alive") != "" {
-			t.Error("a header of the server's connection reached the caller")
+			t.Error("a hop-by-hop header reached the caller")
 		}
 		if got.RequestURI != "/once/a%2Fb?q=1" || body != "body" || got.Host != "h.example" {
 			t.Errorf("server got %s %q for %s", got.RequestURI, body, got.Host)
@@ -50,10 +50,10 @@
 	})
 }
 
-// Callers see a final answer for each way in which a server can fail, and the
-// request reaches a second server only where it may run twice or surely has not
-// run. A 503 says that it has not run, so it must not follow a doubt.
-func TestWhatAFailureOfAServerBecomes(t *testing.T) {
+// A caller gets a final answer for each kind of server failure. The request reaches a
+// second server only if it may run twice or has certainly not run. A 503 states that it
+// has not run, so it must not follow a failure after which that is uncertain.
+func TestTheFinalAnswerForEachServerFailure(t *testing.T) {
 	notRun := answer("r", 503, "X-Not-Run: 1\r\n", "")
 	good := answer("r", 200, "", "ok")
 	for _, c := range []struct {
@@ -74,21 +74,21 @@
 		{"encoded", "/once/", replying(answer("r", 200, "Content-Encoding: gzip\r\n", "ok")), 502, false},
 		{"own failure, at most once", "/once/", replying(answer("r", 500, "", "no")), 500, false},
 		{"own failure, idempotent", "/again/", replying(answer("r", 500, "", "no")), 200, true},
-		{"silent, at most once", "/once/", silent, 504, false},
-		{"silent, idempotent", "/again/", silent, 200, true},
+		{"silent, at most once", "/once/", unresponsive, 504, false},
+		{"silent, idempotent", "/again/", unresponsive, 200, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				first := func(t *testing.T, conn net.Conn, in *bufio.Reader) {
 					if strings.HasPrefix(c.name, "cut") {
-						take(t, in)
+						readRequest(t, in)
 						_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Id: r\r\nX-Seal: s\r\nContent-Length: 9\r\n\r\nok")
 						return
 					}
 					c.first(t, conn, in)
 				}
 				b := newRig(t, allRoutes, map[string][]script{"s1": {first}, "s2": {replying(good)}}, "s1", "s2")
-				rec, _ := b.ask(request("POST", c.path, "r", "x"))
+				rec, _ := b.serve(request("POST", c.path, "r", "x"))
 				b.close()
 				if rec.Code != c.status {
 					t.Errorf("status %d, want %d", rec.Code, c.status)
@@ -104,24 +104,24 @@
 	}
 }
 
-// All servers say that they did not run the request. The caller hears that too,
-// with a time to come back, as soon as the servers that may be tried are spent.
-func TestARefusalSaysWhenToComeBack(t *testing.T) {
+// All servers report that they did not run the request. The caller gets the same, with a
+// Retry-After time, as soon as the allowed attempts are used up.
+func TestARefusalCarriesRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		full := replying(answer("r", 503, "X-Not-Run: 1\r\nRetry-After: 0.4\r\n", ""))
 		b := newRig(t, allRoutes, map[string][]script{"s1": {full}, "s2": {full}, "s3": {full}}, "s1", "s2", "s3")
-		rec, _ := b.ask(request("POST", "/once/", "r", "x"))
+		rec, _ := b.serve(request("POST", "/once/", "r", "x"))
 		b.close()
 		if rec.Code != 503 || rec.Header().Get("Retry-After") != "0.4" || b.dials["s3"] != 0 {
-			t.Errorf("%d, come back after %q, third server asked %d times", rec.Code, rec.Header().Get("Retry-After"), b.dials["s3"])
+			t.Errorf("%d, Retry-After %q, third server dialled %d times", rec.Code, rec.Header().Get("Retry-After"), b.dials["s3"])
 		}
 	})
 }
 
-// Servers tell of themselves in answers of every kind: one that callers get, a refusal, a
-// failure. The instance hears each; a refusal by another incarnation that now holds the
-// address says nothing of the server that was meant.
-func TestWhatServersSayOfThemselvesIsHeard(t *testing.T) {
+// Servers report their state in answers of every kind: one that is passed on, a refusal,
+// a failure. The instance applies each. A refusal by another incarnation that now holds
+// the address says nothing about the intended server.
+func TestServerNoticesAreApplied(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		want         []string
@@ -136,9 +136,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newRig(t, allRoutes, map[string][]script{"s1": {replying(c.answer)}}, "s1")
-				b.ask(request("POST", "/once/", "r", "x"))
+				b.serve(request("POST", "/once/", "r", "x"))
 				b.close()
-				if diff := cmp.Diff(c.want, b.fleet.heard); diff != "" {
+				if diff := cmp.Diff(c.want, b.fleet.notices); diff != "" {
 					t.Error(diff)
 				}
 			})
@@ -149,7 +149,7 @@
 func TestServersThatCannotBeReachedArePassedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s3": {replying(answer("r", 200, "", "ok"))}}, "s1", "s2", "s3")
-		rec, _ := b.ask(request("POST", "/once/", "r", "x"))
+		rec, _ := b.serve(request("POST", "/once/", "r", "x"))
 		b.close()
 		if rec.Code != 200 {
 			t.Errorf("status %d", rec.Code)
@@ -164,7 +164,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying("")}, "s2": {replying(answer("r", 200, "", "ok"))}}, "s1", "s2")
 		b.fleet.noBudget = true
-		rec, _ := b.ask(request("GET", "/again/", "r", ""))
+		rec, _ := b.serve(request("GET", "/again/", "r", ""))
 		b.close()
 		if rec.Code != 502 || b.dials["s2"] != 0 {
 			t.Errorf("status %d, second server asked %d times", rec.Code, b.dials["s2"])
@@ -172,16 +172,16 @@
 	})
 }
 
-// A server answers an earlier request a second time, late: its bytes stand
-// where the next answer is due. The caller must get its own answer.
-func TestALateSecondAnswerReachesNobody(t *testing.T) {
+// A server answers an earlier request a second time, just before its next answer. The
+// caller must get the answer to its own request.
+func TestALateDuplicateAnswerIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying(
 			answer("r1", 200, "", "one"),
 			answer("r1", 200, "", "one")+answer("r2", 200, "", "two"),
 		)}}, "s1")
-		first, _ := b.ask(request("POST", "/once/", "r1", "x"))
-		second, _ := b.ask(request("POST", "/once/", "r2", "x"))
+		first, _ := b.serve(request("POST", "/once/", "r1", "x"))
+		second, _ := b.serve(request("POST", "/once/", "r2", "x"))
 		b.close()
 		if first.Body.String() != "one" || second.Body.String() != "two" || b.dials["s1"] != 1 {
 			t.Errorf("%q, %q over %d connections", first.Body, second.Body, b.dials["s1"])
@@ -189,16 +189,16 @@
 	})
 }
 
-// A server sends bytes after its answer, before the next request. They belong
-// to no request, so the connection is not used again.
+// A server sends bytes after its answer, before the next request. They belong to no
+// request, so the connection must not be reused.
 func TestAConnectionWithBytesLeftIsNotUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {
 			replying(answer("r1", 200, "", "one") + "HTTP/1.1 200 OK\r\n\r\n"),
 			replying(answer("r2", 200, "", "two")),
 		}}, "s1")
-		_, _ = b.ask(request("POST", "/once/", "r1", "x"))
-		second, _ := b.ask(request("POST", "/once/", "r2", "x"))
+		_, _ = b.serve(request("POST", "/once/", "r1", "x"))
+		second, _ := b.serve(request("POST", "/once/", "r2", "x"))
 		b.close()
 		if second.Body.String() != "two" || b.dials["s1"] != 2 {
 			t.Errorf("%q over %d connections", second.Body, b.dials["s1"])
@@ -206,8 +206,8 @@
 	})
 }
 
-// A server answers before it has read a long body and keeps the connection. The
-// rest of the body must come, or the next request would be read as its rest.
+// A server answers before it has read a long body and keeps the connection. The rest of
+// the body must follow, or the server would read the next request as that rest.
 func TestTheRestOfALongBodyFollowsAnEarlyAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		long := strings.Repeat("x", 200<<10)
@@ -222,12 +222,12 @@
 			if err != nil || len(rest) != len(long) {
 				t.Errorf("%d bytes of the body, %v", len(rest), err)
 			}
-			take(t, in)
+			readRequest(t, in)
 			_, _ = io.WriteString(c, answer("r2", 200, "", "two"))
 			_, _ = in.ReadByte()
 		}}}, "s1")
-		first, _ := b.ask(request("POST", "/once/", "r1", long))
-		second, _ := b.ask(request("POST", "/once/", "r2", "x"))
+		first, _ := b.serve(request("POST", "/once/", "r1", long))
+		second, _ := b.serve(request("POST", "/once/", "r2", "x"))
 		b.close()
 		if first.Code != 400 || second.Body.String() != "two" || b.dials["s1"] != 1 {
 			t.Errorf("%d, %q over %d connections", first.Code, second.Body, b.dials["s1"])
@@ -239,33 +239,33 @@
 	synctest.Test(t, func(t *testing.T) {
 		closed := make(chan time.Time, 1)
 		b := newRig(t, allRoutes, map[string][]script{"s1": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-			take(t, in)
+			readRequest(t, in)
 			_, _ = in.ReadByte()
 			closed <- time.Now()
 		}}}, "s1")
 		ctx, cancel := context.WithCancel(t.Context())
 		left := time.Now().Add(100 * time.Millisecond)
 		time.AfterFunc(100*time.Millisecond, cancel)
-		_, _ = b.ask(request("POST", "/stream/", "r", "x").WithContext(ctx))
+		_, _ = b.serve(request("POST", "/stream/", "r", "x").WithContext(ctx))
 		b.close()
 		if at := <-closed; at.After(left) {
-			t.Errorf("the server was freed %v after the caller left", at.Sub(left))
+			t.Errorf("the server's connection was closed %v after the caller left", at.Sub(left))
 		}
 		if len(b.fleet.outcomes) != 0 {
-			t.Errorf("the server is blamed for it: %v", b.fleet.outcomes)
+			t.Errorf("outcomes were recorded for the server: %v", b.fleet.outcomes)
 		}
 	})
 }
 
-// A server never answers. The timer of its connection and that of the request
-// fire at the same instant, in either order; the caller gets 504 each time, at
-// the timeout of the route.
+// A server never answers. The deadlines of its connection and of the request pass at the
+// same instant, and their timers fire in either order. The caller must get a 504 each
+// time, at the timeout of the route.
 func TestTheFinalAnswerComesByTheRoutesTimeout(t *testing.T) {
 	for range 50 {
 		synctest.Test(t, func(t *testing.T) {
-			b := newRig(t, allRoutes, map[string][]script{"s1": {silent}}, "s1")
+			b := newRig(t, allRoutes, map[string][]script{"s1": {unresponsive}}, "s1")
 			began := time.Now()
-			rec, _ := b.ask(request("POST", "/once/", "r", "x"))
+			rec, _ := b.serve(request("POST", "/once/", "r", "x"))
 			b.close()
 			if took := time.Since(began); rec.Code != 504 || took != once.Timeout {
 				t.Errorf("%d after %v", rec.Code, took)
@@ -274,12 +274,13 @@
 	}
 }
 
-// What the table in force does not know may be new. An instance that can't ask
-// whether it is says when to come back; callers would give up after a 404.
-func TestUnknownRoutesAndKeysAreRefusedForGoodOnlyWhenSure(t *testing.T) {
+// A route or key missing from the table in force may be new. An instance that can't
+// confirm its table must answer with a Retry-After; callers would never retry after a 404
+// or 401.
+func TestUnknownRoutesAndKeysAreRefusedForGoodOnlyWhenConfirmed(t *testing.T) {
 	for _, c := range []struct {
 		path, key string
-		sure      bool
+		confirmed bool
 		want      int
 	}{
 		{"/nowhere/", "key", true, 404},
@@ -288,34 +289,34 @@
 		{"/once/", "wrong", false, 503},
 	} {
 		b := newRig(t, allRoutes, nil)
-		b.fleet.confirmed = c.sure
+		b.fleet.confirmed = c.confirmed
 		req := request("GET", c.path, "r", "")
 		req.Header.Set("X-Key", c.key)
-		if rec, _ := b.ask(req); rec.Code != c.want {
-			t.Errorf("%s with key %q, sure %v: %d, want %d", c.path, c.key, c.sure, rec.Code, c.want)
+		if rec, _ := b.serve(req); rec.Code != c.want {
+			t.Errorf("%s with key %q, confirmed %v: %d, want %d", c.path, c.key, c.confirmed, rec.Code, c.want)
 		}
 	}
 }
 
-func TestWithoutAConfigurationEverythingMayComeBack(t *testing.T) {
+func TestWithoutAConfigurationRequestsAreRetryable(t *testing.T) {
 	b := newRig(t, allRoutes, nil)
 	b.fleet.table = nil
-	rec, _ := b.ask(request("GET", "/once/", "r", ""))
+	rec, _ := b.serve(request("GET", "/once/", "r", ""))
 	if rec.Code != 503 || rec.Header().Get("Retry-After") == "" {
 		t.Errorf("%d %v", rec.Code, rec.Header())
 	}
 }
 
-// The process was told to leave and will be killed. Callers still send on
-// connections that they kept. What can end in time is served, with the word to
-// connect elsewhere; a stream that would be cut is refused at once.
-func TestADrainServesWhatCanEndAndRefusesTheRest(t *testing.T) {
+// The process is draining and will be killed, but callers still send on open connections.
+// Requests that can end in time are served with Connection: close; a stream that would be
+// cut off is refused at once.
+func TestADrainServesShortRequestsAndRefusesStreams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying(answer("a", 200, "", "ok"))}}, "s1")
 		b.relay.Drain()
-		time.Sleep(streamsDuringDrain + time.Millisecond)
-		served, _ := b.ask(request("POST", "/once/", "a", "x"))
-		refused, _ := b.ask(request("POST", "/stream/", "b", "x"))
+		time.Sleep(drainStreamWindow + time.Millisecond)
+		served, _ := b.serve(request("POST", "/once/", "a", "x"))
+		refused, _ := b.serve(request("POST", "/stream/", "b", "x"))
 		b.close()
 		if served.Code != 200 || served.Header().Get("Connection") != "close" {
 			t.Errorf("short request: %d %v", served.Code, served.Header())
@@ -326,7 +327,7 @@
 	})
 }
 
-// events are the events from first to last, of two lines each.
+// events returns the events from first to last, of two lines each.
 func events(first, last int) string {
 	var out strings.Builder
 	for i := first; i <= last; i++ {
@@ -341,10 +342,10 @@
 
 const lastChunk = "0\r\n\r\n"
 
-// breaking sends a part of a stream and closes the connection.
-func breaking(parts ...string) script {
+// sendThenClose sends parts of a stream and closes the connection.
+func sendThenClose(parts ...string) script {
 	return func(t *testing.T, c net.Conn, in *bufio.Reader) {
-		take(t, in)
+		readRequest(t, in)
 		for _, part := range parts {
 			_, _ = io.WriteString(c, part)
 		}
@@ -354,7 +355,7 @@
 func TestAStreamIsPassedOnWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{"s1": {replying(streamHead + chunk(events(1, 2)) + chunk(events(3, 3)) + lastChunk)}}, "s1")
-		rec, aborted := b.ask(request("POST", "/stream/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/stream/", "r", "x"))
 		b.close()
 		if aborted || rec.Body.String() != events(1, 3) || !rec.Flushed {
 			t.Errorf("aborted %v: %q", aborted, rec.Body)
@@ -362,13 +363,13 @@
 	})
 }
 
-// A server dies in the middle of a stream that must not run twice. The caller
-// has its first events; the connection is cut so that what it has does not look
-// complete, and no other server gets the request.
+// A server fails in the middle of a stream that must not run twice. The caller has
+// received the first events; its connection must be aborted, so that the stream does not
+// look complete, and no other server may get the request.
 func TestACutStreamDoesNotLookComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newRig(t, allRoutes, map[string][]script{"s1": {breaking(streamHead, chunk(events(1, 2)))}, "s2": {silent}}, "s1", "s2")
-		rec, aborted := b.ask(request("POST", "/stream/", "r", "x"))
+		b := newRig(t, allRoutes, map[string][]script{"s1": {sendThenClose(streamHead, chunk(events(1, 2)))}, "s2": {unresponsive}}, "s1", "s2")
+		rec, aborted := b.serve(request("POST", "/stream/", "r", "x"))
 		b.close()
 		if !aborted || rec.Body.String() != events(1, 2) || b.dials["s2"] != 0 {
 			t.Errorf("aborted %v: %q", aborted, rec.Body)
@@ -376,22 +377,22 @@
 	})
 }
 
-// A server dies in the middle of the third event of a stream that may be
-// resumed. The second server is asked for what follows the second event, and the
-// caller gets each event once, under the first server's headers.
-func TestAResumableStreamGoesOnElsewhere(t *testing.T) {
+// A server fails in the middle of the third event of a resumable stream. The second
+// server must be asked for what follows the second event, and the caller gets each event
+// once, under the first server's headers.
+func TestABrokenResumableStreamResumesOnAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var after string
 		b := newRig(t, allRoutes, map[string][]script{
-			"s1": {breaking(streamHead, chunk(events(1, 2)+"id: 3\nda"))},
+			"s1": {sendThenClose(streamHead, chunk(events(1, 2)+"id: 3\nda"))},
 			"s2": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-				req, _ := take(t, in)
+				req, _ := readRequest(t, in)
 				after = req.Header.Get("X-Resume")
 				_, _ = io.WriteString(c, strings.Replace(streamHead, "first", "second", 1)+chunk(events(3, 5))+lastChunk)
 				_, _ = in.ReadByte()
 			}},
 		}, "s1", "s2")
-		rec, aborted := b.ask(request("POST", "/resumable/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/resumable/", "r", "x"))
 		b.close()
 		if aborted || rec.Body.String() != events(1, 5) || after != "2" || rec.Header().Get("X-Seal") != "first" {
 			t.Errorf("aborted %v: %q, resumed after %q, %v", aborted, rec.Body, after, rec.Header())
@@ -399,20 +400,20 @@
 	})
 }
 
-// A server goes silent in the middle of a resumable stream without closing. The
-// caller would give up after two seconds; another server goes on before.
-func TestASilentResumableStreamGoesOnElsewhere(t *testing.T) {
+// A server stalls in the middle of a resumable stream without closing the connection. The
+// caller would give up after two seconds; another server must resume the stream before.
+func TestAStalledResumableStreamResumesOnAnotherServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
 			"s1": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-				take(t, in)
+				readRequest(t, in)
 				_, _ = io.WriteString(c, streamHead+chunk(events(1, 1)))
 				_, _ = in.ReadByte()
 			}},
 			"s2": {replying(streamHead + chunk(events(2, 2)) + lastChunk)},
 		}, "s1", "s2")
 		began := time.Now()
-		rec, aborted := b.ask(request("POST", "/resumable/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/resumable/", "r", "x"))
 		b.close()
 		if took := time.Since(began); aborted || rec.Body.String() != events(1, 2) || took > 1900*time.Millisecond {
 			t.Errorf("aborted %v after %v: %q", aborted, took, rec.Body)
@@ -426,9 +427,9 @@
 			replying(answer("r1", 200, "Keep-Alive: timeout=2\r\n", "one")),
 			replying(answer("r2", 200, "", "two")),
 		}}, "s1")
-		_, _ = b.ask(request("POST", "/once/", "r1", "x"))
+		_, _ = b.serve(request("POST", "/once/", "r1", "x"))
 		time.Sleep(2*time.Second - idleReserve)
-		rec, _ := b.ask(request("POST", "/once/", "r2", "x"))
+		rec, _ := b.serve(request("POST", "/once/", "r2", "x"))
 		b.close()
 		if rec.Body.String() != "two" || b.dials["s1"] != 2 {
 			t.Errorf("%q over %d connections", rec.Body, b.dials["s1"])
@@ -472,28 +473,28 @@
 
 func TestBodiesBeyondTheLimitAreRefused(t *testing.T) {
 	b := newRig(t, allRoutes, nil, "s1")
-	rec, _ := b.ask(request("POST", "/once/", "r", strings.Repeat("x", 1<<20+1)))
+	rec, _ := b.serve(request("POST", "/once/", "r", strings.Repeat("x", 1<<20+1)))
 	if rec.Code != http.StatusRequestEntityTooLarge {
 		t.Errorf("status %d", rec.Code)
 	}
 }
 
-// A server is slower than predicted: the first event of a stream comes after
-// 700 ms, within its goal of 800. A switch to another server before would have
-// made it late, since that one starts to read the prompt anew.
-func TestASlowServerIsNotLeftBeforeTheGoal(t *testing.T) {
+// A server is slower than predicted: the first event of a stream comes after 700 ms,
+// within its goal of 800 ms. Switching to another server before would have made it late,
+// since that one has to read the prompt again.
+func TestASlowServerIsNotReplacedBeforeTheGoal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
 			"s1": {func(t *testing.T, c net.Conn, in *bufio.Reader) {
-				take(t, in)
+				readRequest(t, in)
 				time.Sleep(700 * time.Millisecond)
 				_, _ = io.WriteString(c, streamHead+chunk(events(1, 2))+lastChunk)
 				_, _ = in.ReadByte()
 			}},
-			"s2": {silent},
+			"s2": {unresponsive},
 		}, "s1", "s2")
 		began := time.Now()
-		rec, aborted := b.ask(request("POST", "/resumable/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/resumable/", "r", "x"))
 		took := time.Since(began)
 		b.close()
 		if aborted || rec.Body.String() != events(1, 2) || took != 700*time.Millisecond || b.dials["s2"] != 0 {
@@ -502,15 +503,15 @@
 	})
 }
 
-// A server takes a stream and never answers. Its caller would give up after 3.2
-// seconds; another server gives the stream before, late but whole.
-func TestADarkServerIsLeftBeforeTheCallerLeaves(t *testing.T) {
+// A server accepts a stream and never answers. The caller would give up after 3.2
+// seconds; another server must deliver the stream before, late but complete.
+func TestAnUnresponsiveServerIsReplacedBeforeTheCallerGivesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
-			"s1": {silent}, "s2": {replying(streamHead + chunk(events(1, 2)) + lastChunk)},
+			"s1": {unresponsive}, "s2": {replying(streamHead + chunk(events(1, 2)) + lastChunk)},
 		}, "s1", "s2")
 		began := time.Now()
-		rec, aborted := b.ask(request("POST", "/resumable/", "r", "x"))
+		rec, aborted := b.serve(request("POST", "/resumable/", "r", "x"))
 		took := time.Since(began)
 		b.close()
 		if aborted || rec.Body.String() != events(1, 2) || took > 2*time.Second {
@@ -519,30 +520,30 @@
 	})
 }
 
-func TestWhenAllServersAreFullCallersMayComeBack(t *testing.T) {
+func TestWhenAllServersAreFullRequestsAreRetryable(t *testing.T) {
 	b := newRig(t, allRoutes, nil, "s1")
 	b.fleet.full = true
-	rec, _ := b.ask(request("POST", "/stream/", "r", "x"))
+	rec, _ := b.serve(request("POST", "/stream/", "r", "x"))
 	if rec.Code != 503 || rec.Header().Get("Retry-After") == "" || rec.Body.String() != "overloaded\n" {
 		t.Errorf("%d %v %q", rec.Code, rec.Header(), rec.Body)
 	}
 }
 
-// A connection to a server is open, and meanwhile others have sent it what it bears
-// after its start. Nothing was written to it, so the request goes to another server, also
-// one that may run only once.
-func TestARequestThatAColdServerMayNotGetGoesToAnother(t *testing.T) {
+// A connection to a server is open, but other requests have meanwhile used up the
+// server's limit after its start. Nothing was written to it, so the request goes to
+// another server, even if it may run only once.
+func TestARequestRejectedByAColdServersLimitGoesToAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newRig(t, allRoutes, map[string][]script{
 			"s1": {func(_ *testing.T, _ net.Conn, in *bufio.Reader) {
 				if _, err := in.ReadByte(); err == nil {
-					t.Error("the cold server got something")
+					t.Error("the cold server received data")
 				}
 			}},
 			"s2": {replying(answer("r", 200, "", "ok"))},
 		}, "s1", "s2")
 		b.fleet.cold = map[string]bool{"s1": true}
-		rec, _ := b.ask(request("POST", "/once/x", "r", "body"))
+		rec, _ := b.serve(request("POST", "/once/x", "r", "body"))
 		b.close()
 		if rec.Code != http.StatusOK || rec.Body.String() != "ok" {
 			t.Errorf("%d %q", rec.Code, rec.Body)
@@ -553,90 +554,93 @@
 	})
 }
 
-// All servers bear only so much, and their turns of this second are taken. A caller whose
-// request finds one a moment later is served without coming back; one that finds none is
-// refused soon, and may come back.
-func TestARequestWaitsALittleForItsTurnAtColdServers(t *testing.T) {
+// All servers are rate limited and at their limits. A request for which one becomes
+// available a moment later is served without a retry by its caller; otherwise it is
+// refused soon, with a Retry-After.
+func TestARequestWaitsBrieflyForARateLimitedServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
-			places int
-			status int
-			most   time.Duration
+			places  int
+			status  int
+			maxWait time.Duration
 		}{
 			{0, 200, 0},
-			{4, 200, 4 * turnPoll},
-			{1000, 503, turnWaitMost + turnPoll},
+			{4, 200, 4 * rateLimitPoll},
+			{1000, 503, maxRateLimitWait + rateLimitPoll},
 		} {
-			waiting := again
-			waiting.Goal = 2 * time.Second
-			b := newRig(t, []routing.Route{waiting}, map[string][]script{"s1": {replying(answer("r", 200, "", "ok"))}}, "s1")
+			route := again
+			route.Goal = 2 * time.Second
+			b := newRig(t, []routing.Route{route}, map[string][]script{"s1": {replying(answer("r", 200, "", "ok"))}}, "s1")
 			b.fleet.coldPlaces = c.places
 			began := time.Now()
-			rec, _ := b.ask(request("GET", "/again/x", "r", ""))
-			if took := time.Since(began); rec.Code != c.status || took > c.most {
+			rec, _ := b.serve(request("GET", "/again/x", "r", ""))
+			if took := time.Since(began); rec.Code != c.status || took > c.maxWait {
 				t.Errorf("cold %d times: %d after %v", c.places, rec.Code, took)
 			}
 			if c.status == 503 && (rec.Header().Get("Retry-After") == "" || len(b.fleet.begun) > 0) {
-				t.Errorf("refused without a time to come back, or sent to %v", b.fleet.begun)
+				t.Errorf("refused without a Retry-After, or sent to %v", b.fleet.begun)
 			}
 			b.close()
 		}
 	})
 }
 
-// A service is down for all. Callers come back once, so they are told a time in which
-// servers may be up again, which differs between them and lies within what they wait.
-func TestCallersOfAnOutageComeBackLaterAndApart(t *testing.T) {
-	least, most := time.Hour, time.Duration(0)
+// No instance reaches a service. Callers retry once, so their Retry-After times must lie
+// where servers may have recovered, differ from each other, and stay within the time that
+// the callers wait.
+func TestRetryAfterInAnOutageIsLongAndSpread(t *testing.T) {
+	shortest, longest := time.Hour, time.Duration(0)
 	for range 200 {
-		after := afterOutage(6 * time.Second)
-		least, most = min(least, after), max(most, after)
+		after := retryAfterOutage(6 * time.Second)
+		shortest, longest = min(shortest, after), max(longest, after)
 	}
-	if least < time.Second || most > 2*time.Second || most-least < 800*time.Millisecond {
-		t.Errorf("from %v to %v", least, most)
+	if shortest < time.Second || longest > 2*time.Second || longest-shortest < 800*time.Millisecond {
+		t.Errorf("from %v to %v", shortest, longest)
 	}
-	if got := afterOutage(600 * time.Millisecond); got != outageLeast {
+	if got := retryAfterOutage(600 * time.Millisecond); got != minOutageRetry {
 		t.Errorf("%v with little time left", got)
 	}
 }
 
-// All servers crash and are back after 1.5 s. Callers with 6 s left that are refused at the
-// crash come back once, and half of them did so before the servers: they got nothing.
-func TestMostCallersOfAnOutageComeBackAfterAShortOne(t *testing.T) {
-	const callers, lasts = 3000, 1500 * time.Millisecond
+// All servers crash and recover after 1.5 s. Callers with 6 s left that are refused at
+// the crash retry once. With a uniform draw of the Retry-After time, half of them would
+// return before the servers and get nothing.
+func TestMostCallersRetryAfterAShortOutageEnds(t *testing.T) {
+	const callers, outage = 3000, 1500 * time.Millisecond
 	after := 0
 	for range callers {
-		if afterOutage(6*time.Second) > lasts {
+		if retryAfterOutage(6*time.Second) > outage {
 			after++
 		}
 	}
 	if after < callers*2/3 {
-		t.Errorf("%d of %d come back after it", after, callers)
+		t.Errorf("%d of %d callers retry after the outage", after, callers)
 	}
 }
 
-// A server refuses connections. Where other instances reach some, the caller is told to
-// come back at once; in an outage for all, when servers may be up again.
-func TestCallersComeBackSoonOnlyWhereOthersServe(t *testing.T) {
+// A server refuses connections. If other instances reach some server, the caller must be
+// told to retry at once; in an outage for all, when servers may have recovered.
+func TestRetryAfterIsShortOnlyWhereOtherInstancesServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, down := range []bool{false, true} {
 			b := newRig(t, allRoutes, nil, "s1")
-			b.fleet.down = down
-			rec, _ := b.ask(request("GET", "/stream/x", "r", ""))
+			b.fleet.outage = down
+			rec, _ := b.serve(request("GET", "/stream/x", "r", ""))
 			seconds, err := strconv.ParseFloat(rec.Header().Get("Retry-After"), 64)
 			if err != nil || rec.Code != 503 {
 				t.Fatalf("%d, Retry-After %q", rec.Code, rec.Header().Get("Retry-After"))
 			}
-			if late := seconds >= outageLeast.Seconds(); late != down {
-				t.Errorf("down for all: %v, told to come back after %v s", down, seconds)
+			if late := seconds >= minOutageRetry.Seconds(); late != down {
+				t.Errorf("outage for all: %v, Retry-After %v s", down, seconds)
 			}
 			b.close()
 		}
 	})
 }
 
-// A prompt in the queue of an engine at work is given up, and its caller gets 502 for an answer on its way.
-func TestWhatWaitsInAQueueIsNotGivenUp(t *testing.T) {
+// Guards against abandoning a prompt in the queue of a working engine: its caller would
+// get a 502 although the answer is on its way.
+func TestAQueuedRequestIsNotAbandoned(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		queued int
@@ -650,14 +654,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				late := func(t *testing.T, conn net.Conn, in *bufio.Reader) {
-					take(t, in)
+					readRequest(t, in)
 					time.Sleep(1200 * time.Millisecond)
 					_, _ = io.WriteString(conn, answer("r", 200, "", "first"))
 					_, _ = in.ReadByte()
 				}
 				b := newRig(t, allRoutes, map[string][]script{"s1": {late}, "s2": {replying(answer("r", 200, "", "second"))}}, "s1", "s2")
-				b.fleet.queued, b.fleet.sooner = c.queued, c.sooner
-				rec, aborted := b.ask(request("POST", "/again/", "r", "x"))
+				b.fleet.queued, b.fleet.otherIsSooner = c.queued, c.sooner
+				rec, aborted := b.serve(request("POST", "/again/", "r", "x"))
 				b.close()
 				if aborted || rec.Code != 200 || rec.Body.String() != c.want {
 					t.Errorf("aborted %v, %d %q", aborted, rec.Code, rec.Body)
--- a/internal/relaylog/relaylog.go
+++ b/internal/relaylog/relaylog.go
@@ -1,5 +1,5 @@
-// Package relaylog reads the log lines of relaying instances and tells what
-// happened to one request, and what the instance believed then.
+// Package relaylog reads the log lines of relaying instances and explains one request:
+// what happened to it, and the state of its instance when it arrived.
 package relaylog
 
 import (
@@ -17,22 +17,24 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrUnknownRequest means that no line tells of the request.
-var ErrUnknownRequest = errors.New("no log line tells of this request")
+// ErrUnknownRequest means that no log line mentions the request.
+var ErrUnknownRequest = errors.New("no log line mentions this request")
 
 const (
-	// maxLine bounds a line in bytes; a longer one is skipped.
+	// maxLine is the maximum length of a line in bytes. A longer line ends the reading of
+	// its file with an error.
 	maxLine = 1 << 20
-	// peerNews is how long before a request what happened to a peer is told.
-	peerNews = 5 * time.Second
+	// peerWindow is how long before a request an event of a peer still counts as
+	// relevant.
+	peerWindow = 5 * time.Second
 )
 
-// Line is one line of a log.
+// Line is one line of a log. Fields that the line lacks are empty.
 type Line struct {
 	At       time.Time `json:"ts"`
 	Message  string    `json:"msg"`
 	Instance string    `json:"instance"`
-	// ID of a request, Server and Peer that the line is about, where it is.
+	// ID of the request, and the Server and Peer that the line concerns.
 	ID     string  `json:"id"`
 	Server string  `json:"server"`
 	Peer   string  `json:"peer"`
@@ -41,27 +43,28 @@
 	text string
 }
 
-// Story is what the logs tell of one request.
-type Story struct {
+// Explanation holds the log lines that concern one request.
+type Explanation struct {
 	// Request holds the lines of the request, oldest first.
 	Request []Line
-	// Beliefs are the newest lines, before the request arrived, on what decided
-	// it: configuration, the servers tried, store, peers, drain.
-	Beliefs []Line
+	// State holds the newest line before the request arrived on each subject that decided
+	// it: configuration, the servers tried, store, peers, drain. Oldest first.
+	State []Line
 }
 
-// Explain reads the story of a request from files of log lines.
-func Explain(id string, files []string) (*Story, error) {
+// Explain collects the explanation of request id from log files. It returns
+// ErrUnknownRequest if no line mentions the request.
+func Explain(id string, files []string) (*Explanation, error) {
 	var lines []Line
 	for _, name := range files {
-		read, err := readFile(name)
+		fileLines, err := readFile(name)
 		if err != nil {
 			return nil, errors.Wrap(err, name)
 		}
-		lines = append(lines, read...)
+		lines = append(lines, fileLines...)
 	}
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
-	return tell(id, lines)
+	return explainLines(id, lines)
 }
 
 func readFile(name string) ([]Line, error) {
@@ -73,8 +76,8 @@
 	return read(file)
 }
 
-// read takes the JSON object of each line; what stands before it, such as the
-// collector's own time, and lines without one are passed over.
+// read parses the JSON object of each line. It ignores text before the object, such as a
+// collector's timestamp, and skips lines without a valid object.
 func read(in io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLine)
@@ -95,15 +98,15 @@
 	return out, scanner.Err()
 }
 
-func tell(id string, lines []Line) (*Story, error) {
-	story := &Story{}
+func explainLines(id string, lines []Line) (*Explanation, error) {
+	out := &Explanation{}
 	instances, servers := map[string]bool{}, map[string]bool{}
 	var arrived time.Time
 	for _, line := range lines {
 		if line.ID != id {
 			continue
 		}
-		story.Request = append(story.Request, line)
+		out.Request = append(out.Request, line)
 		instances[line.Instance] = true
 		servers[line.Server] = true
 		began := line.At.Add(-time.Duration(line.TookMS * float64(time.Millisecond)))
@@ -111,7 +114,7 @@
 			arrived = began
 		}
 	}
-	if len(story.Request) == 0 {
+	if len(out.Request) == 0 {
 		return nil, errors.Wrap(ErrUnknownRequest, id)
 	}
 	newest := map[string]Line{}
@@ -124,16 +127,17 @@
 		}
 	}
 	for _, line := range newest {
-		story.Beliefs = append(story.Beliefs, line)
+		out.State = append(out.State, line)
 	}
-	slices.SortFunc(story.Beliefs, func(a, b Line) int {
+	slices.SortFunc(out.State, func(a, b Line) int {
 		return cmp.Or(a.At.Compare(b.At), strings.Compare(a.text, b.text))
 	})
-	return story, nil
+	return out, nil
 }
 
-// subjectOf names what a line is about, if that could have decided a request:
-// of lines with the same subject the newest counts.
+// subjectOf returns the subject of a line that could have affected a request that arrived
+// at the given time and tried these servers. Of several lines with one subject only the
+// newest counts.
 func subjectOf(line Line, servers map[string]bool, arrived time.Time) (string, bool) {
 	switch line.Message {
 	case "config_in_force", "draining", "started", "isolation_changed":
@@ -143,18 +147,18 @@
 	case "server_changed", "server_reachability":
 		return line.Message + line.Server, servers[line.Server]
 	case "peer_linked", "peer_lost", "peer_leaving":
-		return "peer" + line.Peer, arrived.Sub(line.At) <= peerNews
+		return "peer" + line.Peer, arrived.Sub(line.At) <= peerWindow
 	default:
 		return "", false
 	}
 }
 
-// WriteText writes the story for a person.
-func (s *Story) WriteText(out io.Writer) error {
-	if _, err := fmt.Fprintln(out, "what the instance believed:"); err != nil {
+// WriteText writes the explanation as text.
+func (s *Explanation) WriteText(out io.Writer) error {
+	if _, err := fmt.Fprintln(out, "state of the instance when the request arrived:"); err != nil {
 		return err
 	}
-	if err := writeLines(out, s.Beliefs); err != nil {
+	if err := writeLines(out, s.State); err != nil {
 		return err
 	}
 	if _, err := fmt.Fprintln(out, "what happened to the request:"); err != nil {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -34,7 +34,7 @@
 	return out
 }
 
-func TestOwnerIsNearAndMovesOnlyWithItsMember(t *testing.T) {
+func TestOwnerIsLocalAndMovesOnlyWithItsMember(t *testing.T) {
 	cat := threeCentres()
 	all := members(9)
 	moved := 0
@@ -53,11 +53,11 @@
 		}
 	}
 	if moved == 0 {
-		t.Skip("the member that left owned nothing")
+		t.Skip("the removed member owned no group")
 	}
 }
 
-func TestOwnerOfAnEmptyCentreIsAnywhere(t *testing.T) {
+func TestOwnerOfADataCentreWithoutMembersIsRemote(t *testing.T) {
 	cat := threeCentres()
 	near := []Member{{ID: "a", DataCentre: "dc0"}}
 	for _, group := range cat.GroupList {
@@ -66,20 +66,20 @@
 		}
 	}
 	if Owner(cat.GroupList[0], nil) != "" {
-		t.Error("an owner without members")
+		t.Error("a group has an owner without members")
 	}
 }
 
-func TestPickLeavesABusyGroup(t *testing.T) {
+func TestPickAvoidsABusyGroup(t *testing.T) {
 	cat := threeCentres()
 	p := NewPicker()
 	rng := rand.New(rand.NewPCG(1, 1))
 	busy := cat.GroupsFor["m"][0]
 	now := monotime.Instant(time.Second)
-	p.Observe(busy.Name, 0, 10*time.Second, now)
+	p.ObserveBacklog(busy.Name, 0, 10*time.Second, now)
 	count := 0
 	for range 1000 {
-		if p.Pick(now, cat, Ask{Target: "m", DataCentre: "dc0"}, rng) == busy {
+		if p.Pick(now, cat, Request{Target: "m", DataCentre: "dc0"}, rng) == busy {
 			count++
 		}
 	}
@@ -87,28 +87,28 @@
 		t.Errorf("the busy group of %d got %d of 1000", len(cat.GroupsFor["m"]), count)
 	}
 	later := now.Add(time.Hour)
-	if p.cost(later, cat, &Ask{DataCentre: busy.DataCentre}, busy) > 10*time.Millisecond {
-		t.Error("an hour later the backlog still keeps requests away")
+	if p.cost(later, cat, &Request{DataCentre: busy.DataCentre}, busy) > 10*time.Millisecond {
+		t.Error("a backlog reported an hour ago still adds to the cost")
 	}
 }
 
-func TestPrefixAttractsOnlyWhileItPays(t *testing.T) {
+func TestCachedPrefixIsPreferredOnlyWhileItSavesTime(t *testing.T) {
 	cat := threeCentres()
 	p := NewPicker()
 	rng := rand.New(rand.NewPCG(1, 1))
-	known := cat.GroupsFor["m"][1]
+	cached := cat.GroupsFor["m"][1]
 	now := monotime.Instant(time.Second)
-	p.Ran(now, 7, known)
-	ask := Ask{Target: "m", DataCentre: known.DataCentre, Prefix: 7, PromptTokens: 4000}
+	p.RecordPrefix(now, 7, cached)
+	req := Request{Target: "m", DataCentre: cached.DataCentre, Prefix: 7, PromptTokens: 4000}
 	for range 50 {
-		if got := p.Pick(now, cat, ask, rng); got != known {
-			t.Fatalf("picked %s, the prefix is in %s", got.Name, known.Name)
+		if got := p.Pick(now, cat, req, rng); got != cached {
+			t.Fatalf("picked %s, the prefix is in %s", got.Name, cached.Name)
 		}
 	}
-	p.Observe(known.Name, 0, 2*time.Second, now)
+	p.ObserveBacklog(cached.Name, 0, 2*time.Second, now)
 	for range 50 {
-		if p.Pick(now, cat, ask, rng) == known {
-			t.Fatal("a queue of 2 s for 320 ms of saved prefill")
+		if p.Pick(now, cat, req, rng) == cached {
+			t.Fatal("picked a wait of 2 s to save 320 ms of prefill")
 		}
 	}
 }
--- a/internal/sched/affinity.go
+++ b/internal/sched/affinity.go
@@ -7,81 +7,84 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// prefixTable remembers which engines ran a prefix last. It is what the group
-// itself knows; cache events of the engines only correct it, since they come
-// late and with gaps. The table has a fixed size; a newer prefix displaces an
-// older one that falls on the same place.
+// prefixTable records which engines ran a prefix most recently. It relies on the group's
+// own assignments; cache events from the engines only correct it, because they arrive
+// late and with gaps. The table has a fixed size: a newer prefix replaces an older one in
+// the same bucket.
 type prefixTable struct {
-	places []prefixPlace
+	buckets []prefixBucket
 }
 
-// prefixPlace holds a prefix and up to two engines that ran it.
-type prefixPlace struct {
+// prefixBucket holds a prefix and up to two engines that ran it.
+type prefixBucket struct {
 	prefix  uint64
 	engines [2]prefixRun
 }
 
 type prefixRun struct {
 	engine *engine
-	// stored is the engine's count of prefixes when it ran this one.
-	stored uint32
-	at     monotime.Instant
+	// seq is the engine's prefixSeq when it ran this prefix.
+	seq uint32
+	at  monotime.Instant
 }
 
 const (
-	// prefixPlaces bounds the table: 2^13 places of 64 bytes are 512 KB.
-	prefixPlaces = 1 << 13
-	// defaultCacheRoom is how many prefixes an engine is believed to hold until
-	// an eviction tells more.
-	defaultCacheRoom = 64
-	minCacheRoom     = 4
-	// prefixSaves is the part of the prefill that a cached prefix saves.
-	prefixSaves = 0.8
+	// prefixTableSize is the number of buckets: 2^13 of 64 bytes are 512 KB. bucket
+	// shifts a 64-bit hash by 51 to match it.
+	prefixTableSize = 1 << 13
+	// defaultCacheCapacity is the number of prefixes that an engine is assumed to hold
+	// until evictions show less. minCacheCapacity bounds the estimate from below: no run
+	// of evictions turns affinity off entirely.
+	defaultCacheCapacity = 64
+	minCacheCapacity     = 4
+	// cachedPrefillShare is the part of the prefill that a cached prefix saves. Too high
+	// a value draws requests to a busy engine for a prefix that saves less than the wait.
+	cachedPrefillShare = 0.8
 )
 
-func (t *prefixTable) place(prefix uint64) *prefixPlace {
-	const mix = 0x9e3779b97f4a7c15
-	return &t.places[(prefix*mix)>>51]
+func (t *prefixTable) bucket(prefix uint64) *prefixBucket {
+	const multiplier = 0x9e3779b97f4a7c15
+	return &t.buckets[(prefix*multiplier)>>51]
 }
 
-// holds reports whether the engine is believed to hold the prefix.
+// holds reports whether the engine is expected to hold the prefix.
 func (t *prefixTable) holds(prefix uint64, e *engine) bool {
 	if prefix == 0 {
 		return false
 	}
-	p := t.place(prefix)
+	p := t.bucket(prefix)
 	if p.prefix != prefix {
 		return false
 	}
 	for i := range p.engines {
 		run := &p.engines[i]
 		if run.engine == e {
-			return e.stored-run.stored <= e.cacheRoom
+			return e.prefixSeq-run.seq <= e.cacheCapacity
 		}
 	}
 	return false
 }
 
-// ran notes that the engine gets a request with the prefix.
-func (t *prefixTable) ran(now monotime.Instant, prefix uint64, e *engine) {
+// recordRun records that the engine gets a request with the prefix.
+func (t *prefixTable) recordRun(now monotime.Instant, prefix uint64, e *engine) {
 	if prefix == 0 {
 		return
 	}
-	p := t.place(prefix)
+	p := t.bucket(prefix)
 	if p.prefix != prefix {
-		*p = prefixPlace{prefix: prefix}
+		*p = prefixBucket{prefix: prefix}
 	}
 	run := &p.engines[0]
 	if run.engine != e {
 		p.engines[1] = *run
-		e.stored++
+		e.prefixSeq++
 	}
-	*run = prefixRun{engine: e, stored: e.stored, at: now}
+	*run = prefixRun{engine: e, seq: e.prefixSeq, at: now}
 }
 
-// lost notes that the engine evicted the prefix.
-func (t *prefixTable) lost(prefix uint64, e *engine) {
-	p := t.place(prefix)
+// removeRun records that the engine evicted the prefix.
+func (t *prefixTable) removeRun(prefix uint64, e *engine) {
+	p := t.bucket(prefix)
 	if p.prefix != prefix {
 		return
 	}
@@ -92,13 +95,15 @@
 	}
 }
 
-// cacheEventDelay is the age up to which the group's own knowledge of a run
-// outweighs an eviction event, which may be older than the run.
+// cacheEventDelay is the age in nanoseconds up to which a recorded run outweighs an
+// eviction event: the event may be older than the run. A shorter time lets a late event
+// erase a prefix that the engine has just cached again; a longer one keeps evicted
+// prefixes on record.
 const cacheEventDelay = 2_000_000_000
 
-// CacheEvents corrects what the group believes of an engine's prefix cache.
-// Events may come late and with gaps: an eviction drops a belief only when the
-// engine has not run the prefix since.
+// CacheEvents corrects the group's view of an engine's prefix cache. Events may arrive
+// late and with gaps: an eviction takes effect only if the engine has not run the prefix
+// within cacheEventDelay.
 func (g *Group) CacheEvents(now monotime.Instant, engineID string, events engineapi.CacheEvents) {
 	e := g.byID[engineID]
 	if e == nil {
@@ -110,26 +115,26 @@
 			continue
 		}
 		if event.Stored {
-			g.noteStored(now, prefix, e)
+			g.recordStored(now, prefix, e)
 			continue
 		}
-		g.noteEvicted(now, prefix, e)
+		g.recordEvicted(now, prefix, e)
 	}
 	e.cacheNext = events.Next
 }
 
-func (g *Group) noteStored(now monotime.Instant, prefix uint64, e *engine) {
-	p := g.prefixes.place(prefix)
+func (g *Group) recordStored(now monotime.Instant, prefix uint64, e *engine) {
+	p := g.prefixes.bucket(prefix)
 	if p.prefix != 0 && p.prefix != prefix {
 		return
 	}
 	if p.engines[0].engine == nil || p.engines[1].engine == nil && p.engines[0].engine != e {
-		g.prefixes.ran(now, prefix, e)
+		g.prefixes.recordRun(now, prefix, e)
 	}
 }
 
-func (g *Group) noteEvicted(now monotime.Instant, prefix uint64, e *engine) {
-	p := g.prefixes.place(prefix)
+func (g *Group) recordEvicted(now monotime.Instant, prefix uint64, e *engine) {
+	p := g.prefixes.bucket(prefix)
 	if p.prefix != prefix {
 		return
 	}
@@ -138,9 +143,10 @@
 		if run.engine != e || now.Sub(run.at) < cacheEventDelay {
 			continue
 		}
-		// The prefix was evicted after this many others came: the room.
-		held := max(minCacheRoom, e.stored-run.stored)
-		e.cacheRoom = min(e.cacheRoom, max(held, e.cacheRoom*3/4))
-		g.prefixes.lost(prefix, e)
+		// The prefix was evicted after this many others were placed, which is the cache's
+		// capacity.
+		capacity := max(minCacheCapacity, e.prefixSeq-run.seq)
+		e.cacheCapacity = min(e.cacheCapacity, max(capacity, e.cacheCapacity*3/4))
+		g.prefixes.removeRun(prefix, e)
 	}
 }
--- a/internal/sched/failure_test.go
+++ b/internal/sched/failure_test.go
@@ -9,57 +9,57 @@
 	"basilrudder/internal/verdict"
 )
 
-// work drives a fixture as engines would: each granted request holds its slot
-// for a time and ends with so many tokens.
-type work struct {
+// simulation drives a fixture as engines would: each granted request holds its slot for
+// the time given for its tier and ends with the corresponding number of tokens.
+type simulation struct {
 	*fixture
-	hold   map[int]time.Duration
-	tiers  map[uint64]int
-	ends   []ending
-	served map[int]int
-	seen   int
-	// slowEngine takes factor times longer.
+	hold      map[int]time.Duration
+	tiers     map[uint64]int
+	ends      []completion
+	served    map[int]int
+	scheduled int
+	// slowEngine takes factor times as long as the others.
 	slowEngine string
 	factor     time.Duration
 }
 
-type ending struct {
+type completion struct {
 	at  monotime.Instant
 	seq uint64
 }
 
-func newWork(f *fixture, hold ...time.Duration) *work {
-	w := &work{fixture: f, hold: map[int]time.Duration{}, tiers: map[uint64]int{}, served: map[int]int{}}
+func newSimulation(f *fixture, hold ...time.Duration) *simulation {
+	w := &simulation{fixture: f, hold: map[int]time.Duration{}, tiers: map[uint64]int{}, served: map[int]int{}}
 	for tier, d := range hold {
 		w.hold[tier] = d
 	}
 	return w
 }
 
-func (w *work) ask(tier int, customer string) uint64 {
+func (w *simulation) request(tier int, customer string) uint64 {
 	w.tiers[w.seq+1] = tier
 	seq := w.submit(tier, customer)
-	w.plan()
+	w.scheduleEnds()
 	return seq
 }
 
-// plan schedules the ends of newly granted requests.
-func (w *work) plan() {
-	for ; w.seen < len(w.order); w.seen++ {
-		seq := w.order[w.seen]
-		w.ends = append(w.ends, ending{w.now.Add(w.hold[w.tiers[seq]] * w.slowdown(seq)), seq})
+// scheduleEnds schedules the ends of newly granted requests.
+func (w *simulation) scheduleEnds() {
+	for ; w.scheduled < len(w.order); w.scheduled++ {
+		seq := w.order[w.scheduled]
+		w.ends = append(w.ends, completion{w.now.Add(w.hold[w.tiers[seq]] * w.slowdown(seq)), seq})
 	}
 }
 
-func (w *work) slowdown(seq uint64) time.Duration {
+func (w *simulation) slowdown(seq uint64) time.Duration {
 	if w.granted[seq].Engine.ID == w.slowEngine {
 		return w.factor
 	}
 	return 1
 }
 
-// grantsOn counts the requests from a place in the order on that an engine got.
-func (w *work) grantsOn(engine string, from int) int {
+// grantsOn counts the grants for an engine, from an index into order on.
+func (w *simulation) grantsOn(engine string, from int) int {
 	count := 0
 	for _, seq := range w.order[from:] {
 		if w.granted[seq].Engine.ID == engine {
@@ -69,24 +69,24 @@
 	return count
 }
 
-// run lets time pass in steps of a millisecond; each calls what is asked for.
-func (w *work) run(d time.Duration, each func(step int)) {
+// run advances time in steps of a millisecond and calls eachStep in each.
+func (w *simulation) run(d time.Duration, eachStep func(step int)) {
 	for step := range int(d / time.Millisecond) {
 		w.now = w.now.Add(time.Millisecond)
 		w.finishDue()
 		if step%50 == 0 {
 			w.take(w.g.Tick(w.now, nil))
-			w.plan()
+			w.scheduleEnds()
 		}
-		if each != nil {
-			each(step)
+		if eachStep != nil {
+			eachStep(step)
 		}
 	}
 }
 
-func (w *work) finishDue() {
+func (w *simulation) finishDue() {
 	kept := w.ends[:0]
-	var due []ending
+	var due []completion
 	for _, e := range w.ends {
 		if e.at <= w.now {
 			due = append(due, e)
@@ -101,24 +101,23 @@
 		tokens := int(w.hold[w.tiers[e.seq]] / gap)
 		gap *= w.slowdown(e.seq)
 		w.release(e.seq, Result{Tokens: tokens, FirstToken: gap, Gap: gap})
-		w.plan()
+		w.scheduleEnds()
 	}
 }
 
-// The top tier alone asks for more than the group can do, and a drafting class
-// of the lowest tier waits. Callers of the top tier are refused early in part;
-// those admitted are on time. The drafting class is still served, again and
-// again, from its floor.
+// The top tier alone requests more than the group can serve, and a class of the lowest
+// tier waits. Some top-tier requests are refused early; those admitted must be on time.
+// The floor must serve the lowest tier at least once every 20 s.
 func TestLowestTierIsServedWhileTheTopTierOverloads(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
-	w := newWork(f, 200*time.Millisecond, 0, 400*time.Millisecond)
+	w := newSimulation(f, 200*time.Millisecond, 0, 400*time.Millisecond)
 	servedBy := 0
 	w.run(60*time.Second, func(step int) {
 		if step%15 == 0 {
-			w.ask(0, "ann") // 67 a second of the 40 that fit
+			w.request(0, "ann") // 67 a second of the 40 that fit
 		}
 		if step%500 == 0 {
-			w.ask(2, "ben")
+			w.request(2, "ben")
 		}
 		if step%20_000 == 19_999 {
 			if w.served[2] == servedBy {
@@ -137,18 +136,18 @@
 	}
 }
 
-// A lower tier sends a burst that fills the group and its queue; then a steady
-// stream of the top tier arrives. Top-tier callers must neither be refused nor
-// wait longer than a lower request takes.
+// A burst of a lower tier fills the group and its queue; then a steady stream of the top
+// tier arrives. No top-tier request may be refused, and the lower tier must still get
+// free slots.
 func TestBurstOfLowerTierDoesNotShedTheTopTier(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
-	w := newWork(f, 100*time.Millisecond, 300*time.Millisecond)
+	w := newSimulation(f, 100*time.Millisecond, 300*time.Millisecond)
 	for range 500 {
-		w.ask(1, "ben")
+		w.request(1, "ben")
 	}
 	w.run(10*time.Second, func(step int) {
 		if step%40 == 0 {
-			w.ask(0, "ann")
+			w.request(0, "ann")
 		}
 	})
 	for seq := range w.refused {
@@ -157,13 +156,13 @@
 		}
 	}
 	if w.served[1] == 0 {
-		t.Error("the lower tier got nothing of the free slots")
+		t.Error("the lower tier got none of the free slots")
 	}
 }
 
-// The queue is full of lower requests when a top-tier one arrives. The group
-// must turn away a lower one, and never the top-tier one.
-func TestFullQueueTurnsTheLowestTierAway(t *testing.T) {
+// The queue is full of lower-tier requests when a top-tier one arrives. One of the
+// lower-tier requests must be refused, never the top-tier one.
+func TestFullQueueRefusesTheLowestTier(t *testing.T) {
 	policy := Default()
 	policy.MaxWaiting = 5
 	policy.EarlyRefusal = false
@@ -185,18 +184,18 @@
 	}
 }
 
-// One customer floods a tier; another asks now and then. Both have the same
-// weight. The quiet customer's requests must not queue behind the flood.
+// One customer floods a tier while another of the same weight sends a few requests. The
+// quiet customer's requests must not queue behind the flood.
 func TestFloodOfOneCustomerDoesNotDelayAnother(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
-	w := newWork(f, 0, 200*time.Millisecond)
+	w := newSimulation(f, 0, 200*time.Millisecond)
 	var quiet []uint64
 	w.run(30*time.Second, func(step int) {
 		if step%5 == 0 {
-			w.ask(1, "ann") // 200 a second of the 40 that fit
+			w.request(1, "ann") // 200 a second of the 40 that fit
 		}
 		if step%100 == 0 {
-			quiet = append(quiet, w.ask(1, "ben"))
+			quiet = append(quiet, w.request(1, "ben"))
 		}
 	})
 	refused := 0
@@ -210,19 +209,19 @@
 	}
 }
 
-// Two customers of weights 1 and 3 ask for far more than there is. Each must get
-// slots by weight, counted in tokens.
+// Two customers of weights 1 and 3 request far more than the group can serve. Each must
+// get slots in proportion to its weight, measured in tokens.
 func TestSharesFollowTheWeights(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
 	f.inv.Customers[1].Weight = 3
 	f.cat = catalog.Compile(2, f.inv)
 	f.take(f.g.Reconfigure(f.now, f.cat, nil))
-	w := newWork(f, 0, 200*time.Millisecond)
+	w := newSimulation(f, 0, 200*time.Millisecond)
 	owner := map[uint64]string{}
 	w.run(60*time.Second, func(step int) {
 		if step%10 == 0 {
-			owner[w.ask(1, "ann")] = "ann"
-			owner[w.ask(1, "ben")] = "ben"
+			owner[w.request(1, "ann")] = "ann"
+			owner[w.request(1, "ben")] = "ben"
 		}
 	})
 	got := map[string]int{}
@@ -230,41 +229,41 @@
 		got[owner[seq]]++
 	}
 	if ratio := float64(got["ben"]) / float64(got["ann"]); ratio < 2.5 || ratio > 3.5 {
-		t.Errorf("slots %v, want one to three", got)
+		t.Errorf("grants %v, want a ratio of 1 to 3", got)
 	}
 }
 
-// An engine turns five times slower than its peers. It must get less work within
-// seconds, keep a little, and get its full share back after it recovers.
-func TestStragglerGetsLessWorkAndComesBack(t *testing.T) {
+// An engine becomes five times slower than its peers. It must get less work within
+// seconds, keep a little, and get its full share again after it recovers.
+func TestStragglerGetsLessWorkAndRecovers(t *testing.T) {
 	f := newFixture(t, 3, 4, Default())
-	w := newWork(f, 0, 100*time.Millisecond)
-	play := func(d time.Duration, factor time.Duration) int {
+	w := newSimulation(f, 0, 100*time.Millisecond)
+	phase := func(d time.Duration, factor time.Duration) int {
 		w.slowEngine, w.factor = "s0/e", factor
 		before := len(w.order)
 		w.run(d, func(step int) {
 			if step%11 == 0 {
-				w.ask(1, "ann")
+				w.request(1, "ann")
 			}
 		})
 		return w.grantsOn("s0/e", before)
 	}
-	even := play(10*time.Second, 1)
-	play(5*time.Second, 5)
-	less := play(10*time.Second, 5)
-	play(10*time.Second, 1)
-	back := play(10*time.Second, 1)
-	if less > even/3 || less == 0 {
-		t.Errorf("straggler got %d requests, %d before it was slow", less, even)
+	even := phase(10*time.Second, 1)
+	phase(5*time.Second, 5)
+	slowed := phase(10*time.Second, 5)
+	phase(10*time.Second, 1)
+	recovered := phase(10*time.Second, 1)
+	if slowed > even/3 || slowed == 0 {
+		t.Errorf("straggler got %d requests, %d before it was slow", slowed, even)
 	}
-	if back < even*2/3 {
-		t.Errorf("recovered engine got %d requests, %d before it was slow", back, even)
+	if recovered < even*2/3 {
+		t.Errorf("recovered engine got %d requests, %d before it was slow", recovered, even)
 	}
 }
 
-// An engine crashes: its requests fail at once. Later requests go to the other
-// engine; after a while one request probes, and only when it succeeds does the
-// engine get more.
+// An engine crashes and its requests fail at once. Later requests must go to the other
+// engine. After the ejection one request probes the engine, which gets more work only
+// once the probe succeeds.
 func TestCrashedEngineIsEjectedProbedAndRampedUp(t *testing.T) {
 	f := newFixture(t, 2, 4, Default())
 	var onFirst []uint64
@@ -288,17 +287,16 @@
 	}
 	second := f.submit(1, "ann")
 	if _, ok := f.granted[second]; ok {
-		t.Fatal("a second request before the probe succeeded")
+		t.Fatal("a second request was sent before the probe succeeded")
 	}
 	f.finish(waiting, 10)
 	f.mustGrant(second)
 	f.mustGrant(f.submit(1, "ann"))
 }
 
-// An instance dies with slots in hand and requests in the queue. Its slots must
-// go to others at once when membership tells, and after the lease when nobody
-// does.
-func TestDeadHolderPinsNoSlot(t *testing.T) {
+// An instance dies while it holds slots and has queued requests. Its slots must be freed
+// at once when membership reports the death, and after the lease otherwise.
+func TestSlotsOfADeadHolderAreFreed(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	f.submit(1, "ann")
 	other := Demand{
@@ -314,22 +312,22 @@
 	next := f.submit(1, "ann")
 	f.advance(2900 * time.Millisecond)
 	if _, ok := f.granted[next]; ok {
-		t.Fatal("the slot was taken away before its lease ran out")
+		t.Fatal("the slot was freed before its lease expired")
 	}
 	f.advance(200 * time.Millisecond)
 	f.mustGrant(next)
 }
 
-// The owner of a group dies and another instance takes over, knowing nothing.
-// The holders' renewals must tell it what runs before it fills the engines a
-// second time.
-func TestNewOwnerLearnsWhatRunsFromRenewals(t *testing.T) {
+// The owner of a group dies and another instance takes over without any state. The
+// holders' renewals must report the running requests before the new owner fills the
+// engines a second time.
+func TestNewOwnerAdoptsRunningSlotsFromRenewals(t *testing.T) {
 	f := newFixture(t, 2, 2, Default())
 	f.take(f.g.Progress(f.now, Ticket{"old", 1}, 5, nil))
-	f.g.Adopt(f.now, Ticket{"old", 2}, Held{
+	f.g.Adopt(f.now, Ticket{"old", 2}, HeldSlot{
 		Engine: "s1/e", Class: f.cat.Classes["c1"], Customer: f.cat.Customers["ann"], Tier: 1,
 	})
-	f.g.Adopt(f.now, Ticket{"old", 2}, Held{Engine: "s1/e"})
+	f.g.Adopt(f.now, Ticket{"old", 2}, HeldSlot{Engine: "s1/e"})
 	if s := f.g.Stats(); s.Held != 2 || s.Adopted != 2 {
 		t.Fatalf("held %d adopted %d, want 2 and 2", s.Held, s.Adopted)
 	}
@@ -337,18 +335,18 @@
 	f.mustGrant(f.submit(1, "ann"))
 	third := f.submit(1, "ann")
 	if _, ok := f.granted[third]; ok {
-		t.Fatal("a fifth request on four slots")
+		t.Fatal("a fifth request was granted on four slots")
 	}
 	f.take(f.g.Release(f.now, Ticket{"old", 2}, Result{Tokens: 3, Gap: 10 * time.Millisecond}, nil))
 	if d := f.mustGrant(third); d.Engine.ID != "s1/e" {
-		t.Errorf("granted %s, want the slot that was given back", d.Engine.ID)
+		t.Errorf("granted %s, want the slot that was released", d.Engine.ID)
 	}
 }
 
-// A server is withdrawn while requests run on it and others wait. What runs goes
-// on; nothing new goes there, and requests are refused at once when no server is
+// A server is withdrawn while requests run on it and others wait. Running requests
+// continue and nothing new is sent there. Requests are refused at once when no server is
 // left.
-func TestWithdrawnServerGetsNothingNew(t *testing.T) {
+func TestWithdrawnServerGetsNoNewRequests(t *testing.T) {
 	f := newFixture(t, 2, 1, Default())
 	first, second := f.submit(1, "ann"), f.submit(1, "ann")
 	waiting := f.submit(1, "ann")
@@ -358,11 +356,11 @@
 	on := map[string]uint64{f.mustGrant(first).Engine.ID: first, f.mustGrant(second).Engine.ID: second}
 	f.finish(on["s0/e"], 5)
 	if _, ok := f.granted[waiting]; ok {
-		t.Fatal("the withdrawn server got new work")
+		t.Fatal("the withdrawn server got a new request")
 	}
 	f.finish(on["s1/e"], 5)
 	if d := f.mustGrant(waiting); d.Engine.ID != "s1/e" {
-		t.Errorf("granted %s", d.Engine.ID)
+		t.Errorf("granted %s, want the server that is left", d.Engine.ID)
 	}
 	last := f.submit(1, "ann")
 	f.inv.Servers[1].Withdrawn = true
@@ -373,8 +371,8 @@
 	}
 }
 
-// A partition gives a group two owners, each of which sees half of the fleet.
-// Together they must not use more slots than the engines have.
+// A partition gives a group two owners, each of which reaches half of the fleet. Together
+// they must not use more slots than the engines have.
 func TestTwoOwnersShareTheSlots(t *testing.T) {
 	a := newFixture(t, 2, 4, Default())
 	b := newFixture(t, 2, 4, Default())
@@ -396,22 +394,22 @@
 	}
 }
 
-// A class is guessed to take longer than its deadline before any answer was
-// measured. It must not be refused by a guess: it could never be measured.
-func TestUnmeasuredClassIsNotShutOut(t *testing.T) {
+// Before any answer is measured, a class is assumed to take longer than its deadline. It
+// must not be refused by that assumption: it would never be measured.
+func TestUnmeasuredClassIsNotRefused(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	f.inv.Classes[0].MaxOutputTokens = 100_000
 	f.cat = catalog.Compile(2, f.inv)
 	f.g = New(f.now, f.cat.GroupList[0], f.cat, Default(), 1)
 	f.mustGrant(f.submit(0, "ann"))
 	if d, ok := f.refused[f.submit(0, "ann")]; ok {
-		t.Errorf("refused by a guess: %+v", d)
+		t.Errorf("refused by an assumed length: %+v", d)
 	}
 }
 
-// A prompt prefix ran on one engine. The next request with it goes there while
-// that saves time, and elsewhere once the engine evicted it.
-func TestPrefixFollowsTheCache(t *testing.T) {
+// A prompt prefix has run on one engine. The next request with it must go there while
+// that saves time, and must not count on the prefix once the engine has evicted it.
+func TestRequestGoesToTheEngineThatCachesItsPrefix(t *testing.T) {
 	f := newFixture(t, 4, 2, Default())
 	first := f.mustGrant(f.submitPrefix(1, "ann", 9))
 	f.now = f.now.Add(time.Second)
@@ -427,6 +425,6 @@
 	f.now = f.now.Add(5 * time.Second)
 	f.g.CacheEvents(f.now, first.Engine.ID, evicted(9))
 	if after := f.mustGrant(f.submitPrefix(1, "ann", 9)); after.PrefixHit {
-		t.Error("counted on a prefix that the engine evicted")
+		t.Error("predicted a hit for a prefix that the engine evicted")
 	}
 }
--- a/internal/sched/lease.go
+++ b/internal/sched/lease.go
@@ -7,8 +7,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// heldList holds the entries with slots, the one renewed longest ago first. A
-// renewal moves an entry to the end, so expiry looks only at the front.
+// heldList is the list of entries that hold slots, ordered by the time of their last
+// renewal. A renewal moves an entry to the end, so expiry checks only the front.
 type heldList struct {
 	oldest *entry
 	newest *entry
@@ -43,32 +43,32 @@
 	h.count--
 }
 
-// hold marks an entry as the holder of a slot.
-func (g *Group) hold(e *entry, acct *account, now monotime.Instant) {
+// holdSlot marks an entry as holding a slot.
+func (g *Group) holdSlot(e *entry, acct *account, now monotime.Instant) {
 	e.state = entryHeld
 	e.grantedAt = now
 	e.renewedAt = now
 	e.tokens = 0
 	e.account = acct
-	g.unpark(&e.lane.tiers[e.tier], acct)
+	g.markActive(&e.pool.tiers[e.tier], acct)
 	acct.held++
 	g.held.append(e)
-	g.noteHeld(e)
+	g.countHeld(e)
 }
 
-// Progress renews a slot and charges the tokens generated since the last call.
-// A ticket that the group does not know re-creates a slot: its holder got it
-// from an earlier owner. Where it runs is unknown then; Adopt tells more.
+// Progress renews a slot and charges the tokens generated since the last call. A ticket
+// that the group has no record of re-creates a slot: an earlier owner granted it to the
+// holder. Its engine is then unknown; Adopt supplies it.
 func (g *Group) Progress(now monotime.Instant, t Ticket, tokens int, out []Decision) []Decision {
 	e := g.entries[t]
 	if e == nil {
-		g.Adopt(now, t, Held{})
+		g.Adopt(now, t, HeldSlot{})
 		e = g.entries[t]
 	}
 	if e == nil || e.state != entryHeld {
 		return out
 	}
-	g.measureProgress(e, tokens, now)
+	g.recordProgress(e, tokens, now)
 	g.countTokens(e, tokens)
 	e.renewedAt = now
 	g.held.remove(e)
@@ -76,21 +76,22 @@
 	return out
 }
 
-// measureProgress learns the engine's pace from a request that still runs, so
-// that a straggler shows long before a long answer ends.
-func (g *Group) measureProgress(e *entry, tokens int, now monotime.Instant) {
+// recordProgress updates the engine's pace from a request that is still running, which
+// reveals a straggler long before a long answer ends.
+func (g *Group) recordProgress(e *entry, tokens int, now monotime.Instant) {
 	since := now.Sub(e.renewedAt)
 	switch {
 	case tokens > 0 && e.tokens > 0 && since > 0:
-		g.learnGap(e.engine, e.lane, now, since/time.Duration(tokens))
-	case tokens == 0 && e.tokens > 0 && since >= stalledAfter:
-		e.engine.learnPace(now, since.Seconds(), e.engine.stepSeconds())
+		g.recordGap(e.engine, e.pool, now, since/time.Duration(tokens))
+	case tokens == 0 && e.tokens > 0 && since >= stallTimeout:
+		e.engine.recordPace(now, since.Seconds(), e.engine.stepSeconds())
 	}
 }
 
-// stalledAfter is the time without a token after which a running answer counts
-// against its engine.
-const stalledAfter = 500 * time.Millisecond
+// stallTimeout is the time without a token after which a running answer counts against
+// its engine. A shorter one would count ordinary pauses; a longer one detects a stalled
+// engine later.
+const stallTimeout = 500 * time.Millisecond
 
 func (g *Group) countTokens(e *entry, tokens int) {
 	e.tokens += tokens
@@ -104,31 +105,31 @@
 	}
 }
 
-// Held describes a slot that an earlier owner gave.
-type Held struct {
-	// Engine id; empty when unknown.
+// HeldSlot describes a slot that an earlier owner granted.
+type HeldSlot struct {
+	// Engine is the engine's ID; empty if unknown.
 	Engine string
-	// Class and Customer; nil when unknown.
+	// Class and Customer are nil if unknown.
 	Class    *catalog.Class
 	Customer *catalog.Customer
-	// Tier of the request.
+	// Tier is the request's tier.
 	Tier int
-	// ExpectedHold is the time that requests of the class hold their slots, as
-	// the holder measured; 0 for unknown.
+	// ExpectedHold is the mean time that requests of the class hold a slot, as measured
+	// by the holder; 0 if unknown.
 	ExpectedHold time.Duration
 }
 
-// Adopt re-creates a slot that an earlier owner of the group gave, so that a
-// new owner does not fill engines that are already full.
-func (g *Group) Adopt(now monotime.Instant, t Ticket, held Held) {
+// Adopt re-creates a slot that an earlier owner of the group granted. Without it a new
+// owner would overfill engines that are already full.
+func (g *Group) Adopt(now monotime.Instant, t Ticket, held HeldSlot) {
 	if g.entries[t] != nil {
 		return
 	}
 	on := g.byID[held.Engine]
 	if on == nil {
-		on = g.emptiest()
+		on = g.mostFreeEngine()
 	}
-	if on == nil || on.lane == nil {
+	if on == nil || on.pool == nil {
 		return
 	}
 	e := g.newEntry()
@@ -137,37 +138,38 @@
 	e.demand = Demand{
 		Ticket: t, Class: held.Class, Customer: held.Customer, Tier: held.Tier, ExpectedHold: held.ExpectedHold,
 	}
-	e.lane = on.lane
+	e.pool = on.pool
 	e.tier = g.tierOf(held.Tier)
 	e.engine = on
 	e.state = entryHeld
 	e.grantedAt = now
 	e.renewedAt = now
 	if held.Customer != nil {
-		e.account = g.accountFor(&e.lane.tiers[e.tier], held.Customer)
+		e.account = g.accountFor(&e.pool.tiers[e.tier], held.Customer)
 		e.account.held++
 	}
 	e.work = g.adoptedHold(e)
 	g.entries[t] = e
 	g.held.append(e)
-	g.noteHeld(e)
+	g.countHeld(e)
 	on.inflight++
-	on.told()
+	on.claimed()
 	g.refreshEngine(on, now)
 	g.counters.Adopted++
 }
 
-// adoptedHold is the expected slot time of an adopted slot, in seconds.
+// adoptedHold returns the expected slot time of an adopted slot, in seconds.
 func (g *Group) adoptedHold(e *entry) float64 {
 	if e.demand.Class == nil {
-		return e.lane.hold.or(1)
+		return e.pool.hold.meanOr(1)
 	}
-	return g.toldHold(e, g.statsOf(e.demand.Class))
+	return g.requestHold(e, g.statsOf(e.demand.Class))
 }
 
-// emptiest returns the engine with most free slots: a guess at where a slot of
-// unknown place runs that never counts it twice at a full engine.
-func (g *Group) emptiest() *engine {
+// mostFreeEngine returns the engine with the most free slots. It stands for the unknown
+// engine of an adopted slot: this guess never counts the slot a second time at a full
+// engine.
+func (g *Group) mostFreeEngine() *engine {
 	var best *engine
 	for _, e := range g.engines {
 		if best == nil || e.free > best.free {
@@ -177,7 +179,7 @@
 	return best
 }
 
-// Release gives a slot back with what its use measured, and hands free slots on.
+// Release returns a slot with the measurements of its use, then assigns free slots.
 func (g *Group) Release(now monotime.Instant, t Ticket, r Result, out []Decision) []Decision {
 	e := g.entries[t]
 	if e == nil {
@@ -187,18 +189,19 @@
 		return g.Withdraw(now, t, out)
 	}
 	g.countTokens(e, r.Tokens)
-	g.learn(e, r, now)
-	g.letGo(e, now)
+	g.recordResult(e, r, now)
+	g.freeSlot(e, now)
 	return g.dispatch(now, out)
 }
 
-// learn takes what a finished use says about the engine and the class.
-func (g *Group) learn(e *entry, r Result, now monotime.Instant) {
+// recordResult updates the state of the engine and the statistics of the class from the
+// result of a slot's use.
+func (g *Group) recordResult(e *entry, r Result, now monotime.Instant) {
 	on := e.engine
 	switch r.Outcome {
 	case Finished:
 		on.health.succeeded()
-		g.learnFinished(e, r, now)
+		g.recordFinished(e, r, now)
 	case Failed:
 		if g.policy.Ejection {
 			on.health.failed(now)
@@ -211,7 +214,7 @@
 	}
 }
 
-func (g *Group) learnFinished(e *entry, r Result, now monotime.Instant) {
+func (g *Group) recordFinished(e *entry, r Result, now monotime.Instant) {
 	if e.demand.Class == nil || e.demand.Customer == nil {
 		return
 	}
@@ -219,32 +222,32 @@
 	held := now.Sub(e.grantedAt)
 	if stats.service {
 		if stats.hold.count > 0 {
-			e.engine.learnPace(now, held.Seconds(), stats.hold.mean)
+			e.engine.recordPace(now, held.Seconds(), stats.hold.mean)
 		}
 	} else {
-		g.learnGap(e.engine, e.lane, now, r.Gap)
+		g.recordGap(e.engine, e.pool, now, r.Gap)
 	}
-	g.learnClass(stats, e.tokens, held, r.FirstToken)
-	e.lane.hold.add(held.Seconds(), holdWeight)
+	g.recordClass(stats, e.tokens, held, r.FirstToken)
+	e.pool.hold.add(held.Seconds(), holdWeight)
 }
 
-// letGo frees the slot of an entry and settles what it was charged.
-func (g *Group) letGo(e *entry, now monotime.Instant) {
+// freeSlot frees the slot of an entry and refunds what was overcharged.
+func (g *Group) freeSlot(e *entry, now monotime.Instant) {
 	g.held.remove(e)
-	g.noteFreed(e, now)
+	g.countFreed(e, now)
 	e.engine.inflight--
-	g.noteFreeSlot(e.engine, now)
+	g.recordFreedSlot(e.engine, now)
 	g.refreshEngine(e.engine, now)
 	if a := e.account; a != nil {
-		g.settle(e)
+		g.refund(e)
 		a.held--
-		g.parkAccount(&e.lane.tiers[e.tier], a)
+		g.markIdle(&e.pool.tiers[e.tier], a)
 	}
 	g.recycle(e)
 }
 
-// settle refunds what was charged beyond the real use.
-func (g *Group) settle(e *entry) {
+// refund returns to the account what was charged in excess of the actual usage.
+func (g *Group) refund(e *entry) {
 	used := promptCost*float64(e.demand.PromptTokens) + float64(e.tokens)
 	if e.tokens == 0 || used >= e.charged {
 		return
@@ -252,26 +255,26 @@
 	g.charge(e.account, used-e.charged)
 }
 
-// Withdraw forgets a request that waits, or frees the slot it got meanwhile.
+// Withdraw removes a waiting request, or frees the slot that it has got in the meantime.
 func (g *Group) Withdraw(now monotime.Instant, t Ticket, out []Decision) []Decision {
 	e := g.entries[t]
 	if e == nil {
 		return out
 	}
-	g.drop(e, now)
+	g.discard(e, now)
 	return g.dispatch(now, out)
 }
 
-func (g *Group) drop(e *entry, now monotime.Instant) {
+func (g *Group) discard(e *entry, now monotime.Instant) {
 	if e.state == entryHeld {
-		g.letGo(e, now)
+		g.freeSlot(e, now)
 		return
 	}
 	g.dequeue(e)
 	g.recycle(e)
 }
 
-// HolderGone drops what a holder waited for and frees its slots.
+// HolderGone removes the waiting requests of a holder and frees its slots.
 func (g *Group) HolderGone(now monotime.Instant, holder string, out []Decision) []Decision {
 	var gone []*entry
 	for t, e := range g.entries {
@@ -281,14 +284,14 @@
 	}
 	sortBySeq(gone)
 	for _, e := range gone {
-		g.drop(e, now)
+		g.discard(e, now)
 	}
 	return g.dispatch(now, out)
 }
 
-// expireLeases frees slots that nobody renewed. A holder that died or paused
-// would otherwise pin them for good; one that only paused re-creates its slots
-// with its next Progress, so an expired lease costs an overfull engine at worst.
+// expireLeases frees slots that were not renewed within the lease. Otherwise a holder
+// that died or paused would block them forever. A holder that only paused re-creates its
+// slots with its next Progress, so an expired lease at worst overfills an engine.
 func (g *Group) expireLeases(now monotime.Instant) {
 	for {
 		e := g.held.oldest
@@ -296,6 +299,6 @@
 			return
 		}
 		g.counters.LeasesExpired++
-		g.letGo(e, now)
+		g.freeSlot(e, now)
 	}
 }
--- a/internal/sched/stats.go
+++ b/internal/sched/stats.go
@@ -6,28 +6,28 @@
 	"basilrudder/internal/monotime"
 )
 
-// Counters only grow.
+// Counters are monotonic counters of a group.
 type Counters struct {
-	// Submitted, Granted and Refused count requests and their decisions.
+	// Submitted counts requests, Granted and Refused the decisions about them.
 	Submitted uint64 `json:"submitted"`
 	Granted   uint64 `json:"granted"`
 	Refused   uint64 `json:"refused"`
-	// Expired counts refusals of requests that had waited.
+	// Expired counts requests that were refused after they had waited.
 	Expired uint64 `json:"expired"`
-	// LeasesExpired counts slots that nobody renewed.
+	// LeasesExpired counts slots freed because their holder did not renew them.
 	LeasesExpired uint64 `json:"leases_expired"`
-	// Adopted counts slots taken over from an earlier owner.
+	// Adopted counts slots that an earlier owner had granted.
 	Adopted uint64 `json:"adopted"`
 }
 
-// EngineStats is what the group believes of an engine.
+// EngineStats is the group's view of an engine.
 type EngineStats struct {
 	ID       string `json:"id"`
 	Inflight int    `json:"inflight"`
 	Limit    int    `json:"limit"`
-	// Slow is the pace against the median of its peers; 1 is as fast.
+	// Slow is the engine's slowdown relative to the median of its peers; 1 is as fast.
 	Slow float64 `json:"slow"`
-	// Ejected says that the engine gets no work because it failed.
+	// Ejected reports that the engine gets no work because it failed.
 	Ejected   bool `json:"ejected"`
 	Withdrawn bool `json:"withdrawn"`
 }
@@ -40,16 +40,16 @@
 	Held    int           `json:"held"`
 	Tiers   []int         `json:"waiting_by_tier"`
 	Engines []EngineStats `json:"engines"`
-	// Backlog is the longest wait over the lanes for the top tier.
+	// Backlog is the longest wait of the top tier over all pools.
 	Backlog time.Duration `json:"backlog_ns"`
 }
 
 // Stats returns a copy of the group's state as of its last upkeep.
 func (g *Group) Stats() Stats {
 	s := Stats{Counters: g.counters, Name: g.name, Waiting: g.waiting, Held: g.held.count}
-	for _, l := range g.laneList {
-		s.addLane(l)
-		s.Backlog = max(s.Backlog, g.backlog(l, 0, g.upkeepAt))
+	for _, p := range g.pools {
+		s.addPool(p)
+		s.Backlog = max(s.Backlog, g.backlog(p, 0, g.upkeepAt))
 	}
 	for _, e := range g.engines {
 		s.Engines = append(s.Engines, e.stats(g.upkeepAt))
@@ -57,9 +57,9 @@
 	return s
 }
 
-func (s *Stats) addLane(l *lane) {
-	for t := range l.tiers {
-		n := l.tiers[t].waiting
+func (s *Stats) addPool(p *pool) {
+	for t := range p.tiers {
+		n := p.tiers[t].waiting
 		if n == 0 {
 			continue
 		}
@@ -75,19 +75,19 @@
 		ID:        e.spec.ID,
 		Inflight:  e.inflight,
 		Limit:     e.limit,
-		Slow:      e.slow,
-		Ejected:   now < e.health.until,
+		Slow:      e.slowdown,
+		Ejected:   now < e.health.ejectedUntil,
 		Withdrawn: !e.takesWork(),
 	}
 }
 
-// Backlog is the wait that a request for the target should expect.
+// Backlog returns the wait that a new request for the target should expect.
 func (g *Group) Backlog(now monotime.Instant, target string, tier int) time.Duration {
-	l := g.lanes[target]
-	if l == nil {
-		return noServerRetry
+	p := g.poolByTarget[target]
+	if p == nil {
+		return noServerRetryAfter
 	}
-	return g.backlog(l, g.tierOf(tier), now)
+	return g.backlog(p, g.tierOf(tier), now)
 }
 
 // Idle reports whether nothing waits and no slot is held.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -22,20 +22,21 @@
 	counts *callCounters
 	conn   *conn
 	resp   *fasthttp.Response
-	// started says that the upstream is known to have started the request.
+	// started is set once the upstream has confirmed that it started the request.
 	started bool
-	// resuming says that the request was sent by an earlier exchange.
+	// resuming is set if the request itself was sent by an earlier exchange.
 	resuming bool
-	// unwatch ends the watch on ctx.
-	unwatch func() bool
+	// stopWatching stops the watch on ctx; it returns false if ctx has already ended.
+	stopWatching func() bool
 }
 
-// open connects to the target. fresh asks for a new connection.
-func (c *Client) open(ctx context.Context, target Target, kind Kind, fresh bool) (*exchange, *verdict.Error) {
+// open starts an exchange on an unused or a new connection to the target. forceDial
+// requires a new one.
+func (c *Client) open(ctx context.Context, target Target, kind Kind, forceDial bool) (*exchange, *verdict.Error) {
 	x := &exchange{client: c, ctx: ctx, target: target, counts: &c.counters.kinds[kind]}
 	x.counts.calls.Add(1)
-	if !fresh {
-		x.conn = c.pool.take(target.Address)
+	if !forceDial {
+		x.conn = c.pool.get(target.Address)
 	}
 	if x.conn == nil {
 		cn, err := c.dial(ctx, target.Address)
@@ -45,15 +46,16 @@
 		}
 		x.conn = cn
 	}
-	x.conn.begin()
+	x.conn.resetCounts()
 	x.resp = fasthttp.AcquireResponse()
-	// A caller that goes away must free its reader at once, not at the next
-	// timeout: closing the connection is what ends a read that waits.
-	x.unwatch = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
+	// If the caller disconnects, a blocked read must end at once and not at the next
+	// timeout. Closing the connection ends it.
+	x.stopWatching = context.AfterFunc(ctx, func() { _ = x.conn.Close() })
 	return x, nil
 }
 
-// connectError is "not run": without a connection no byte was written.
+// connectError returns an error with the verdict "not run": without a connection no byte
+// was written.
 func connectError(ctx context.Context, target Target, err error) *verdict.Error {
 	reason := verdict.ReasonConnect
 	if ctx.Err() != nil {
@@ -62,32 +64,34 @@
 	return verdict.Wrap(verdict.NotRun, reason, errors.Wrapf(err, "connect to %s", target.Server))
 }
 
-// send writes the request and reads the header of the answer.
+// send writes the request and reads the header of the answer within timeout.
 func (x *exchange) send(req *fasthttp.Request, timeout time.Duration) *verdict.Error {
 	if err := x.conn.SetWriteDeadline(time.Now().Add(x.client.cfg.WriteTimeout)); err != nil {
-		return x.failed(err, "set deadline")
+		return x.fail(err, "set deadline")
 	}
 	if err := req.Write(x.conn.writer); err != nil {
-		return x.failed(err, "write request")
+		return x.fail(err, "write request")
 	}
 	if err := x.conn.writer.Flush(); err != nil {
-		return x.failed(err, "write request")
+		return x.fail(err, "write request")
 	}
-	if err := x.conn.setDeadline(time.Now().Add(timeout)); err != nil {
-		return x.failed(err, "set deadline")
+	if err := x.conn.setFixedDeadline(time.Now().Add(timeout)); err != nil {
+		return x.fail(err, "set deadline")
 	}
 	if err := x.readHeader(); err != nil {
-		return x.failed(err, "read answer")
+		return x.fail(err, "read answer")
 	}
 	x.started = hasFlag(x.resp, enginehttp.HeaderStarted)
 	return nil
 }
 
-// maxInterim bounds the informational answers before the final one.
-const maxInterim = 3
+// maxHeaderBlocks limits the header blocks read per request: up to two informational (1xx)
+// answers and the final one. With a smaller limit, upstreams that send informational
+// answers fail; with a larger one, an upstream can send more of them before it fails.
+const maxHeaderBlocks = 3
 
 func (x *exchange) readHeader() error {
-	for range maxInterim {
+	for range maxHeaderBlocks {
 		if err := x.resp.Header.Read(x.conn.reader); err != nil {
 			return err
 		}
@@ -102,31 +106,30 @@
 	return string(resp.Header.Peek(header)) == enginehttp.True
 }
 
-// finish gives the connection back when the whole answer was read.
+// finish returns the connection to the pool after the whole answer was read.
 func (x *exchange) finish() {
 	cn := x.conn
-	x.counts.ended(cn)
+	x.counts.addBytes(cn)
 	reusable := !x.resp.ConnectionClose()
 	fasthttp.ReleaseResponse(x.resp)
-	if !x.unwatch() || !reusable {
+	if !x.stopWatching() || !reusable {
 		_ = cn.Close()
 		return
 	}
 	x.client.pool.put(cn)
 }
 
-// abort closes the connection.
+// abort ends the exchange and closes the connection.
 func (x *exchange) abort() {
-	x.unwatch()
+	x.stopWatching()
 	_ = x.conn.Close()
-	x.counts.ended(x.conn)
-	// The response is left to the collector: its body stream may still refer to
-	// the reader of the connection.
+	x.counts.addBytes(x.conn)
+	// The response is not released for reuse: its body stream may still refer to the
+	// connection's reader.
 }
 
-// known returns what is known about the execution of the request when the
-// connection fails.
-func (x *exchange) known() verdict.Verdict {
+// verdictOnFailure returns the verdict on the request if the connection fails now.
+func (x *exchange) verdictOnFailure() verdict.Verdict {
 	switch {
 	case x.started:
 		return verdict.Ran
@@ -137,29 +140,33 @@
 	}
 }
 
-// failed ends the exchange after an error of the connection.
-func (x *exchange) failed(err error, doing string) *verdict.Error {
+// fail ends the exchange after an error of the connection or of the answer's content and
+// returns that error with its verdict. If the upstream was unresponsive, it also closes
+// the unused connections to its address.
+func (x *exchange) fail(err error, operation string) *verdict.Error {
 	x.counts.errors.Add(1)
-	reason := x.reason(err)
+	reason := x.failureReason(err)
 	if reason == verdict.ReasonUpstreamSilent {
-		x.client.pool.drop(x.target.Address)
+		x.client.pool.closeAddress(x.target.Address)
 	}
 	x.abort()
-	return verdict.Wrap(x.known(), reason, errors.Wrapf(err, "%s: %s", x.target.Server, doing))
+	return verdict.Wrap(x.verdictOnFailure(), reason, errors.Wrapf(err, "%s: %s", x.target.Server, operation))
 }
 
-func (x *exchange) reason(err error) verdict.Reason {
+// failureReason returns the reason of a failure. The end of ctx takes precedence over err,
+// because it closes the connection and so causes err.
+func (x *exchange) failureReason(err error) verdict.Reason {
 	if x.ctx.Err() != nil {
 		return contextReason(x.ctx)
 	}
-	var timeout interface{ Timeout() bool }
-	if errors.As(err, &timeout) && timeout.Timeout() {
+	var timeoutErr interface{ Timeout() bool }
+	if errors.As(err, &timeoutErr) && timeoutErr.Timeout() {
 		return verdict.ReasonUpstreamSilent
 	}
-	var network *net.OpError
-	lost := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) ||
-		errors.Is(err, io.ErrClosedPipe) || errors.As(err, &network)
-	if lost {
+	var netErr *net.OpError
+	connectionLost := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) ||
+		errors.Is(err, io.ErrClosedPipe) || errors.As(err, &netErr)
+	if connectionLost {
 		return verdict.ReasonUpstreamLost
 	}
 	return verdict.ReasonUpstreamError
@@ -172,27 +179,28 @@
 	return verdict.ReasonCallerGone
 }
 
-// refused turns an answer without success into an error and ends the exchange.
-func (x *exchange) refused() *verdict.Error {
+// failStatus ends the exchange and returns an unsuccessful answer as an error.
+func (x *exchange) failStatus() *verdict.Error {
 	x.counts.errors.Add(1)
-	known, reason := x.classify()
-	after := retryAfter(x.resp)
+	v, reason := x.classifyStatus()
+	delay := retryAfter(x.resp)
 	message := x.target.Server + " answered " + strconv.Itoa(x.resp.StatusCode())
-	if err := x.readBody(refusalLimit); err != nil {
+	if err := x.readBody(maxRefusalBytes); err != nil {
 		x.abort()
 	} else {
 		body := x.resp.Body()
-		message += ": " + string(body[:min(len(body), messageLimit)])
+		message += ": " + string(body[:min(len(body), maxMessageBytes)])
 		x.finish()
 	}
-	return verdict.New(known, reason, message).After(after)
+	return verdict.New(v, reason, message).After(delay)
 }
 
-// classify gives the verdict of an answer without success.
+// classifyStatus returns the verdict and reason for an unsuccessful answer.
 //
-// Only the upstream itself can say that it did not start a request whose bytes
-// have left; a status alone may have another cause, so it proves nothing.
-func (x *exchange) classify() (verdict.Verdict, verdict.Reason) {
+// Once bytes of a request were sent, only the upstream's statement (X-Not-Started) proves
+// that it did not start the request. A status alone can have other causes and proves
+// nothing.
+func (x *exchange) classifyStatus() (verdict.Verdict, verdict.Reason) {
 	status := x.resp.StatusCode()
 	switch {
 	case x.started:
@@ -208,18 +216,21 @@
 	}
 }
 
+// retryAfter returns the Retry-After of an answer, or 0 if it is missing or not accepted.
 func retryAfter(resp *fasthttp.Response) time.Duration {
 	seconds, err := strconv.Atoi(string(resp.Header.Peek(enginehttp.HeaderRetryAfter)))
-	if err != nil || seconds < 0 || seconds > maxRetryAfter {
+	if err != nil || seconds < 0 || seconds > maxRetryAfterSeconds {
 		return 0
 	}
 	return time.Duration(seconds) * time.Second
 }
 
-// maxRetryAfter bounds a Retry-After that is believed, in seconds.
-const maxRetryAfter = 3600
+// maxRetryAfterSeconds is the largest accepted value of Retry-After in seconds. Larger
+// values are ignored; without the limit, one wrong header could block retries for a very
+// long time.
+const maxRetryAfterSeconds = 3600
 
-// readBody reads the rest of an answer that is not streamed.
+// readBody reads the rest of an answer that is not streamed. limit is in bytes.
 func (x *exchange) readBody(limit int) error {
 	status := x.resp.StatusCode()
 	if x.resp.SkipBody || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified {
@@ -228,11 +239,11 @@
 	if err := x.resp.ReadBody(x.conn.reader, limit); err != nil {
 		return err
 	}
-	if x.resp.Header.ContentLength() != chunked {
+	if x.resp.Header.ContentLength() != chunkedLength {
 		return nil
 	}
 	return x.resp.Header.ReadTrailer(x.conn.reader)
 }
 
-// chunked is the content length that fasthttp reports for a chunked body.
-const chunked = -1
+// chunkedLength is the content length that fasthttp reports for a chunked body.
+const chunkedLength = -1
