--- a/internal/node/search_test.go
+++ b/internal/node/search_test.go
@@ -13,11 +13,11 @@
 	searchActions = flag.Int("search.actions", 400, "actions of each schedule")
 )
 
-// What the caller sees: each request gets one answer, and "not run" is true.
-// Processes pause and wake with old grants in their queues, crash and return as
-// new incarnations, believe wrong things of each other, lose messages, and lose
-// connections to engines before and after the engine started; servers are
-// withdrawn meanwhile. The world compares every run with every verdict.
+// Guards against false verdicts: each request gets one answer, and "not run" is true.
+// Processes pause and resume with old grants in their queues, crash and restart as new
+// incarnations, have wrong views of each other, lose messages, and lose connections to
+// engines before and after the engine started; servers are withdrawn meanwhile. The world
+// compares every run with every verdict.
 func TestNoScheduleContradictsAVerdict(t *testing.T) {
 	steps := 0
 	requests := 0
@@ -30,12 +30,12 @@
 		}
 		w.faults = false
 		clear(w.cut)
-		w.views()
+		w.publishViews()
 		w.Run(15 * time.Second)
 		if left := w.unanswered(); len(left) > 0 {
 			t.Errorf("seed %d: no answer for %v", seed, left)
 		}
-		w.report()
+		w.reportFailures()
 		steps += w.Events()
 		requests += len(w.calls)
 		if t.Failed() {
@@ -56,13 +56,13 @@
 	case 1:
 		w.crash(p)
 	case 2:
-		w.views()
+		w.publishViews()
 	case 3:
 		w.cutLink(p)
 	case 4:
 		w.publishWithdrawal()
 	case 5, 6:
-		w.callerLeaves()
+		w.disconnectCaller()
 	case 7, 8, 9:
 		w.sendAgain(p)
 	default:
@@ -74,16 +74,16 @@
 
 func (w *world) crash(p *proc) {
 	for _, c := range w.calls {
-		if c.at == p && len(c.verdicts) < c.submits {
+		if c.target == p && len(c.verdicts) < c.submits {
 			c.orphaned = true
 		}
 	}
 	p.dead = true
-	p.asleep = 0
+	p.pausedUntil = 0
 	w.After(w.between(time.Millisecond, 2*time.Second), func() {
 		if p.dead {
 			p.boot()
-			w.views()
+			w.publishViews()
 		}
 	})
 }
@@ -96,8 +96,8 @@
 	p.deliver(p.self, func() { p.node.LinkDown(p.clock(), q.name) })
 }
 
-// publishWithdrawal takes a server out of service, or the first back in. Each
-// process that runs learns of it within the time that configuration takes.
+// publishWithdrawal withdraws a server or restores it. Each running process receives the
+// configuration within publishDelay.
 func (w *world) publishWithdrawal() {
 	name := [...]string{"s0", "s1"}[w.rng.IntN(2)]
 	if _, ok := w.withdrawn[name]; ok {
@@ -114,31 +114,31 @@
 	}
 }
 
-// sendAgain repeats an id at the same or another process, as a caller does that
-// saw no answer or a failure. An answer that is still to come is not repeated
-// at the same process: the store of answers gives it the first one's.
+// sendAgain repeats an id at the same or another process, like a caller that received no
+// answer or a failure. An answer that is still pending is not repeated at the same
+// process: there the store of answers returns the first one's.
 func (w *world) sendAgain(p *proc) {
 	if len(w.sent) == 0 || p.dead {
 		return
 	}
 	c := w.sent[w.rng.IntN(len(w.sent))]
-	if c.class == nil || c.at == p && len(c.verdicts) < c.submits {
+	if c.class == nil || c.target == p && len(c.verdicts) < c.submits {
 		return
 	}
 	p.deliver(p.self, func() { w.submit(p, c, c.class.Name) })
 }
 
-func (w *world) callerLeaves() {
+func (w *world) disconnectCaller() {
 	var pick *call
 	latest := monotime.Instant(0)
 	for _, c := range w.calls {
-		if len(c.verdicts) == 0 && c.at.started >= latest && (pick == nil || c.id > pick.id) {
+		if len(c.verdicts) == 0 && c.target.started >= latest && (pick == nil || c.id > pick.id) {
 			pick = c
 		}
 	}
 	if pick == nil {
 		return
 	}
-	p := pick.at
+	p := pick.target
 	p.deliver(p.self, func() { p.node.CallerGone(p.clock(), pick.id) })
 }
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -13,6 +13,7 @@
 	"basilrudder/internal/verdict"
 )
 
+// Retry-After values of refusals that concern the instance, not the request.
 const (
 	retryWhenDraining = time.Second
 	retryWhenNotReady = time.Second
@@ -20,38 +21,38 @@
 	retryWhenFull     = time.Second
 )
 
-// Submit admits a request and returns its number at this node. A refusal is
-// always NotRun, except for an id that was taken before or has expired.
+// Submit admits a request and returns its number at this node. A refusal is always NotRun,
+// except for an id that was used before, has expired or belongs to another process.
 func (n *Node) Submit(now monotime.Instant, in Request) (uint64, *verdict.Error) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	cat := n.catalog.Load()
-	if err := n.admissible(cat); err != nil {
+	if err := n.checkAdmission(cat); err != nil {
 		n.recordRefused(now, in, err)
 		return 0, err
 	}
-	if err := n.claim(now, in); err != nil {
+	if err := n.claimID(now, in); err != nil {
 		n.recordRefused(now, in, err)
 		return 0, err
 	}
-	permitted, err := n.permit(now, in)
+	permitted, err := n.checkLimits(now, in)
 	if err != nil {
 		n.ids.Forget(in.ID)
 		n.recordRefused(now, in, err)
 		return 0, err
 	}
-	r := n.add(now, cat, in)
+	r := n.addRequest(now, cat, in)
 	n.recordStart(now, r)
 	if permitted == limits.Waiting {
-		n.hold(r)
+		n.awaitPermit(r)
 		return r.seq, nil
 	}
-	n.acquire(now, r)
+	n.acquireSlot(now, r)
 	return r.seq, nil
 }
 
-// admissible checks what does not depend on the request.
-func (n *Node) admissible(cat *catalog.Catalog) *verdict.Error {
+// checkAdmission checks the conditions that do not depend on the request.
+func (n *Node) checkAdmission(cat *catalog.Catalog) *verdict.Error {
 	switch {
 	case cat == nil:
 		return verdict.New(verdict.NotRun, verdict.ReasonNotReady,
@@ -69,10 +70,10 @@
 	return nil
 }
 
-// claim takes the id. A repeated request is refused here, at the one process
-// that may ever have started the first: a second instance cannot know, and a
-// later incarnation does not accept the id.
-func (n *Node) claim(now monotime.Instant, in Request) *verdict.Error {
+// claimID claims the request id. A repeated request is refused here, at the only process
+// that may have started the first one: another instance has no record of it, and a later
+// incarnation does not accept the id.
+func (n *Node) claimID(now monotime.Instant, in Request) *verdict.Error {
 	id, err := reqid.Parse(in.ID)
 	if err != nil {
 		return verdict.Wrap(verdict.NotRun, verdict.ReasonBadRequest, err)
@@ -99,7 +100,7 @@
 	}
 }
 
-func (n *Node) add(now monotime.Instant, cat *catalog.Catalog, in Request) *request {
+func (n *Node) addRequest(now monotime.Instant, cat *catalog.Catalog, in Request) *request {
 	n.nextSeq++
 	r := &request{
 		Request: in,
@@ -108,7 +109,7 @@
 		arrived: now,
 	}
 	if in.Class.FirstToken > 0 {
-		r.firstBy = now.Add(in.Class.FirstToken)
+		r.firstTokenBy = now.Add(in.Class.FirstToken)
 	}
 	if in.Class.Deadline > 0 {
 		r.endBy = now.Add(in.Class.Deadline)
@@ -116,44 +117,44 @@
 	n.requests[r.seq] = r
 	n.byID[r.ID] = r
 	n.order.push(r)
-	n.budget.served()
+	n.budget.credit()
 	n.counts.Admitted++
 	return r
 }
 
-// acquire asks the owner of a group for a slot.
-func (n *Node) acquire(now monotime.Instant, r *request) {
+// acquireSlot picks a group and requests a slot from its owner.
+func (n *Node) acquireSlot(now monotime.Instant, r *request) {
 	cat := n.catalog.Load()
 	r.state = stateWaiting
-	r.held = false
-	r.askedAt = now
-	r.group = n.picker.Pick(now, cat, n.askFor(r), n.rng)
+	r.grantDeferred = false
+	r.requestedAt = now
+	r.group = n.picker.Pick(now, cat, n.routeQuery(r), n.rng)
 	if r.group == nil {
 		n.refuse(now, r, verdict.New(verdict.NotRun, verdict.ReasonNoServer,
 			fmt.Sprintf("no server in service offers %s", r.Class.Target)).After(retryWhenNotReady))
 		return
 	}
-	n.ask(now, r)
+	n.requestSlot(now, r)
 }
 
-func (n *Node) askFor(r *request) route.Request {
+func (n *Node) routeQuery(r *request) route.Request {
 	return route.Request{
 		Target:       r.Class.Target,
 		DataCentre:   n.cfg.DataCentre,
 		Tier:         r.tier,
 		Prefix:       r.Prefix,
 		PromptTokens: r.PromptTokens,
-		Skip:         r.skip,
+		Skip:         r.refusedBy,
 	}
 }
 
-// ask sends the acquire for the group already picked.
-func (n *Node) ask(now monotime.Instant, r *request) {
-	r.owner = n.ownerFor(now, r)
-	r.believed = n.beliefOf(now, r)
+// requestSlot requests a slot from the owner of the group already picked.
+func (n *Node) requestSlot(now monotime.Instant, r *request) {
+	r.owner = n.ownerForRequest(now, r)
+	r.estimate = n.waitEstimateOf(now, r)
 	msg := n.acquireMessage(now, r)
 	if r.owner == n.self() {
-		n.submitOwned(now, n.self(), msg)
+		n.onAcquire(now, n.self(), msg)
 		return
 	}
 	n.sendAcquire(now, r.owner, msg)
@@ -168,20 +169,21 @@
 		Tier:         r.tier,
 		PromptTokens: r.PromptTokens,
 		Prefix:       int(r.Prefix),
-		BudgetMS:     budgetMS(now, r.firstBy),
+		BudgetMS:     budgetMS(now, r.firstTokenBy),
 		EndBudgetMS:  budgetMS(now, r.endBy),
-		Avoid:        r.avoid,
-		HoldMS:       n.holdMS(r),
+		Avoid:        r.avoidEngine,
+		HoldMS:       n.expectedHoldMS(r),
 	}
 }
 
-// holdMS is how long requests of the class hold a slot, as this node measured.
-func (n *Node) holdMS(r *request) int {
+// expectedHoldMS returns how long requests of the class hold a slot, as measured by this
+// node.
+func (n *Node) expectedHoldMS(r *request) int {
 	return int(n.measures.ExpectedHold(r.Class) / time.Millisecond)
 }
 
-// budgetMS turns an instant into the time left, since instants of two processes
-// cannot be compared. A budget used up is sent as 1, for 0 means none.
+// budgetMS returns the time left until an instant, since instants of two processes cannot
+// be compared. An exhausted budget is sent as 1, because 0 means none.
 func budgetMS(now, by monotime.Instant) int {
 	if by == 0 {
 		return 0
@@ -189,19 +191,19 @@
 	return max(int(by.Sub(now)/time.Millisecond), 1)
 }
 
-// reroute asks again for the waiting requests that match.
+// reroute withdraws the waiting requests that match and requests slots for them again.
 func (n *Node) reroute(now monotime.Instant, match func(*request) bool) {
-	n.eachWaiting(match, func(r *request) {
+	n.forEachWaiting(match, func(r *request) {
 		n.withdraw(now, r)
-		n.acquire(now, r)
+		n.acquireSlot(now, r)
 	})
 }
 
-// eachWaiting calls do for the waiting requests that match. It looks at the
-// state again before each call: taking one request back can free a slot of a
-// group owned here, which starts another of the list at that moment. Asking
-// for that one again would let it run twice and be told "not run".
-func (n *Node) eachWaiting(match func(*request) bool, do func(*request)) {
+// forEachWaiting calls do for the waiting requests that match. It checks the state again
+// before each call, because withdrawing one request can free a slot of a group owned here
+// and so start another request of the list. Requesting a slot for that one again would let
+// it run twice and be answered "not run".
+func (n *Node) forEachWaiting(match func(*request) bool, do func(*request)) {
 	var list []*request
 	for r := n.order.head; r != nil; r = r.next {
 		if r.state == stateWaiting && match(r) {
@@ -215,24 +217,24 @@
 	}
 }
 
-// misowned reports a waiting request whose group has another owner by now.
-func (n *Node) misowned(r *request) bool {
+// ownerChanged reports whether the group of the request has another owner now.
+func (n *Node) ownerChanged(r *request) bool {
 	return r.group != nil && n.ownerOf(r.group) != r.owner
 }
 
-// stale reports a waiting request whose group left the configuration.
-func (n *Node) stale(r *request) bool {
+// groupRemoved reports whether the group of the request is no longer in the configuration.
+func (n *Node) groupRemoved(r *request) bool {
 	return r.group != nil && n.catalog.Load().Groups[r.group.Name] == nil
 }
 
-// withdraw takes back what was asked of the owner.
+// withdraw withdraws the request from its owner.
 func (n *Node) withdraw(now monotime.Instant, r *request) {
 	if r.group == nil {
 		return
 	}
 	msg := wire.Withdraw{Seq: int(r.seq), Group: r.group.Name}
 	if r.owner == n.self() {
-		n.withdrawOwned(now, n.self(), msg)
+		n.onWithdraw(now, n.self(), msg)
 		return
 	}
 	n.eff.Send(r.owner, &wire.Envelope{Withdraws: []wire.Withdraw{msg}})
