--- a/internal/crashes/crashes.go
+++ b/internal/crashes/crashes.go
@@ -18,9 +18,9 @@
 	// number would refuse more requests that merely ran on a server that crashed; a
 	// higher one costs more servers.
 	poisonCrashes = 3
-	// servedValidity is how long a run without a crash exonerates a request. If it never
+	// exonerationTTL is how long a run without a crash exonerates a request. If it never
 	// expired, a request that ran once would never be suspected again.
-	servedValidity = time.Minute
+	exonerationTTL = time.Minute
 	// Retention is how long an absent request is tracked. Older crashes are ignored.
 	Retention = 10 * time.Minute
 	// MaxPerCustomer bounds the tracked requests of one customer, and maxRequests those
@@ -49,8 +49,8 @@
 	customer string
 	// crashes holds when each server ended, by its id.
 	crashes map[string]monotime.Instant
-	// servedAt is when it last ran without a crash; 0 for never.
-	servedAt monotime.Instant
+	// survivedAt is when it last ran without a crash; 0 for never.
+	survivedAt monotime.Instant
 	// seenAt is when it last arrived or crashed a server.
 	seenAt monotime.Instant
 }
@@ -92,16 +92,16 @@
 	return true, s.poison()
 }
 
-// Served records that a request ran without crashing its server. It reports whether this
+// Survived records that a request ran without crashing its server. It reports whether this
 // should be sent to peers: the request is tracked, and its last such run is none or more
 // than half of servedValidity before.
-func (t *Tracker) Served(request Fingerprint, at monotime.Instant) bool {
+func (t *Tracker) Survived(request Fingerprint, at monotime.Instant) bool {
 	s := t.requests[request]
-	if s == nil || at <= s.servedAt {
+	if s == nil || at <= s.survivedAt {
 		return false
 	}
-	isNew := at.Sub(s.servedAt) > servedValidity/2 || s.servedAt == 0
-	s.servedAt = at
+	isNew := at.Sub(s.survivedAt) > exonerationTTL/2 || s.survivedAt == 0
+	s.survivedAt = at
 	for server, ended := range s.crashes {
 		if s.exonerates(ended) {
 			delete(s.crashes, server)
@@ -113,7 +113,7 @@
 // exonerates reports whether a run without a crash shows that a crash was not caused by
 // the request.
 func (s *requestState) exonerates(crashedAt monotime.Instant) bool {
-	return s.servedAt != 0 && crashedAt.Sub(s.servedAt) <= servedValidity
+	return s.survivedAt != 0 && crashedAt.Sub(s.survivedAt) <= exonerationTTL
 }
 
 // Poison reports whether an arriving request is poison.
@@ -138,12 +138,12 @@
 	return out
 }
 
-// ServedAt returns the tracked requests that ran without a crash, and when they last did.
-func (t *Tracker) ServedAt() map[Fingerprint]monotime.Instant {
+// SurvivedAt returns the tracked requests that ran without a crash, and when they last did.
+func (t *Tracker) SurvivedAt() map[Fingerprint]monotime.Instant {
 	out := make(map[Fingerprint]monotime.Instant)
 	for request, s := range t.requests {
-		if s.servedAt != 0 {
-			out[request] = s.servedAt
+		if s.survivedAt != 0 {
+			out[request] = s.survivedAt
 		}
 	}
 	return out
--- a/internal/crashes/crashes_test.go
+++ b/internal/crashes/crashes_test.go
@@ -49,8 +49,8 @@
 	}{
 		"in between":   {500 * time.Millisecond, false},
 		"afterwards":   {5 * time.Second, false},
-		"long before":  {-2 * servedValidity, true},
-		"shortly ago":  {-servedValidity / 2, false},
+		"long before":  {-2 * exonerationTTL, true},
+		"shortly ago":  {-exonerationTTL / 2, false},
 		"at the first": {-time.Second, false},
 	} {
 		b := NewTracker()
@@ -58,7 +58,7 @@
 			at := start.Add(time.Duration(n-1) * time.Second)
 			b.Add(crash(1, "a", fmt.Sprint("s", n), at), at)
 		}
-		b.Served(fingerprint(1), start.Add(c.served))
+		b.Survived(fingerprint(1), start.Add(c.served))
 		if got := b.Poison(fingerprint(1), start.Add(6*time.Second)); got != c.poison {
 			t.Errorf("served %s: poison %v", name, got)
 		}
@@ -137,11 +137,11 @@
 		if !b.Poison(fingerprint(1), at) {
 			t.Fatalf("not poison in round %d", round)
 		}
-		b.Served(fingerprint(1), at)
+		b.Survived(fingerprint(1), at)
 		if b.Poison(fingerprint(1), at) {
 			t.Fatalf("poison although it ran in round %d", round)
 		}
-		at = at.Add(servedValidity + time.Second)
+		at = at.Add(exonerationTTL + time.Second)
 	}
 }
 
@@ -249,7 +249,7 @@
 					left = append(left, r)
 				case now >= r.until:
 					if attribution.served {
-						b.Served(fingerprint(r.request), now)
+						b.Survived(fingerprint(r.request), now)
 					}
 				default:
 					left = append(left, r)
--- a/internal/daemon/orders_test.go
+++ b/internal/daemon/orders_test.go
@@ -50,7 +50,7 @@
 	b.orderer = newOrderer("a", b.node, upstream.New(upstream.Config{}), &b.tasks, zap.NewNop())
 	b.orderer.send = func(string, *wire.Envelope) {}
 	b.install(1)
-	b.node.SetView(b.now, &membership.View{Confirmed: true, Live: []membership.Member{{ID: "a"}}, Known: 1})
+	b.node.SetView(b.now, &membership.View{Confirmed: true, Live: []membership.Member{{ID: "a"}}, MemberCount: 1})
 	b.node.Confirm(b.now, b.now)
 	t.Cleanup(b.server.Close)
 	return b
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -107,7 +107,7 @@
 	belief := d.instance.Status(now)
 	return MemberCounts{
 		Version:      belief.View.Version,
-		Known:        belief.View.Known,
+		Known:        belief.View.MemberCount,
 		LiveCount:    len(belief.View.Live),
 		LeavingCount: len(belief.View.Leaving),
 		Confirmed:    belief.View.Confirmed,
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -33,10 +33,10 @@
 		}
 	}
 	number := 0
-	take := func(news wire.RelayNews) {
+	receive := func(update wire.RelayNews) {
 		number++
-		news.Origin, news.Number = "peer", number
-		data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{news}})
+		update.Origin, update.Number = "peer", number
+		data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{update}})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -47,14 +47,14 @@
 		p.Envelope("peer", env)
 	}
 	for n := range engines * each {
-		take(wire.RelayNews{Begun: []wire.RelayRun{begin(n)}})
+		receive(wire.RelayNews{Begun: []wire.RelayRun{begin(n)}})
 	}
 	n := engines * each
 	b.ReportAllocs()
 	for b.Loop() {
-		take(wire.RelayNews{Begun: []wire.RelayRun{begin(n)}})
-		take(wire.RelayNews{First: []int{n}})
-		take(wire.RelayNews{Ended: []int{n - engines*each}})
+		receive(wire.RelayNews{Begun: []wire.RelayRun{begin(n)}})
+		receive(wire.RelayNews{First: []int{n}})
+		receive(wire.RelayNews{Ended: []int{n - engines*each}})
 		n++
 	}
 }
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -21,22 +21,22 @@
 	log     *zap.Logger
 	updates *updateBatcher
 
-	// suspects is the number of requests in the book. While it is zero, requests need
+	// suspectedCount is the number of requests in the book. While it is zero, requests need
 	// neither a fingerprint nor the lock.
-	suspects atomic.Int64
+	suspectedCount atomic.Int64
 	// refused counts requests that were not sent on.
 	refused atomic.Int64
 
-	mu   sync.Mutex
-	book *crashes.Tracker
+	mu      sync.Mutex
+	tracker *crashes.Tracker
 }
 
 func newCrashTracker(updates *updateBatcher, log *zap.Logger) *crashTracker {
-	return &crashTracker{log: log, updates: updates, book: crashes.NewTracker()}
+	return &crashTracker{log: log, updates: updates, tracker: crashes.NewTracker()}
 }
 
 // Suspects implements relay.Fleet.
-func (f *fleet) AnySuspected() bool { return f.crashes.suspects.Load() > 0 }
+func (f *fleet) AnySuspected() bool { return f.crashes.suspectedCount.Load() > 0 }
 
 // Culprit implements relay.Fleet.
 func (f *fleet) IsPoison(request crashes.Fingerprint, now monotime.Instant) bool {
@@ -50,13 +50,13 @@
 
 // Survived implements relay.Fleet.
 func (f *fleet) Survived(request crashes.Fingerprint, now monotime.Instant) {
-	f.crashes.broadcast(f.crashes.addServed(request, now, now))
+	f.crashes.broadcast(f.crashes.addSurvived(request, now, now))
 }
 
 func (c *crashTracker) isPoison(request crashes.Fingerprint, now monotime.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	found := c.book.Poison(request, now)
+	found := c.tracker.Poison(request, now)
 	if found {
 		c.refused.Add(1)
 	}
@@ -68,7 +68,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, crash := range list {
-		fresh, poison := c.book.Add(crash, now)
+		fresh, poison := c.tracker.Add(crash, now)
 		if !fresh {
 			continue
 		}
@@ -78,16 +78,16 @@
 				zap.String("customer", crash.Customer), zap.String("server", crash.Server), zap.Duration("age_ms", now.Sub(crash.At)))
 		}
 	}
-	c.suspects.Store(int64(c.book.Len()))
+	c.suspectedCount.Store(int64(c.tracker.Len()))
 	return added
 }
 
-// addServed records a run that ended without a crash. It returns the run if peers are to
+// addSurvived records a run that ended without a crash. It returns the run if peers are to
 // be informed: the request is in the book, and no recent run of it was recorded.
-func (c *crashTracker) addServed(request crashes.Fingerprint, at, now monotime.Instant) []wire.RelayCrash {
+func (c *crashTracker) addSurvived(request crashes.Fingerprint, at, now monotime.Instant) []wire.RelayCrash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.book.Served(request, at) {
+	if !c.tracker.Survived(request, at) {
 		return nil
 	}
 	return []wire.RelayCrash{{Request: request[:], AgeMS: ageMS(at, now)}}
@@ -102,27 +102,27 @@
 
 // expire removes requests that have not occurred for a long time.
 func (c *crashTracker) expire(now monotime.Instant) {
-	if c.suspects.Load() == 0 {
+	if c.suspectedCount.Load() == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Expire(now)
-	c.suspects.Store(int64(c.book.Len()))
+	c.tracker.Expire(now)
+	c.suspectedCount.Store(int64(c.tracker.Len()))
 }
 
 // encodeAll returns all recorded crashes and runs without a crash, for a peer that may
 // have missed some.
 func (c *crashTracker) encodeAll(now monotime.Instant) (out []wire.RelayCrash) {
-	if c.suspects.Load() == 0 {
+	if c.suspectedCount.Load() == 0 {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, crash := range c.book.Crashes() {
+	for _, crash := range c.tracker.Crashes() {
 		out = append(out, encodeCrash(crash, now))
 	}
-	for request, at := range c.book.ServedAt() {
+	for request, at := range c.tracker.SurvivedAt() {
 		out = append(out, wire.RelayCrash{Request: request[:], AgeMS: ageMS(at, now)})
 	}
 	return out
@@ -138,7 +138,7 @@
 		case !ok:
 			c.log.Warn("crash_unreadable", zap.String("from", from), zap.Int("bytes", len(t.Request)), zap.Int("age_ms", t.AgeMS))
 		case crash.Server == "":
-			fresh = append(fresh, c.addServed(crash.Request, crash.At, now)...)
+			fresh = append(fresh, c.addSurvived(crash.Request, crash.At, now)...)
 		default:
 			list = append(list, crash)
 		}
@@ -178,13 +178,13 @@
 
 // crashMetrics is the state of poison request detection in the metrics.
 type crashMetrics struct {
-	Suspects       int   `json:"suspects"`
-	PoisonRequests int   `json:"culprits"`
-	Refused        int64 `json:"refused"`
+	SuspectedRequests int   `json:"suspects"`
+	PoisonRequests    int   `json:"culprits"`
+	Refused           int64 `json:"refused"`
 }
 
 func (c *crashTracker) metrics() crashMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return crashMetrics{Suspects: c.book.Len(), PoisonRequests: c.book.PoisonCount(), Refused: c.refused.Load()}
+	return crashMetrics{SuspectedRequests: c.tracker.Len(), PoisonRequests: c.tracker.PoisonCount(), Refused: c.refused.Load()}
 }
--- a/internal/gateway/era_test.go
+++ b/internal/gateway/era_test.go
@@ -24,7 +24,7 @@
 
 // readerAndFollower returns an instance that reads the store, and one that receives its
 // updates.
-func readerAndFollower() (reader *fleet, fd *feed, follower *fleet) {
+func readerAndFollower() (reader *fleet, fd *storeSync, follower *fleet) {
 	reader, fd, _ = newFleet()
 	follower, _, _ = newFleet()
 	reader.updates.send = deliverUpdatesTo(follower)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -27,14 +27,14 @@
 	board  *placement.Board
 	budget *retryBudget
 	// throttle limits what this instance sends to servers that sustain few requests.
-	throttle *throttle.Limiter
-	outages  *outageDetector
-	crashes  *crashTracker
-	regions  regions
-	members  func() int // instances tracked, including this one
-	confirm  func(ctx context.Context) bool
-	publish  func(config *routing.Config) // offers it to the peers
-	updates  *updateBatcher
+	throttle    *throttle.Limiter
+	outages     *outageDetector
+	crashes     *crashTracker
+	regions     regions
+	memberCount func() int // instances tracked, including this one
+	confirm     func(ctx context.Context) bool
+	publish     func(config *routing.Config) // offers it to the peers
+	updates     *updateBatcher
 
 	table atomic.Pointer[routing.Table]
 	// confirmedByStore is when the store last answered this instance, as a
@@ -50,9 +50,9 @@
 
 	// digest is the digest of the registry, shifted right to fit a non-negative int.
 	digest atomic.Int64
-	// limitedCount is the number of servers that advertise a limit. While it is zero,
+	// rateLimitedCount is the number of servers that advertise a limit. While it is zero,
 	// answers that carry no notice take no lock.
-	limitedCount atomic.Int64
+	rateLimitedCount atomic.Int64
 
 	mu       sync.Mutex // guards registry, byService, sources
 	registry *servers.Registry
@@ -207,7 +207,7 @@
 
 // Spend implements relay.Fleet.
 func (f *fleet) Spend(service string, now monotime.Instant) bool {
-	ok := f.budget.spend(service, now, f.members())
+	ok := f.budget.spend(service, now, f.memberCount())
 	if !ok {
 		f.log.Info("retry_budget_spent", zap.String("service", service))
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -99,12 +99,12 @@
 
 // Gateway is one instance that relays requests.
 type Gateway struct {
-	cfg   Config
-	fleet *fleet
-	feed  *feed
-	peers *peers
-	relay *relay.Relay
-	stats *relay.Metrics
+	cfg       Config
+	fleet     *fleet
+	storeSync *storeSync
+	peers     *peers
+	relay     *relay.Relay
+	stats     *relay.Metrics
 
 	leaving  atomic.Bool
 	isolated atomic.Bool
@@ -141,7 +141,7 @@
 	g.fleet.crashes = newCrashTracker(g.fleet.updates, cfg.Log)
 	g.fleet.resetConfirmations()
 	g.fleet.board.SetCostJitter(placementJitter(0, 1))
-	g.feed = &feed{
+	g.storeSync = &storeSync{
 		source: cfg.Source, fleet: g.fleet, log: cfg.Log,
 		minWatch: milliseconds(s.Store.WatchMS), answerTimeout: milliseconds(s.Store.TimeoutMS),
 		confirming: make(chan struct{}, 1),
@@ -151,10 +151,10 @@
 		CallerAddress: s.Listen.Callers, PeerAddress: s.Listen.Peers,
 		Capacity: int(s.Instance.Processor * capacityPerCore),
 	}, s.Peers.Seeds, g.fleet, cfg.Log)
-	g.fleet.members = g.peers.count
-	g.fleet.confirm = g.feed.confirm
+	g.fleet.memberCount = g.peers.memberCount
+	g.fleet.confirm = g.storeSync.confirm
 	g.fleet.publish = g.peers.configs.publish
-	g.feed.rank, g.feed.hasHub = g.peers.rank, g.peers.hasHub
+	g.storeSync.rank, g.storeSync.hasHub = g.peers.rank, g.peers.hasHub
 	g.connectUpdates()
 	g.relay = relay.New(relay.Config{
 		Fleet: g.fleet, Protocol: cfg.Protocol, Log: cfg.Log, Metrics: g.stats,
@@ -192,7 +192,7 @@
 	tasks.Go(func() error { return serveUntilCancelled(work, listeners.directory, g.cfg.Directory(g)) })
 	tasks.Go(func() error { return serveUntilCancelled(work, listeners.metrics, g.metrics) })
 	tasks.Go(func() error { return g.peers.links.Run(work) })
-	tasks.Go(func() error { return g.feed.run(work) })
+	tasks.Go(func() error { return g.storeSync.run(work) })
 	tasks.Go(func() error { return g.fleet.updates.run(work) })
 	tasks.Go(func() error { return g.runPeriodic(work) })
 	tasks.Go(func() error { return g.discoverCaches(work) })
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -93,18 +93,18 @@
 }
 
 // newFleet returns a fleet without links, its feed, and the source of the feed.
-func newFleet() (*fleet, *feed, *fakeSource) {
+func newFleet() (*fleet, *storeSync, *fakeSource) {
 	source := &fakeSource{}
 	f := &fleet{
 		self: "me", log: zap.NewNop(), board: placement.NewBoard(pace.DefaultPrior, "here"),
-		budget: newRetryBudget(0.2, 56, 10*time.Second), members: func() int { return 8 },
+		budget: newRetryBudget(0.2, 56, 10*time.Second), memberCount: func() int { return 8 },
 		registry: servers.New(), updates: newUpdateBatcher(),
 		throttle: throttle.New("me", monotime.Now()),
 		outages:  newOutageDetector(), publish: func(*routing.Config) {},
 	}
 	f.crashes = newCrashTracker(f.updates, f.log)
 	f.resetConfirmations()
-	fd := &feed{source: source, fleet: f, log: zap.NewNop(), minWatch: time.Second, answerTimeout: 500 * time.Millisecond, confirming: make(chan struct{}, 1), rank: func() (int, int) { return 0, 1 }, hasHub: func() bool { return false }}
+	fd := &storeSync{source: source, fleet: f, log: zap.NewNop(), minWatch: time.Second, answerTimeout: 500 * time.Millisecond, confirming: make(chan struct{}, 1), rank: func() (int, int) { return 0, 1 }, hasHub: func() bool { return false }}
 	return f, fd, source
 }
 
@@ -285,7 +285,7 @@
 func TestConnectionsAreSharedOut(t *testing.T) {
 	f, _, _ := newFleet()
 	for _, c := range []struct{ most, members, want int }{{370, 8, 46}, {110, 8, 13}, {10, 59, minConnections}, {0, 8, 0}} {
-		f.members = func() int { return c.members }
+		f.memberCount = func() int { return c.members }
 		if got := f.connectionShare(c.most); got != c.want {
 			t.Errorf("share of %d among %d: %d, want %d", c.most, c.members, got, c.want)
 		}
@@ -427,7 +427,7 @@
 			})
 			other := map[string]string{"a": "b", "b": "a"}[name]
 			p := linkedPeers(f, name, wire.RelayMember{ID: other})
-			gateways[name] = &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, feed: fd, peers: p}
+			gateways[name] = &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, storeSync: fd, peers: p}
 		}
 		for _, g := range gateways {
 			if err := g.discoverCaches(t.Context()); err != nil {
@@ -463,7 +463,7 @@
 			reader.parts[s.Address] = []placement.Part{part}
 			put(f, fromStore, s)
 		}
-		g := &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, feed: fd, peers: linkedPeers(f, "me")}
+		g := &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, storeSync: fd, peers: linkedPeers(f, "me")}
 		g.peers.applyCaches(&wire.RelayNews{Caches: []wire.RelayCache{{Server: "e1", Parts: encodeParts([]placement.Part{part})}}})
 		if g.peers.cacheUpdates(f.cacheStates())[0].CachesWhole {
 			t.Error("reports complete caches after a partial update")
--- a/internal/gateway/limited_test.go
+++ b/internal/gateway/limited_test.go
@@ -255,7 +255,7 @@
 		}
 		damaged[0].Rate, damaged[0].LimitAge, damaged[0].Limited = 0, math.MaxInt, false
 		p.applyServers("peer", damaged, 0)
-		if got := f.limitedServers(); len(got) != 1 {
+		if got := f.rateLimitedServers(); len(got) != 1 {
 			t.Error("after damaged limits", got)
 		}
 
@@ -263,7 +263,7 @@
 		time.Sleep(time.Second)
 		informed.ApplyNotice("a", servers.Notice{}, sent, monotime.Now())
 		p.applyServers("peer", informed.allServers(), 0)
-		if got := f.limitedServers(); len(got) != 0 {
+		if got := f.rateLimitedServers(); len(got) != 0 {
 			t.Error("after its end", got)
 		}
 	})
--- a/internal/gateway/links_test.go
+++ b/internal/gateway/links_test.go
@@ -102,7 +102,7 @@
 			t.Fatal(err)
 		}
 		p.links = links
-		f.members, f.publish = p.count, p.configs.publish
+		f.memberCount, f.publish = p.memberCount, p.configs.publish
 		f.updates.batchDelay, f.updates.due, f.updates.send, f.updates.fillStatus = p.batchDelay, p.due, p.broadcast, f.fillStatus
 		tasks.Go(func() error { return links.Run(ctx) })
 		tasks.Go(func() error { return f.updates.run(ctx) })
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -17,7 +17,7 @@
 	if notice.Pause > 0 {
 		f.pauseServer(server, notice.Pause, now)
 	}
-	if !notice.Leaving && !notice.Limited && f.limitedCount.Load() == 0 {
+	if !notice.Leaving && !notice.Limited && f.rateLimitedCount.Load() == 0 {
 		return
 	}
 	f.changeServers(fromServer, func(r *servers.Registry, _ monotime.Instant) []string {
@@ -38,14 +38,14 @@
 	f.log.Info("server_paused", zap.String("server", server), zap.Duration("for_ms", lasts))
 }
 
-// limitedServers returns the ids of the servers that advertise a limit.
-func (f *fleet) limitedServers() []string {
+// rateLimitedServers returns the ids of the servers that advertise a limit.
+func (f *fleet) rateLimitedServers() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.registry.Limited()
+	return f.registry.RateLimited()
 }
 
-func encodeLimit(state *wire.RelayServer, b servers.RateLimit, now monotime.Instant) {
+func encodeRateLimit(state *wire.RelayServer, b servers.RateLimit, now monotime.Instant) {
 	if b.At == 0 {
 		return
 	}
@@ -56,9 +56,9 @@
 // maxLimitAge bounds the age of a limit that a peer sent: a damaged age could overflow.
 const maxLimitAge = time.Hour
 
-// decodeLimit decodes a limit that a peer sent. A damaged value yields no limit: neither
+// decodeRateLimit decodes a limit that a peer sent. A damaged value yields no limit: neither
 // a rate that cannot be applied, nor a limit that would count as newer than later ones.
-func decodeLimit(state *wire.RelayServer, now monotime.Instant) servers.RateLimit {
+func decodeRateLimit(state *wire.RelayServer, now monotime.Instant) servers.RateLimit {
 	rateValid := state.Rate >= 0 && !math.IsInf(state.Rate, 1)
 	if state.LimitAge <= 0 || !rateValid {
 		return servers.RateLimit{}
--- a/internal/gateway/paces.go
+++ b/internal/gateway/paces.go
@@ -27,7 +27,7 @@
 
 // sendPaceStats sends this instance's statistics of engine pace to the others, when due.
 func (g *Gateway) sendPaceStats(now monotime.Instant) {
-	interval := max(paceStatsInterval, time.Duration(g.peers.count())*paceStatsPerPeer)
+	interval := max(paceStatsInterval, time.Duration(g.peers.memberCount())*paceStatsPerPeer)
 	if g.fleet.board.MinPaceSamples() < fewSamples {
 		interval = earlyPaceStatsInterval
 	}
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -105,7 +105,7 @@
 	p.log.Info("peer_lost", zap.String("peer", id), eventlog.Cause(err))
 	// At once, before the links decide what to dial: this side would reopen, for good, a
 	// link that the peer dropped because it is not needed.
-	p.updateWantedLinks(now)
+	p.updateLinkTargets(now)
 	p.scheduleRefresh()
 }
 
@@ -156,18 +156,18 @@
 	if effects.RequestMembersFrom != "" {
 		p.links.Send(effects.RequestMembersFrom, &wire.Envelope{News: []wire.RelayNews{{MembersWanted: true}}})
 	}
-	p.updateWantedLinks(now)
+	p.updateLinkTargets(now)
 	if p.node.LinksChanged() {
 		p.fleet.updates.scheduleFlush()
 	}
 	p.logRole(now)
 }
 
-// updateWantedLinks sets the links to keep or to open. mu is held.
-func (p *peers) updateWantedLinks(now monotime.Instant) {
-	wanted := p.node.LinkTargets(now)
-	targets := make([]peer.Target, 0, len(wanted))
-	for _, t := range wanted {
+// updateLinkTargets sets the links to keep or to open. mu is held.
+func (p *peers) updateLinkTargets(now monotime.Instant) {
+	needed := p.node.LinkTargets(now)
+	targets := make([]peer.Target, 0, len(needed))
+	for _, t := range needed {
 		targets = append(targets, peer.Target{ID: t.ID, Address: t.Address})
 	}
 	p.links.SetWanted(targets)
@@ -318,9 +318,9 @@
 	return p.node.Primary() != ""
 }
 
-// count returns the number of instances that can be reached or could be recently,
+// memberCount returns the number of instances that can be reached or could be recently,
 // including this one.
-func (p *peers) count() int {
+func (p *peers) memberCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.node.MemberCount()
--- a/internal/gateway/periodic.go
+++ b/internal/gateway/periodic.go
@@ -50,7 +50,7 @@
 		g.checkIsolation()
 		g.sendPaceStats(monotime.Now())
 		g.peers.tick(monotime.Now())
-		instances := g.peers.count()
+		instances := g.peers.memberCount()
 		g.fleet.board.SetPeers(instances-1, g.peers.staleness())
 		g.fleet.board.SetCostJitter(placementJitter(monotime.Now().Sub(g.started), instances))
 		if n%ticksPerSweep == 0 {
@@ -66,10 +66,10 @@
 // nor a linked peer: it is probably disconnected from servers too, and callers are better
 // served elsewhere.
 func (g *Gateway) checkIsolation() {
-	silent := monotime.Now().Sub(monotime.Instant(g.fleet.confirmedByStore.Load()))
-	isolated := silent > isolatedAfter && len(g.peers.linked()) == 0 && g.peers.count() > 1
+	sinceConfirmed := monotime.Now().Sub(monotime.Instant(g.fleet.confirmedByStore.Load()))
+	isolated := sinceConfirmed > isolatedAfter && len(g.peers.linked()) == 0 && g.peers.memberCount() > 1
 	if g.isolated.Swap(isolated) != isolated {
-		g.cfg.Log.Warn("isolation_changed", zap.Bool("isolated", isolated), zap.Duration("store_silent_ms", silent))
+		g.cfg.Log.Warn("isolation_changed", zap.Bool("isolated", isolated), zap.Duration("store_silent_ms", sinceConfirmed))
 	}
 }
 
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -23,12 +23,12 @@
 	f.mu.Lock()
 	list, sources := f.byService[service], f.sources[service]
 	f.mu.Unlock()
-	candidates, throttled := f.candidates(list, published, &work, excluded, now)
-	if len(candidates) == 0 && throttled {
+	candidates, atLimit := f.candidates(list, published, &work, excluded, now)
+	if len(candidates) == 0 && atLimit {
 		return relay.Target{}, placement.AllLimited
 	}
 	for _, s := range sources {
-		if !f.regions.allow(work.Homes, s.DataCentre) {
+		if !f.regions.allow(work.AllowedRegions, s.DataCentre) {
 			continue
 		}
 		source := candidate(s, published)
@@ -91,20 +91,20 @@
 
 // candidates returns the servers of a list that a request may go to now, and whether some
 // are left out because they are at their limit.
-func (f *fleet) candidates(list []servers.Server, service *routing.Service, work *placement.Work, excluded map[string]bool, now monotime.Instant) (out []placement.Candidate, throttled bool) {
+func (f *fleet) candidates(list []servers.Server, service *routing.Service, work *placement.Work, excluded map[string]bool, now monotime.Instant) (out []placement.Candidate, atLimit bool) {
 	request := f.limiterRequest(service.Name, work, now)
-	request.AllLimited = f.allThrottled(list, request, now)
+	request.AllLimited = f.allLimited(list, request, now)
 	out = make([]placement.Candidate, 0, len(list))
 	for _, s := range list {
 		switch {
-		case excluded[s.ID], !f.regions.allow(work.Homes, s.DataCentre):
+		case excluded[s.ID], !f.regions.allow(work.AllowedRegions, s.DataCentre):
 		case !f.throttle.Allows(s.ID, request, now):
-			throttled = true
+			atLimit = true
 		default:
 			out = append(out, candidate(s, service))
 		}
 	}
-	return out, throttled
+	return out, atLimit
 }
 
 // limiterRequest returns what the limiter is asked for a request.
@@ -139,10 +139,10 @@
 	return out
 }
 
-// allThrottled reports whether each server of a list has a limit now.
-func (f *fleet) allThrottled(list []servers.Server, ask throttle.Request, now monotime.Instant) bool {
+// allLimited reports whether each server of a list has a limit now.
+func (f *fleet) allLimited(list []servers.Server, request throttle.Request, now monotime.Instant) bool {
 	for _, s := range list {
-		if !f.throttle.Limited(s.ID, ask, now) {
+		if !f.throttle.Limited(s.ID, request, now) {
 			return false
 		}
 	}
@@ -159,7 +159,7 @@
 	if maxConns <= 0 {
 		return 0
 	}
-	return max(minConnections, maxConns/max(1, f.members()))
+	return max(minConnections, maxConns/max(1, f.memberCount()))
 }
 
 func candidate(s servers.Server, service *routing.Service) placement.Candidate {
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -20,10 +20,10 @@
 // allow reports whether a request that must stay in some regions may go to a data centre.
 // A nil list allows all. A data centre without a configured region is in none: a refused
 // caller can retry, but data that has left its region cannot be recalled.
-func (r regions) allow(homes []string, dataCentre string) bool {
-	if homes == nil {
+func (r regions) allow(allowed []string, dataCentre string) bool {
+	if allowed == nil {
 		return true
 	}
-	region, known := r[dataCentre]
-	return known && slices.Contains(homes, region)
+	region, configured := r[dataCentre]
+	return configured && slices.Contains(allowed, region)
 }
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -40,7 +40,7 @@
 		{"both in common", routing.AllowedRegions(&routing.Route{AllowedRegions: []string{"north", "south"}}, &routing.Customer{AllowedRegions: []string{"south"}}), nil, "b"},
 		{"customer alone", routing.AllowedRegions(&routing.Route{}, &routing.Customer{AllowedRegions: []string{"south"}}), nil, "b"},
 	} {
-		target, refusal := f.Place("svc", placement.Work{Homes: c.homes}, c.excluded, monotime.Now())
+		target, refusal := f.Place("svc", placement.Work{AllowedRegions: c.homes}, c.excluded, monotime.Now())
 		if target.ID != c.want || (refusal == placement.Chosen) != (c.want != "") {
 			t.Errorf("%s: %q %v", c.name, target.ID, refusal)
 		}
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -46,7 +46,7 @@
 	put(f, fromStore, former)
 	target, _ := f.Place("llm", work, nil, monotime.Now())
 	run, _ := f.Begin(target, work, monotime.Now())
-	f.First(run, monotime.Now())
+	f.FirstEvent(run, monotime.Now())
 	f.End(run, monotime.Now())
 	if again, _ := f.Place("llm", work, nil, monotime.Now()); again.Choice.Unread != 0 {
 		t.Fatalf("the engine does not count as keeping the prompt: %+v", again.Choice)
--- a/internal/gateway/restore_test.go
+++ b/internal/gateway/restore_test.go
@@ -132,7 +132,7 @@
 				})
 				fleet := startLinked(t, ctx, &tasks, size)
 				for _, i := range fleet {
-					fd := &feed{
+					fd := &storeSync{
 						source: store, fleet: i.fleet, log: i.fleet.log, minWatch: 1100 * time.Millisecond, answerTimeout: 600 * time.Millisecond,
 						confirming: make(chan struct{}, 1), rank: i.peers.rank, hasHub: i.peers.hasHub,
 					}
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -25,8 +25,8 @@
 	return number, true
 }
 
-// First implements relay.Fleet.
-func (f *fleet) First(run int, now monotime.Instant) {
+// FirstEvent implements relay.Fleet.
+func (f *fleet) FirstEvent(run int, now monotime.Instant) {
 	f.board.OwnFirstEvent(placement.RunID{Instance: f.self, Number: run}, now)
 	f.updates.addFirst(run)
 }
@@ -43,7 +43,7 @@
 }
 
 // Standing implements relay.Fleet.
-func (f *fleet) QueueState(run int, now monotime.Instant) placement.QueueStatus {
+func (f *fleet) QueueStatus(run int, now monotime.Instant) placement.QueueStatus {
 	return f.board.QueueStatus(placement.RunID{Instance: f.self, Number: run}, now)
 }
 
--- a/internal/gateway/serverstate.go
+++ b/internal/gateway/serverstate.go
@@ -33,7 +33,7 @@
 		Slots: s.Slots, Draining: s.Draining, Invalid: s.Invalid, Revision: int(s.Revision),
 		ColdMS: int(max(0, f.registry.ColdUntil(id).Sub(now)).Milliseconds()),
 	}
-	encodeLimit(&state, f.registry.RateLimit(id), now)
+	encodeRateLimit(&state, f.registry.RateLimit(id), now)
 	return state, true
 }
 
@@ -97,7 +97,7 @@
 	}
 	f.rebuildServerLists(f.table.Load())
 	f.digest.Store(int64(f.registry.Digest() >> 1))
-	f.limitedCount.Store(int64(len(f.registry.Limited())))
+	f.rateLimitedCount.Store(int64(len(f.registry.RateLimited())))
 	states := make([]wire.RelayServer, 0, len(ids))
 	for _, id := range ids {
 		if state, ok := f.serverState(id); ok {
--- a/internal/gateway/feed.go
+++ b/internal/gateway/storesync.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// minFeedBackoff and maxFeedBackoff bound the wait after a failure of the store. The
+	// minStoreBackoff and maxFeedBackoff bound the wait after a failure of the store. The
 	// maximum is short compared to the 2 s in which a change must be in force.
-	minFeedBackoff = 40 * time.Millisecond
-	maxFeedBackoff = 400 * time.Millisecond
+	minStoreBackoff = 40 * time.Millisecond
+	maxStoreBackoff = 400 * time.Millisecond
 	// confirmTimeout bounds the request that checks whether the configuration is the
 	// newest.
 	confirmTimeout = 300 * time.Millisecond
@@ -63,8 +63,8 @@
 	maxWatch = 5 * time.Second
 )
 
-// feed follows the store.
-type feed struct {
+// storeSync follows the store.
+type storeSync struct {
 	source        Source
 	fleet         *fleet
 	log           *zap.Logger
@@ -86,7 +86,7 @@
 }
 
 // run follows the store until the context ends.
-func (f *feed) run(ctx context.Context) error {
+func (f *storeSync) run(ctx context.Context) error {
 	f.started = monotime.Now()
 	for ctx.Err() == nil {
 		if !f.shouldRead() {
@@ -117,7 +117,7 @@
 // rank read. The others receive updates from them, which carry each change and confirm
 // the version in force. An instance that receives no confirmation reads too, whatever its
 // rank: the readers may have crashed, be disconnected or be refused by the store.
-func (f *feed) shouldRead() bool {
+func (f *storeSync) shouldRead() bool {
 	if f.lacksState() {
 		waited := monotime.Now().Sub(f.started)
 		return waited >= hubStateWait || waited >= hubDiscoveryWait && !f.hasHub()
@@ -130,11 +130,11 @@
 }
 
 // lacksState reports whether this instance lacks what it needs to serve any caller.
-func (f *feed) lacksState() bool { return f.fleet.Table() == nil || f.fleet.serverCount() == 0 }
+func (f *storeSync) lacksState() bool { return f.fleet.Table() == nil || f.fleet.serverCount() == 0 }
 
 // idle waits before the next check whether this instance should read the store. When it
 // reads again, it reads everything, because it has missed changes.
-func (f *feed) idle(ctx context.Context) {
+func (f *storeSync) idle(ctx context.Context) {
 	if f.revision != 0 {
 		f.log.Info("store_left_to_others")
 		f.revision, f.failures = 0, 0
@@ -147,7 +147,7 @@
 }
 
 // readNext reads everything at first, and from then on the changes.
-func (f *feed) readNext(ctx context.Context) error {
+func (f *storeSync) readNext(ctx context.Context) error {
 	begun := monotime.Now()
 	if f.revision == 0 {
 		ctx, cancel := context.WithTimeout(ctx, f.answerTimeout)
@@ -180,10 +180,10 @@
 // recordConfirmation records that the store has confirmed everything in force here as of
 // an instant. A long answer is as old as its beginning, and counts only once its content
 // is in force: otherwise it would confirm the version before.
-func (f *feed) recordConfirmation(at monotime.Instant) { advance(&f.fleet.confirmedByStore, at) }
+func (f *storeSync) recordConfirmation(at monotime.Instant) { advance(&f.fleet.confirmedByStore, at) }
 
 // watchInterval is the minimum time between the starts of two watches of this reader.
-func (f *feed) watchInterval() time.Duration {
+func (f *storeSync) watchInterval() time.Duration {
 	place, _ := f.rank()
 	return time.Duration(1+min(place, storeReaders-1)) * minWatchInterval
 }
@@ -191,7 +191,7 @@
 // watchDuration returns how long the next watch waits. Every call is paid for, so the
 // more instances there are, the fewer each makes. A random part keeps the watches of
 // instances from ending at the same time.
-func (f *feed) watchDuration() time.Duration {
+func (f *storeSync) watchDuration() time.Duration {
 	_, of := f.rank()
 	wait := min(max(f.minWatch, time.Duration(min(of, storeReaders))*watchPerInstance), maxWatch)
 	return wait - time.Duration(rand.Int64N(int64(wait/4)+1))
@@ -204,7 +204,7 @@
 
 // recordRecovery marks the store as recovered from an outage, before its answer is
 // applied.
-func (f *feed) recordRecovery() {
+func (f *storeSync) recordRecovery() {
 	if f.failures < outageFailures {
 		return
 	}
@@ -213,7 +213,7 @@
 	f.fleet.mu.Unlock()
 }
 
-func (f *feed) applyAll(all *Changes) {
+func (f *storeSync) applyAll(all *Changes) {
 	f.fleet.installAndPublish(all.Config, fromStore)
 	f.fleet.changeEvacuations(fromStore, func(r *servers.Registry) []servers.Evacuation {
 		return r.ReplaceEvacuations(all.Evacuations, all.Revision, monotime.Now())
@@ -228,7 +228,7 @@
 	}
 }
 
-func (f *feed) applyChanges(changes *Changes) {
+func (f *storeSync) applyChanges(changes *Changes) {
 	f.fleet.installAndPublish(changes.Config, fromStore)
 	f.fleet.applyEvacuations(fromStore, changes.Evacuations)
 	f.fleet.changeServers(fromStore, func(r *servers.Registry, now monotime.Instant) (ids []string) {
@@ -252,22 +252,22 @@
 	f.revision = max(f.revision, changes.Revision)
 }
 
-func (f *feed) succeeded() {
+func (f *storeSync) succeeded() {
 	if f.failures > 0 {
 		f.log.Info("store_regained", zap.Int("failures", f.failures), zap.Stringer("revision", f.revision))
 	}
 	f.failures = 0
 }
 
-func (f *feed) failed(err error) {
+func (f *storeSync) failed(err error) {
 	f.failures++
 	if f.failures == 1 {
 		f.log.Warn("store_lost", eventlog.Cause(err), zap.Stringer("revision", f.revision))
 	}
 }
 
-func (f *feed) backOff(ctx context.Context) {
-	wait := min(minFeedBackoff<<min(f.failures-1, 4), maxFeedBackoff)
+func (f *storeSync) backOff(ctx context.Context) {
+	wait := min(minStoreBackoff<<min(f.failures-1, 4), maxStoreBackoff)
 	// While the store is unavailable to all, no instance receives confirmations and each
 	// tries to read it: 95 instances made 2,900 calls in 12 s. The first in rank continue
 	// as usual and inform the others when it has recovered, so the others may try rarely,
@@ -290,7 +290,7 @@
 
 // confirm reads the configuration and reports whether the version in force is now the
 // newest. Concurrent calls share one read.
-func (f *feed) confirm(ctx context.Context) bool {
+func (f *storeSync) confirm(ctx context.Context) bool {
 	if f.recentlyConfirmed() {
 		return true
 	}
@@ -318,6 +318,6 @@
 
 // recentlyConfirmed reports whether the version in force was confirmed as the newest
 // within confirmationTTL.
-func (f *feed) recentlyConfirmed() bool {
+func (f *storeSync) recentlyConfirmed() bool {
 	return monotime.Now().Sub(f.fleet.confirmedAt()) < confirmationTTL
 }
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -233,8 +233,8 @@
 					ColdLeft: milliseconds(s.ColdMS),
 				}, now)
 			}
-			bound := r.SetRateLimit(s.ID, decodeLimit(&s, now))
-			if change != servers.Unchanged || bound != servers.Unchanged {
+			limitChange := r.SetRateLimit(s.ID, decodeRateLimit(&s, now))
+			if change != servers.Unchanged || limitChange != servers.Unchanged {
 				ids = append(ids, s.ID)
 			}
 		}
--- a/internal/gateway/updates_fuzz_test.go
+++ b/internal/gateway/updates_fuzz_test.go
@@ -15,7 +15,7 @@
 // engines, crashes and configurations, the instance goes on placing requests and predicts
 // no negative times.
 func FuzzNews(f *testing.F) {
-	for _, news := range []wire.RelayNews{
+	for _, update := range []wire.RelayNews{
 		{Servers: []wire.RelayServer{{ID: "a@7", Name: "a", Born: 7, Service: "llm", Address: "10.0.0.1:80", Slots: 4, Revision: 3}}},
 		{Servers: []wire.RelayServer{{ID: "a", Gone: true, Revision: 9}, {ID: "b", Invalid: true, Slots: -1, Revision: 1}}},
 		{Evacuations: []wire.RelayEvacuation{{DataCentre: "north", Active: true, Revision: 1}, {Active: true, Revision: -1}}},
@@ -29,7 +29,7 @@
 		{Origin: "peer", Number: 1 << 40, Whole: true, Feed: -7, MembersWanted: true},
 		{Leaving: true, Members: []wire.RelayMember{{ID: "x"}}, Confirmed: -1, ConfigVersion: -1},
 	} {
-		data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{news}})
+		data, err := peer.Encode(&wire.Envelope{News: []wire.RelayNews{update}})
 		if err != nil {
 			f.Fatal(err)
 		}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -135,7 +135,7 @@
 func (i *Instance) isolated(now monotime.Instant) bool {
 	cat := i.node.Catalog()
 	view := i.node.View()
-	if cat == nil || view == nil || view.Known <= 1 {
+	if cat == nil || view == nil || view.MemberCount <= 1 {
 		return false
 	}
 	limit := time.Duration(cat.Rules.IsolatedServeS) * time.Second
--- a/internal/membership/core.go
+++ b/internal/membership/core.go
@@ -259,7 +259,7 @@
 	if !selfPlaced {
 		v.add(c.self, c.self.State == Leaving)
 	}
-	v.Known = len(v.Live) + len(v.Missing) + c.countLiveCandidates()
+	v.MemberCount = len(v.Live) + len(v.Missing) + c.countLiveCandidates()
 	c.view = v
 	return v
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -57,7 +57,7 @@
 		if took > LostLinkGrace+SuspicionTimeout+time.Second {
 			t.Errorf("took %v", took)
 		}
-		if got := w.view("dc2-001").Known; got != n {
+		if got := w.view("dc2-001").MemberCount; got != n {
 			t.Errorf("Known = %d, want %d: the list still names the dead member", got, n)
 		}
 	}
@@ -109,7 +109,7 @@
 		_, found := w.view("dc1-000").Find(leaver)
 		return !found
 	})
-	if got := w.view("dc1-000").Known; got != 63 {
+	if got := w.view("dc1-000").MemberCount; got != 63 {
 		t.Errorf("Known = %d, want 63", got)
 	}
 	if n := w.suspicions(); n != 0 {
@@ -126,8 +126,8 @@
 	w.Run(time.Second)
 	w.kill("dc1-000")
 	w.Run(10 * time.Second)
-	if v := w.view("dc2-001"); v.Known != 7 || len(v.Leaving) != 0 {
-		t.Errorf("Known = %d, leaving %v", v.Known, v.Leaving)
+	if v := w.view("dc2-001"); v.MemberCount != 7 || len(v.Leaving) != 0 {
+		t.Errorf("Known = %d, leaving %v", v.MemberCount, v.Leaving)
 	}
 }
 
@@ -155,9 +155,9 @@
 		t.Error("old answers in the socket confirmed the view")
 	}
 	w.until(3*time.Second, "a peer confirms the view", func() bool { return w.view(sleeper).Confirmed })
-	t.Logf("the resumed process: %d of %d live", len(w.view(sleeper).Live), w.view(sleeper).Known)
+	t.Logf("the resumed process: %d of %d live", len(w.view(sleeper).Live), w.view(sleeper).MemberCount)
 	w.until(15*time.Second, "its part agrees again", func() bool { return w.sees(near, near) })
-	if got := w.view(sleeper).Known; got != 16 {
+	if got := w.view(sleeper).MemberCount; got != 16 {
 		t.Errorf("Known = %d, want 16", got)
 	}
 	w.cut = func(string, string) bool { return false }
@@ -215,7 +215,7 @@
 	}
 	took := w.settle()
 	t.Logf("40 of 60 members agreed after %v", took)
-	if got := w.view("dc2-001").Known; got != 60 {
+	if got := w.view("dc2-001").MemberCount; got != 60 {
 		t.Errorf("Known = %d, want 60", got)
 	}
 }
@@ -237,7 +237,7 @@
 	t.Logf("each part agreed after %v", took)
 	w.Run(time.Hour)
 	for _, id := range w.ids {
-		if got := w.view(id).Known; got != 9 {
+		if got := w.view(id).MemberCount; got != 9 {
 			t.Fatalf("%s: Known = %d, want 9", id, got)
 		}
 	}
--- a/internal/membership/types.go
+++ b/internal/membership/types.go
@@ -181,9 +181,9 @@
 	// Missing holds the members that became unresponsive and may still run, paused or in
 	// another part of the fleet, by ID.
 	Missing []Member
-	// Known counts the live members and those that are unreachable but assumed to run in
+	// MemberCount counts the live members and those that are unreachable but assumed to run in
 	// another part of the fleet.
-	Known int
+	MemberCount int
 	// Confirmed is false from a start or a pause until a peer has answered.
 	Confirmed bool
 }
--- a/internal/node/joined_test.go
+++ b/internal/node/joined_test.go
@@ -73,7 +73,7 @@
 }
 
 func viewOf(members ...string) *membership.View {
-	view := &membership.View{Known: len(members), Confirmed: true}
+	view := &membership.View{MemberCount: len(members), Confirmed: true}
 	for _, id := range members {
 		view.Live = append(view.Live, membership.Member{ID: id, Incarnation: "1", DataCentre: "a"})
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -78,7 +78,7 @@
 			next = q
 		}
 	}
-	view := &membership.View{Known: 1, Live: []membership.Member{{ID: next.name, Incarnation: next.self.Token, DataCentre: "a"}}}
+	view := &membership.View{MemberCount: 1, Live: []membership.Member{{ID: next.name, Incarnation: next.self.Token, DataCentre: "a"}}}
 	for _, q := range w.procs {
 		q.node.SetView(q.clock(), view)
 	}
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -326,7 +326,7 @@
 // slotShare is the part of a group's slots that this node may hand out.
 func (n *Node) slotShare(view *membership.View) (live, total int) {
 	if n.cfg.Ownership == Shared {
-		return 1, max(view.Known, 1)
+		return 1, max(view.MemberCount, 1)
 	}
 	return ShareOf(view)
 }
@@ -335,5 +335,5 @@
 // In a partition each part uses about that share of a server both reach.
 func ShareOf(view *membership.View) (live, total int) {
 	live = len(view.Live) + len(view.Leaving)
-	return live, max(view.Known, live)
+	return live, max(view.MemberCount, live)
 }
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -205,7 +205,7 @@
 // views gives every process a view; with faults, views are partly wrong.
 func (w *world) views() {
 	for _, p := range w.procs {
-		view := &membership.View{Known: len(w.procs)}
+		view := &membership.View{MemberCount: len(w.procs)}
 		for _, q := range w.procs {
 			if q != p && (q.dead || w.chance(20)) {
 				continue
--- a/internal/overlay/links.go
+++ b/internal/overlay/links.go
@@ -42,10 +42,10 @@
 func (n *Node) LinkTargets(now monotime.Instant) []Target {
 	needed := n.neededLinks(now)
 	var out []Target
-	taken := map[string]bool{n.self.PeerAddress: true}
+	listed := map[string]bool{n.self.PeerAddress: true}
 	for _, m := range n.list {
 		n.trackDialing(m, needed[m], now)
-		taken[m.PeerAddress] = true
+		listed[m.PeerAddress] = true
 		if needed[m] || m.linked {
 			out = append(out, Target{ID: m.ID, Address: m.PeerAddress})
 		}
@@ -54,7 +54,7 @@
 		return out
 	}
 	for _, seed := range n.seeds {
-		if !taken[seed] {
+		if !listed[seed] {
 			out = append(out, Target{Address: seed})
 		}
 	}
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -25,7 +25,7 @@
 // Board is the model of all servers. It is safe for concurrent use.
 type Board struct {
 	prior      pace.Pace
-	home       string // data centre of this instance
+	dataCentre string // data centre of this instance
 	costJitter float64
 
 	mu         sync.Mutex
@@ -53,7 +53,7 @@
 func NewBoard(prior pace.Pace, dataCentre string) *Board {
 	return &Board{
 		prior:          prior,
-		home:           dataCentre,
+		dataCentre:     dataCentre,
 		rand:           newRand(),
 		servers:        make(map[string]*server),
 		kinds:          make(map[string]*engineKind),
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -198,13 +198,13 @@
 	choice := Choice{Server: s.id, Running: len(s.runs)}
 	weight := work.weight()
 	choice.Cost = weight * failureCost * s.failures
-	if s.dataCentre != b.home {
+	if s.dataCentre != b.dataCentre {
 		choice.Cost += distanceCost
 	}
 	if s.memory == 0 {
 		// Not an engine: requests wait once all slots are taken.
 		load := float64(len(s.runs)) / float64(max(1, s.slots))
-		choice.Cost += loadCost*load + fullCost*math.Max(0, load-1) + tieBreakCost*hashFraction(s.id+b.home)
+		choice.Cost += loadCost*load + fullCost*math.Max(0, load-1) + tieBreakCost*hashFraction(s.id+b.dataCentre)
 		return choice
 	}
 	own := s.cache.cachedTokens(work.Parts)
--- a/internal/placement/contention.go
+++ b/internal/placement/contention.go
@@ -21,10 +21,10 @@
 	// that are considered besides the drawn ones. With them a burst transfers 1.3 TB of
 	// prompts, without them 2.4 TB.
 	maxCacheHolders = 2
-	// lagFactor is the ratio of the longest delay of a reported choice to the mean one,
+	// stalenessFactor is the ratio of the longest delay of a reported choice to the mean one,
 	// since each hop holds some updates for longer than others. With 1 and with 2.5 less
 	// is on time in a burst that fills all engines.
-	lagFactor = 1.5
+	stalenessFactor = 1.5
 	// minRefusalRate is the rate of refusals over all instances, in requests a second,
 	// from which on the last slots are reserved for the more urgent requests.
 	minRefusalRate = 1.0
@@ -36,8 +36,8 @@
 type contention struct {
 	// others is the number of other instances.
 	others int
-	// lag is the mean delay until a choice of another instance is received.
-	lag time.Duration
+	// staleness is the mean delay until a choice of another instance is received.
+	staleness time.Duration
 	// begun is the rate of requests sent by all instances, as far as reported, and
 	// refused the rate of those that this instance refused for lack of slots; both by
 	// priority.
@@ -81,10 +81,10 @@
 
 // SetPeers sets the number of other instances that choose, and the mean delay until a
 // choice of theirs is received.
-func (b *Board) SetPeers(others int, lag time.Duration) {
+func (b *Board) SetPeers(others int, staleness time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.contention.others, b.contention.lag = others, lag
+	b.contention.others, b.contention.staleness = others, staleness
 }
 
 // unreported returns the expected number of requests of a priority or a more urgent one
@@ -107,7 +107,7 @@
 	if c.others == 0 {
 		return 0
 	}
-	return time.Duration(lagFactor * float64(c.lag))
+	return time.Duration(stalenessFactor * float64(c.staleness))
 }
 
 // refusedByAll returns the rate of requests of a priority that all instances refuse for
--- a/internal/placement/work.go
+++ b/internal/placement/work.go
@@ -39,9 +39,9 @@
 	Priority int
 	// Rank orders all requests within the engines' queues; 0 is the first.
 	Rank int
-	// Homes are the regions that the request must stay in; nil for no bound. The caller
+	// AllowedRegions are the regions that the request must stay in; nil for no bound. The caller
 	// of Choose restricts the candidates accordingly.
-	Homes []string
+	AllowedRegions []string
 }
 
 // The weight of a request on time is 2.5 for the most urgent priority, and falls gently:
--- a/internal/relay/await.go
+++ b/internal/relay/await.go
@@ -98,7 +98,7 @@
 // it logs why the server is given up.
 func (f *forwarder) stillQueued(e *exchange, run int) bool {
 	now := monotime.Now()
-	state := f.relay.cfg.Fleet.QueueState(run, now)
+	state := f.relay.cfg.Fleet.QueueStatus(run, now)
 	if state.Queued(f.responseTimeout()) {
 		return true
 	}
--- a/internal/relay/deliver.go
+++ b/internal/relay/deliver.go
@@ -71,7 +71,7 @@
 		e.abandon()
 		return verdict.New(verdict.Ran, verdict.ReasonUpstreamError, "status "+strconv.Itoa(e.resp.StatusCode))
 	}
-	fleet.First(run, monotime.Now())
+	fleet.FirstEvent(run, monotime.Now())
 	return f.relayWhole(e)
 }
 
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -126,9 +126,9 @@
 	f.begun = append(f.begun, target.ID)
 	return len(f.begun), true
 }
-func (f *fakeFleet) First(int, monotime.Instant) {}
+func (f *fakeFleet) FirstEvent(int, monotime.Instant) {}
 
-func (f *fakeFleet) QueueState(int, monotime.Instant) placement.QueueStatus {
+func (f *fakeFleet) QueueStatus(int, monotime.Instant) placement.QueueStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.queued == 0 {
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -136,14 +136,14 @@
 	f.deadline = time.Now().Add(left)
 	f.service = f.route.Pick(f.request.ID)
 	f.work = placement.Work{
-		Parts:    f.request.Parts,
-		Prompt:   f.request.Prompt,
-		Output:   f.request.Output,
-		Goal:     f.route.Goal,
-		MaxGap:   f.route.MaxGap,
-		Priority: f.route.Priority,
-		Rank:     f.table.Rank(f.route, f.customer),
-		Homes:    routing.AllowedRegions(f.route, f.customer),
+		Parts:          f.request.Parts,
+		Prompt:         f.request.Prompt,
+		Output:         f.request.Output,
+		Goal:           f.route.Goal,
+		MaxGap:         f.route.MaxGap,
+		Priority:       f.route.Priority,
+		Rank:           f.table.Rank(f.route, f.customer),
+		AllowedRegions: routing.AllowedRegions(f.route, f.customer),
 	}
 }
 
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -112,12 +112,12 @@
 	// returns the run's number, or false if the server may not get the request now after
 	// all. Events takes the number of stream events that have just arrived.
 	Begin(target Target, work placement.Work, now monotime.Instant) (run int, ok bool)
-	First(run int, now monotime.Instant)
+	FirstEvent(run int, now monotime.Instant)
 	Events(run, count int, now monotime.Instant)
 	End(run int, now monotime.Instant)
-	// QueueState returns the estimated position of a run in the server's queue while the
+	// QueueStatus returns the estimated position of a run in the server's queue while the
 	// server has not answered.
-	QueueState(run int, now monotime.Instant) placement.QueueStatus
+	QueueStatus(run int, now monotime.Instant) placement.QueueStatus
 	// Observe records the outcome of a request at a server.
 	Observe(server string, outcome placement.Outcome, now monotime.Instant)
 	// AnySuspected reports whether any request is suspected of crashing servers. While
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -52,7 +52,7 @@
 			if first {
 				first = false
 				f.firstEventAt = monotime.Now()
-				f.relay.cfg.Fleet.First(run, monotime.Now())
+				f.relay.cfg.Fleet.FirstEvent(run, monotime.Now())
 			}
 			f.relay.cfg.Fleet.Events(run, bytes.Count(buffer[:n], eventEnd), monotime.Now())
 			if problem := f.deliver(e, buffer[:n]); problem != nil {
--- a/internal/replay/faults.go
+++ b/internal/replay/faults.go
@@ -253,7 +253,7 @@
 		if !other.alive || s.fleet.unlisted[inst] {
 			continue
 		}
-		view.Known++
+		view.MemberCount++
 		if s.fleet.parted(p.inst, inst) {
 			continue
 		}
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -98,10 +98,10 @@
 		Prefix:       uint64(1 + l.rng.IntN(500)),
 		EndBy:        l.now.Add(10 * time.Minute),
 	}
-	l.take(l.g.Submit(l.now, d, l.out[:0]))
+	l.record(l.g.Submit(l.now, d, l.out[:0]))
 }
 
-func (l *closedLoop) take(out []Decision) {
+func (l *closedLoop) record(out []Decision) {
 	for _, d := range out {
 		if d.Granted {
 			l.running = append(l.running, d.Ticket)
@@ -118,7 +118,7 @@
 	t := l.running[i]
 	l.running[i] = l.running[len(l.running)-1]
 	l.running = l.running[:len(l.running)-1]
-	l.take(l.g.Release(l.now, t, Result{Tokens: 50 + l.rng.IntN(200), FirstToken: 30 * time.Millisecond, Gap: 8 * time.Millisecond}, l.out[:0]))
+	l.record(l.g.Release(l.now, t, Result{Tokens: 50 + l.rng.IntN(200), FirstToken: 30 * time.Millisecond, Gap: 8 * time.Millisecond}, l.out[:0]))
 	l.submit()
 }
 
--- a/internal/sched/failure_test.go
+++ b/internal/sched/failure_test.go
@@ -75,7 +75,7 @@
 		w.now = w.now.Add(time.Millisecond)
 		w.finishDue()
 		if step%50 == 0 {
-			w.take(w.g.Tick(w.now, nil))
+			w.record(w.g.Tick(w.now, nil))
 			w.scheduleEnds()
 		}
 		if eachStep != nil {
@@ -215,7 +215,7 @@
 	f := newFixture(t, 2, 4, Default())
 	f.inv.Customers[1].Weight = 3
 	f.cat = catalog.Compile(2, f.inv)
-	f.take(f.g.Reconfigure(f.now, f.cat, nil))
+	f.record(f.g.Reconfigure(f.now, f.cat, nil))
 	w := newSimulation(f, 0, 200*time.Millisecond)
 	owner := map[uint64]string{}
 	w.run(60*time.Second, func(step int) {
@@ -303,9 +303,9 @@
 		Ticket: Ticket{"other", 1}, Class: f.cat.Classes["c1"], Customer: f.cat.Customers["ben"], Tier: 1,
 		EndBy: f.now.Add(10 * time.Second),
 	}
-	f.take(f.g.Submit(f.now, other, nil))
+	f.record(f.g.Submit(f.now, other, nil))
 	f.submit(1, "ann")
-	f.take(f.g.HolderGone(f.now, "h", nil))
+	f.record(f.g.HolderGone(f.now, "h", nil))
 	if s := f.g.Stats(); s.Held != 1 || s.Waiting != 0 {
 		t.Fatalf("held %d, waiting %d; want the other holder's request alone", s.Held, s.Waiting)
 	}
@@ -323,7 +323,7 @@
 // engines a second time.
 func TestNewOwnerAdoptsRunningSlotsFromRenewals(t *testing.T) {
 	f := newFixture(t, 2, 2, Default())
-	f.take(f.g.Progress(f.now, Ticket{"old", 1}, 5, nil))
+	f.record(f.g.Progress(f.now, Ticket{"old", 1}, 5, nil))
 	f.g.Adopt(f.now, Ticket{"old", 2}, HeldSlot{
 		Engine: "s1/e", Class: f.cat.Classes["c1"], Customer: f.cat.Customers["ann"], Tier: 1,
 	})
@@ -337,7 +337,7 @@
 	if _, ok := f.granted[third]; ok {
 		t.Fatal("a fifth request was granted on four slots")
 	}
-	f.take(f.g.Release(f.now, Ticket{"old", 2}, Result{Tokens: 3, Gap: 10 * time.Millisecond}, nil))
+	f.record(f.g.Release(f.now, Ticket{"old", 2}, Result{Tokens: 3, Gap: 10 * time.Millisecond}, nil))
 	if d := f.mustGrant(third); d.Engine.ID != "s1/e" {
 		t.Errorf("granted %s, want the slot that was released", d.Engine.ID)
 	}
@@ -352,7 +352,7 @@
 	waiting := f.submit(1, "ann")
 	f.inv.Servers[0].Withdrawn = true
 	f.cat = catalog.Compile(2, f.inv)
-	f.take(f.g.Reconfigure(f.now, f.cat, nil))
+	f.record(f.g.Reconfigure(f.now, f.cat, nil))
 	on := map[string]uint64{f.mustGrant(first).Engine.ID: first, f.mustGrant(second).Engine.ID: second}
 	f.finish(on["s0/e"], 5)
 	if _, ok := f.granted[waiting]; ok {
@@ -365,7 +365,7 @@
 	last := f.submit(1, "ann")
 	f.inv.Servers[1].Withdrawn = true
 	f.cat = catalog.Compile(3, f.inv)
-	f.take(f.g.Reconfigure(f.now, f.cat, nil))
+	f.record(f.g.Reconfigure(f.now, f.cat, nil))
 	if d, ok := f.refused[last]; !ok || d.Reason != verdict.ReasonNoServer {
 		t.Errorf("waiting request with no server left: %+v", d)
 	}
--- a/internal/sched/fixture_test.go
+++ b/internal/sched/fixture_test.go
@@ -82,11 +82,11 @@
 		Prefix:       prefix,
 		EndBy:        f.now.Add(class.Deadline),
 	}
-	f.take(f.g.Submit(f.now, d, nil))
+	f.record(f.g.Submit(f.now, d, nil))
 	return f.seq
 }
 
-func (f *fixture) take(decisions []Decision) {
+func (f *fixture) record(decisions []Decision) {
 	for _, d := range decisions {
 		if d.Granted {
 			f.granted[d.Seq] = d
@@ -98,7 +98,7 @@
 }
 
 func (f *fixture) release(seq uint64, r Result) {
-	f.take(f.g.Release(f.now, Ticket{"h", seq}, r, nil))
+	f.record(f.g.Release(f.now, Ticket{"h", seq}, r, nil))
 }
 
 // finish ends a request with an answer of the given number of tokens.
@@ -140,8 +140,8 @@
 			break
 		}
 		f.now = max(next, f.now+1)
-		f.take(f.g.Tick(f.now, nil))
+		f.record(f.g.Tick(f.now, nil))
 	}
 	f.now = end
-	f.take(f.g.Tick(f.now, nil))
+	f.record(f.g.Tick(f.now, nil))
 }
--- a/internal/sched/group_test.go
+++ b/internal/sched/group_test.go
@@ -44,7 +44,7 @@
 	f := newFixture(t, 1, 1, Default())
 	running := f.submit(1, "ann")
 	gone := f.submit(1, "ann")
-	f.take(f.g.Withdraw(f.now, Ticket{"h", gone}, nil))
+	f.record(f.g.Withdraw(f.now, Ticket{"h", gone}, nil))
 	f.now = f.now.Add(50 * time.Millisecond)
 	f.finish(running, 5)
 	if len(f.granted) != 1 || f.g.Stats().Waiting != 0 || f.g.Stats().Held != 0 {
--- a/internal/sched/takeover_test.go
+++ b/internal/sched/takeover_test.go
@@ -77,7 +77,7 @@
 	}
 	f.now = f.now.Add(time.Second)
 	for seq := range uint64(2) {
-		f.take(f.g.Release(f.now, Ticket{Holder: "other", Seq: seq}, Result{Tokens: 5}, nil))
+		f.record(f.g.Release(f.now, Ticket{Holder: "other", Seq: seq}, Result{Tokens: 5}, nil))
 	}
 	f.g.LoadReport(f.now, "s0/e", engineapi.LoadReport{Engine: "e", Running: 2, AgeMS: 900})
 	top := f.submit(0, "ann")
--- a/internal/servers/notice.go
+++ b/internal/servers/notice.go
@@ -78,8 +78,8 @@
 	return RateLimit{}
 }
 
-// Limited returns the ids of the servers that state a limit.
-func (r *Registry) Limited() []string {
+// RateLimited returns the ids of the servers that state a limit.
+func (r *Registry) RateLimited() []string {
 	out := []string{}
 	for _, id := range r.ids() {
 		if r.live[id].rateLimit.Limited {
--- a/internal/servers/notice_test.go
+++ b/internal/servers/notice_test.go
@@ -72,7 +72,7 @@
 	r.Put(Server{ID: "a@1", Name: "a", Born: 1, Revision: 1}, now)
 	r.ApplyNotice("a@1", limit(2), now, now)
 	r.Put(Server{ID: "a@2", Name: "a", Born: 2, Revision: 2}, now)
-	if got := r.Limited(); len(got) != 0 {
+	if got := r.RateLimited(); len(got) != 0 {
 		t.Error(got)
 	}
 }
--- a/internal/servers/registry_test.go
+++ b/internal/servers/registry_test.go
@@ -251,7 +251,7 @@
 	r := New()
 	r.Put(born("a", 1000, 1), at(0))
 	r.Remove("a", 2, at(0))
-	r.Expire(at(tombstoneLife + time.Second))
+	r.Expire(at(tombstoneTTL + time.Second))
 	if len(r.newestBorn) > 0 || len(r.gone) > 0 || len(r.current) > 0 {
 		t.Errorf("still recorded: %v %v %v", r.newestBorn, r.gone, r.current)
 	}
--- a/internal/servers/removal.go
+++ b/internal/servers/removal.go
@@ -13,9 +13,9 @@
 	// them. It is below 2 s because a server that did leave must get no request later
 	// than 2 s after its removal was acknowledged.
 	RemovalGrace = 1700 * time.Millisecond
-	// tombstoneLife is how long an incarnation that is gone is remembered. With a shorter
+	// tombstoneTTL is how long an incarnation that is gone is remembered. With a shorter
 	// time a late update of a peer would restore it.
-	tombstoneLife = 5 * time.Minute
+	tombstoneTTL = 5 * time.Minute
 )
 
 // tombstone marks an incarnation that is gone.
@@ -107,7 +107,7 @@
 		}
 	}
 	for id, stone := range r.gone {
-		if now.Sub(stone.at) > tombstoneLife {
+		if now.Sub(stone.at) > tombstoneTTL {
 			delete(r.gone, id)
 		}
 	}
