--- a/internal/crashes/crashes.go
+++ b/internal/crashes/crashes.go
@@ -92,9 +92,9 @@
 	return true, s.poison()
 }
 
-// Survived records that a request ran without crashing its server. It reports whether this
-// should be sent to peers: the request is tracked, and its last such run is none or more
-// than half of servedValidity before.
+// Survived records that a request ran without crashing its server. It reports whether
+// this should be sent to peers: the request is tracked, and its last such run is none or
+// more than half of exonerationTTL before.
 func (t *Tracker) Survived(request Fingerprint, at monotime.Instant) bool {
 	s := t.requests[request]
 	if s == nil || at <= s.survivedAt {
--- a/internal/crashes/crashes_test.go
+++ b/internal/crashes/crashes_test.go
@@ -172,7 +172,7 @@
 type attributionVariant struct {
 	name string
 	// young suspects only those that had just begun to run; served exonerates those that
-	// ran.
+	// ran without a crash.
 	young, served bool
 }
 
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -25,8 +25,8 @@
 	// counts expire in larger steps.
 	budgetSlices = 10
 	// budgetSafetyFactor is the part of the budget that is used. The rest covers the
-	// delay with which instances learn how many they are: until then, their parts of the
-	// burst add up to more than the burst.
+	// delay until instances have the new number of instances: until then, their parts of
+	// the burst add up to more than the burst.
 	budgetSafetyFactor = 0.8
 )
 
--- a/internal/gateway/configs.go
+++ b/internal/gateway/configs.go
@@ -121,8 +121,9 @@
 	}
 }
 
-// checkPeerVersion requests the version that a peer advertises if it is not known here:
-// an offer of it may have been lost with a link.
+// checkPeerVersion requests the version that a peer advertises unless that or a higher
+// one is in force here, was refused or is being fetched: an offer of it may have been
+// lost with a link.
 func (c *configSync) checkPeerVersion(from string, version int) {
 	now := monotime.Now()
 	c.mu.Lock()
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -15,16 +15,16 @@
 // crashesPerMessage bounds the crashes in a message: some 16 KB.
 const crashesPerMessage = 256
 
-// crashTracker tracks requests that crash servers. Its state is shared with all
-// instances.
+// crashTracker tracks the requests suspected of crashing servers. It exchanges crashes
+// with all instances.
 type crashTracker struct {
 	log     *zap.Logger
 	updates *updateBatcher
 
-	// suspectedCount is the number of requests in the book. While it is zero, requests need
+	// suspectedCount is the number of tracked requests. While it is zero, requests need
 	// neither a fingerprint nor the lock.
 	suspectedCount atomic.Int64
-	// refused counts requests that were not sent on.
+	// refused counts the times that a poison request was not sent on.
 	refused atomic.Int64
 
 	mu      sync.Mutex
@@ -35,10 +35,10 @@
 	return &crashTracker{log: log, updates: updates, tracker: crashes.NewTracker()}
 }
 
-// Suspects implements relay.Fleet.
+// AnySuspected implements relay.Fleet.
 func (f *fleet) AnySuspected() bool { return f.crashes.suspectedCount.Load() > 0 }
 
-// Culprit implements relay.Fleet.
+// IsPoison implements relay.Fleet.
 func (f *fleet) IsPoison(request crashes.Fingerprint, now monotime.Instant) bool {
 	return f.crashes.isPoison(request, now)
 }
@@ -82,8 +82,9 @@
 	return added
 }
 
-// addSurvived records a run that ended without a crash. It returns the run if peers are to
-// be informed: the request is in the book, and no recent run of it was recorded.
+// addSurvived records a run that ended without a crash. It returns the run if peers are
+// to be informed: the request is tracked, and no recent run of it without a crash was
+// recorded.
 func (c *crashTracker) addSurvived(request crashes.Fingerprint, at, now monotime.Instant) []wire.RelayCrash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gateway/evacuations_test.go
+++ b/internal/gateway/evacuations_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// All data centres are evacuated. Callers are told that no server can be reached. The
-// instance must neither count as unable to serve nor read the store repeatedly for
+// All data centres are evacuated. Callers are refused because no server can be reached.
+// The instance must neither count as unable to serve nor read the store repeatedly for
 // servers that it already tracks.
 func TestWithAllDataCentresEvacuatedCallersAreRefused(t *testing.T) {
 	f, fd, _ := newFleet()
@@ -170,11 +170,11 @@
 		cold.ColdLeft = 3 * time.Second
 		put(f, fromStore, cold)
 		if n := countPlaced(t, f); n < 4 || n > 6 {
-			t.Errorf("%d once its entry says that it is cold", n)
+			t.Errorf("%d once its entry is that of a cold server", n)
 		}
 		put(f, fromStore, entryIn("a", "north", 5))
 		if n := countPlaced(t, f); n != 100 {
-			t.Errorf("%d of 100 once its entry says that it is warm", n)
+			t.Errorf("%d of 100 once its entry is that of a warm server", n)
 		}
 	})
 }
@@ -240,9 +240,8 @@
 
 // All servers of a service crash while each instance sends it many requests a second. The
 // runs that peers began just before the crash, some of them reported only after it, must
-// not count as a sign that a server is reachable. Otherwise callers are told to retry in
-// 200 ms, into the outage, and fail: 163 of them in the first half second of an outage of
-// 1.5 s.
+// not count as a sign that a server is reachable. Otherwise callers retry in 200 ms, into
+// the outage, and fail: 163 of them in the first half second of an outage of 1.5 s.
 func TestServiceOutageIsDetectedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		passProcessStart()
@@ -275,7 +274,7 @@
 		time.Sleep(updateTravelTime)
 		begun("a")
 		if !f.Serving("svc", monotime.Now()) {
-			t.Error("a peer reaches a server, but callers are told of an outage")
+			t.Error("a peer reaches a server, but Retry-After is that of an outage")
 		}
 		f.Begin(relay.Target{Server: servers.Server{ID: "b", Service: "svc"}}, placement.Work{}, monotime.Now())
 		time.Sleep(updateTravelTime)
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -44,7 +44,7 @@
 	// in force, as a monotime.Instant.
 	confirmedByPeer atomic.Int64
 
-	// eraSince is when this instance learned that the store was restored from an older
+	// eraSince is when this instance detected that the store was restored from an older
 	// copy, as a monotime.Instant; 0 for never.
 	eraSince atomic.Int64
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -163,7 +163,9 @@
 	return g, nil
 }
 
-// capacityPerCore is the capacity that an instance with one whole core advertises.
+// capacityPerCore is the capacity that an instance with one whole core advertises. The
+// overlay counts what a hub needs for each subscriber in the same unit, thousandths of a
+// core.
 const capacityPerCore = 1000
 
 // connectUpdates connects the batcher of updates to the links with peers.
@@ -237,15 +239,15 @@
 	return nil
 }
 
-// Ready reports whether the instance accepts requests.
+// Ready reports whether callers should connect to the instance.
 func (g *Gateway) Ready() bool {
 	return !g.leaving.Load() && !g.isolated.Load() && g.fleet.Table() != nil && g.fleet.serverCount() > 0
 }
 
 // Callers returns the addresses that callers in a region should connect to and how long
-// they may use them; false if this instance cannot tell. Instances of other regions are
-// returned only if the caller's region has none, so that callers' data stays in their
-// region where possible.
+// they may use them; false if there are none or this instance is isolated. Instances of
+// other regions are returned only if the caller's region has none, so that callers' data
+// stays in their region where possible.
 func (g *Gateway) Callers(region string) (addresses []string, ttl time.Duration, ok bool) {
 	reachable := g.peers.staying()
 	if g.Ready() {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -92,7 +92,7 @@
 	return servers.Server{ID: id, Name: id, Service: "svc", Address: "10.0.0.1:" + id, Slots: 4, Revision: revision}
 }
 
-// newFleet returns a fleet without links, its feed, and the source of the feed.
+// newFleet returns a fleet without links, its storeSync, and the source of that.
 func newFleet() (*fleet, *storeSync, *fakeSource) {
 	source := &fakeSource{}
 	f := &fleet{
@@ -333,9 +333,9 @@
 	})
 }
 
-// All watches of the fleet stop receiving. The instance whose watch ends first notices
-// and informs the others; each must learn of a change within two seconds, whatever the
-// number of instances.
+// All watches of the fleet stop receiving. The instance whose watch ends first detects
+// that and informs the others; each must receive a change within two seconds, whatever
+// the number of instances.
 func TestWatchesOfAFleetEndOftenEnough(t *testing.T) {
 	_, fd, _ := newFleet()
 	fd.minWatch = 1100 * time.Millisecond
@@ -351,8 +351,8 @@
 }
 
 // Many servers start together, and each change in the store answers the watch at once.
-// The instance must wait between watches: every answer is paid for, and it need not learn
-// of each server within a few milliseconds.
+// The instance must wait between watches: every answer is paid for, and a new server is
+// not needed within a few milliseconds.
 func TestManyChangesDoNotMakeAWatchEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, fd, source := newFleet()
@@ -667,7 +667,7 @@
 // Servers start together and change the store continuously. Each change answers the
 // watches of all readers, and each answer is paid for. All six together may call the
 // store about as often as two that watch again at once, and the first in rank often
-// enough to learn of changes soon.
+// enough to receive changes soon.
 func TestReadersOfABusyStoreTakeTurns(t *testing.T) {
 	const length = 6 * time.Second
 	sum := 0
@@ -736,7 +736,7 @@
 			t.Errorf("message %d has %d bytes", i, len(data))
 		}
 		if last := i+1 == len(messages); update.CachesWhole != last {
-			t.Errorf("message %d of %d says whole: %v", i, len(messages), update.CachesWhole)
+			t.Errorf("message %d of %d reports whole: %v", i, len(messages), update.CachesWhole)
 		}
 		sent = append(sent, update.Caches...)
 	}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -11,8 +11,8 @@
 	"basilrudder/internal/servers"
 )
 
-// Heard implements relay.Fleet. A server's notice about itself counts as much as its
-// entry in the store, and applies to the whole fleet, so it is sent to the peers.
+// ApplyNotice implements relay.Fleet. A server's notice about itself counts as much as
+// its entry in the store, and applies to the whole fleet, so it is sent to the peers.
 func (f *fleet) ApplyNotice(server string, notice servers.Notice, sent, now monotime.Instant) {
 	if notice.Pause > 0 {
 		f.pauseServer(server, notice.Pause, now)
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -48,7 +48,7 @@
 }
 
 // refreshDelay is how long changes of the view are collected. While a fleet starts, each
-// instance learns of the others one by one, and 360 refreshes of half a millisecond would
+// instance discovers the others one by one, and 360 refreshes of half a millisecond would
 // delay the callers of a small machine for a second.
 const refreshDelay = 10 * time.Millisecond
 
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -57,7 +57,7 @@
 
 // Serving implements relay.Fleet. In an outage, runs that others began before it, or
 // whose updates were in transit when it began, are no sign that a server is reachable:
-// callers would be told to retry during the outage.
+// callers would retry during the outage.
 func (f *fleet) Serving(service string, now monotime.Instant) bool {
 	f.mu.Lock()
 	list := f.byService[service]
--- a/internal/gateway/runs.go
+++ b/internal/gateway/runs.go
@@ -42,7 +42,7 @@
 	f.updates.addEnd(run)
 }
 
-// Standing implements relay.Fleet.
+// QueueStatus implements relay.Fleet.
 func (f *fleet) QueueStatus(run int, now monotime.Instant) placement.QueueStatus {
 	return f.board.QueueStatus(placement.RunID{Instance: f.self, Number: run}, now)
 }
--- a/internal/gateway/slowlinks_test.go
+++ b/internal/gateway/slowlinks_test.go
@@ -63,7 +63,7 @@
 	return sum
 }
 
-// Guards against working links that are closed as silent, and against versions and
+// Guards against working links that are closed as unresponsive, and against versions and
 // leaving servers that reach instances late, while large configurations are sent.
 func TestLargeConfigurationsReachInstancesWithSlowLinks(t *testing.T) {
 	const (
@@ -116,14 +116,14 @@
 					}
 				}
 				if late > 0 {
-					t.Errorf("server %s: still gets requests from %d instances %v after it said that it leaves", server, late, leftAlone)
+					t.Errorf("server %s: still gets requests from %d instances %v after it announced that it leaves", server, late, leftAlone)
 				}
 				return nil
 			})
 		}
 		time.Sleep(inForce + leftAlone)
 		if n := silentCloses(fleet); n > 0 {
-			t.Errorf("%d links closed as silent", n)
+			t.Errorf("%d links closed as unresponsive", n)
 		}
 		stopLinked(t, cancel, &tasks)
 	})
--- a/internal/gateway/storesync.go
+++ b/internal/gateway/storesync.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// minStoreBackoff and maxFeedBackoff bound the wait after a failure of the store. The
+	// minStoreBackoff and maxStoreBackoff bound the wait after a failure of the store. The
 	// maximum is short compared to the 2 s in which a change must be in force.
 	minStoreBackoff = 40 * time.Millisecond
 	maxStoreBackoff = 400 * time.Millisecond
@@ -63,7 +63,8 @@
 	maxWatch = 5 * time.Second
 )
 
-// storeSync follows the store.
+// storeSync follows the store while this instance is one of its readers or receives no
+// confirmations.
 type storeSync struct {
 	source        Source
 	fleet         *fleet
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// cacheUpdates returns cache states in messages of bounded size. The last one tells
+// cacheUpdates returns cache states in messages of bounded size. The last one reports
 // whether they cover all engines.
 func (p *peers) cacheUpdates(caches []wire.RelayCache) (out []wire.RelayNews) {
 	for _, some := range splitCaches(caches) {
--- a/internal/gateway/updates_fuzz_test.go
+++ b/internal/gateway/updates_fuzz_test.go
@@ -11,7 +11,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// FuzzNews checks that whatever a peer's frame holds about servers, runs, caches,
+// FuzzNews checks that with any content of a peer's frame about servers, runs, caches,
 // engines, crashes and configurations, the instance goes on placing requests and predicts
 // no negative times.
 func FuzzNews(f *testing.F) {
--- a/internal/limits/overdraw_test.go
+++ b/internal/limits/overdraw_test.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Requests of lower tiers use up the customer's permits and the home says to wait.
+// Requests of lower tiers use up the customer's permits and the home requests a wait.
 // Without an overdraft, top-tier requests would be refused too. They may overdraw by one
 // burst, and lower tiers must wait until the debt is repaid.
 func TestTopTierOverdraftIsRepaidByLowerTiers(t *testing.T) {
--- a/internal/membership/list_test.go
+++ b/internal/membership/list_test.go
@@ -28,7 +28,7 @@
 		w.always(30*time.Second, "all stay", func() bool { return w.sees(w.ids, w.ids) })
 	}
 	if got := w.view("dc1-000").MemberCount; got != 10 {
-		t.Errorf("Known = %d, want 8 members and 2 unknown instances", got)
+		t.Errorf("MemberCount = %d, want 8 members and 2 unknown instances", got)
 	}
 	w.procs["dc1-000"].core.OnInstanceList(w.Now(), leaving)
 	if v := w.view("dc1-000"); len(v.Live) != 1 || len(v.Leaving) != 7 {
@@ -54,6 +54,6 @@
 	}
 	w.settle()
 	if v := w.view(stayed); len(v.Live) != 8 || v.MemberCount != 8 {
-		t.Errorf("%d live, %d known, want 8 and 8", len(v.Live), v.MemberCount)
+		t.Errorf("%d live, %d in all, want 8 and 8", len(v.Live), v.MemberCount)
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("took %v", took)
 		}
 		if got := w.view("dc2-001").MemberCount; got != n {
-			t.Errorf("Known = %d, want %d: the list still names the dead member", got, n)
+			t.Errorf("MemberCount = %d, want %d: the list still names the dead member", got, n)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 		return !found
 	})
 	if got := w.view("dc1-000").MemberCount; got != 63 {
-		t.Errorf("Known = %d, want 63", got)
+		t.Errorf("MemberCount = %d, want 63", got)
 	}
 	if n := w.suspicions(); n != 0 {
 		t.Errorf("%d suspicions for an announced end", n)
@@ -127,7 +127,7 @@
 	w.kill("dc1-000")
 	w.Run(10 * time.Second)
 	if v := w.view("dc2-001"); v.MemberCount != 7 || len(v.Leaving) != 0 {
-		t.Errorf("Known = %d, leaving %v", v.MemberCount, v.Leaving)
+		t.Errorf("MemberCount = %d, leaving %v", v.MemberCount, v.Leaving)
 	}
 }
 
@@ -158,7 +158,7 @@
 	t.Logf("the resumed process: %d of %d live", len(w.view(sleeper).Live), w.view(sleeper).MemberCount)
 	w.until(15*time.Second, "its part agrees again", func() bool { return w.sees(near, near) })
 	if got := w.view(sleeper).MemberCount; got != 16 {
-		t.Errorf("Known = %d, want 16", got)
+		t.Errorf("MemberCount = %d, want 16", got)
 	}
 	w.cut = func(string, string) bool { return false }
 	t.Logf("both parts merged after %v", w.settle())
@@ -216,7 +216,7 @@
 	took := w.settle()
 	t.Logf("40 of 60 members agreed after %v", took)
 	if got := w.view("dc2-001").MemberCount; got != 60 {
-		t.Errorf("Known = %d, want 60", got)
+		t.Errorf("MemberCount = %d, want 60", got)
 	}
 }
 
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -80,7 +80,7 @@
 	b.costJitter = jitter
 }
 
-// Candidate is a server that may take a request.
+// Candidate is a server considered for a request.
 type Candidate struct {
 	// ID of the incarnation.
 	ID string
@@ -231,8 +231,8 @@
 	}
 }
 
-// OwnFirstEvent is FirstEvent for a run of this instance, and also learns the time to
-// first events from it. Reports of other instances arrive too late for that.
+// OwnFirstEvent is FirstEvent for a run of this instance, and also updates the estimated
+// time to first events. Reports of other instances arrive too late for that.
 func (b *Board) OwnFirstEvent(id RunID, now monotime.Instant) {
 	b.FirstEvent(id, now)
 	b.mu.Lock()
--- a/internal/placement/capacity.go
+++ b/internal/placement/capacity.go
@@ -17,8 +17,8 @@
 	// a server would not begin sufficiently sooner elsewhere.
 	NotWorthwhile
 	// AllLimited: the reachable servers sustain only a limited rate of requests, since
-	// they have just started or report so, and have reached it, or they accept none for a
-	// while.
+	// they have just started or advertise a limit, and have reached it, or they accept
+	// none for a while.
 	AllLimited
 )
 
--- a/internal/placement/contention_test.go
+++ b/internal/placement/contention_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// No engine is reachable. The refusal must say so, since callers should retry as soon as
-// one may be tried again, and must not be that all engines are full.
+// No engine is reachable. The refusal must give that reason, since callers should retry
+// as soon as one may be tried again, and must not be that all engines are full.
 func TestUnreachableEnginesAreNotReportedAsFull(t *testing.T) {
 	b := newContendedBoard(1, 59)
 	candidates := engines(3)
--- a/internal/placement/learn.go
+++ b/internal/placement/learn.go
@@ -190,8 +190,8 @@
 // observeFirst passes the time to the first event of r to the model, if no prompt waited
 // to be read when r was sent, as far as reported, and no request was sent until the
 // event. It would not do to rely on the model's prediction that earlier prompts have been
-// read: while the model takes engines for too fast, it would learn from requests that had
-// waited.
+// read: while the model overestimates the speed of engines, it would use requests that
+// had waited.
 func (s *server) observeFirst(r *run, now monotime.Instant) {
 	if r.work.Prompt == 0 || !r.alone || s.begun != r.order {
 		return
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -50,8 +50,8 @@
 	done    bool
 }
 
-// send writes a request and returns the exchange. The verdict of an error says whether
-// the request may have run: it can't have without its complete header.
+// send writes a request and returns the exchange. The verdict of an error is whether the
+// request may have run: it can't have without its complete header.
 func send(ctx context.Context, p *pool, c *conn, head, body []byte, deadline time.Time) (*exchange, *verdict.Error) {
 	e := &exchange{conn: c, pool: p, sentAt: monotime.Now()}
 	e.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -74,8 +74,8 @@
 	cold map[string]bool
 	// coldPlaces is how many calls of Place find all servers rate limited.
 	coldPlaces int
-	// queued is how many calls of QueueState report that the run still waits behind other
-	// prompts.
+	// queued is how many calls of QueueStatus report that the run still waits behind
+	// other prompts.
 	queued int
 	// otherIsSooner means that another server would start a waiting request sooner.
 	otherIsSooner bool
--- a/internal/relay/forwarder.go
+++ b/internal/relay/forwarder.go
@@ -297,7 +297,7 @@
 	rateLimitWaitShare = 0.5
 	maxRateLimitWait   = 500 * time.Millisecond
 	// rateLimitPoll is the interval between attempts to place a waiting request. A longer
-	// one would miss sends that become free meanwhile.
+	// one would use sends late that become allowed meanwhile.
 	rateLimitPoll = 25 * time.Millisecond
 )
 
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -24,7 +24,7 @@
 type Request struct {
 	// ID is chosen by the caller, a new one for each try.
 	ID string
-	// Deadline is how long the caller waits; 0 when the headers do not say.
+	// Deadline is how long the caller waits; 0 if the headers do not state it.
 	Deadline time.Duration
 	// Key is the caller's API key; empty for none.
 	Key string
@@ -57,7 +57,7 @@
 
 // Answer holds the fields of a server's headers that the relay uses.
 type Answer struct {
-	// ID of the request that is answered; empty when the headers do not say.
+	// ID of the request that is answered; empty if the headers have none.
 	ID string
 	// Signed reports that the answer comes from a server that worked on the request.
 	Signed bool
@@ -90,7 +90,8 @@
 	// FetchFrom is the address of the server to fetch the start of the prompt from; empty
 	// for none.
 	FetchFrom string
-	// EntryAge is the time since the store last confirmed its entries for servers.
+	// EntryAge is the time since the store last confirmed the version in force, to this
+	// instance or to a peer.
 	EntryAge time.Duration
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -75,7 +75,8 @@
 	return now.Sub(since), since != 0
 }
 
-// Sweep closes idle connections to servers that are not needed any more.
+// Sweep closes idle connections that reached their timeout or whose server is not needed
+// any more.
 func (r *Relay) Sweep(needed func(server string) bool) {
 	r.pool.sweep(needed)
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -120,7 +120,7 @@
 
 // Servers report their state in answers of every kind: one that is passed on, a refusal,
 // a failure. The instance applies each. A refusal by another incarnation that now holds
-// the address says nothing about the intended server.
+// the address does not concern the intended server.
 func TestServerNoticesAreApplied(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -618,8 +618,8 @@
 	}
 }
 
-// A server refuses connections. If other instances reach some server, the caller must be
-// told to retry at once; in an outage for all, when servers may have recovered.
+// A server refuses connections. If other instances reach some server, the Retry-After
+// time must be short; in an outage for all, servers must have had time to recover.
 func TestRetryAfterIsShortOnlyWhereOtherInstancesServe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, down := range []bool{false, true} {
--- a/internal/relay/retryafter.go
+++ b/internal/relay/retryafter.go
@@ -15,12 +15,13 @@
 	retryNotReady = 300 * time.Millisecond
 	// retryNoServer applies when servers are unreachable: they are tried again.
 	retryNoServer = 200 * time.Millisecond
-	// retryOverloaded applies when all slots of the engines are taken. Slots become free
-	// when streams end, which last one to three seconds. It is jittered: otherwise
-	// callers refused at the same time would all return at the same time.
+	// retryOverloaded applies when all slots of the engines are in use or all servers are
+	// at their rate limits. Slots become free when streams end, which last one to three
+	// seconds. It is jittered: otherwise callers refused at the same time would all
+	// return at the same time.
 	retryOverloaded = 700 * time.Millisecond
-	// retryFull applies when a server's queue is full. The queue advances within a few
-	// steps of the engine.
+	// retryFull applies to refusals of a server and where no other time does. A full
+	// queue advances within a few steps of the engine.
 	retryFull = 150 * time.Millisecond
 )
 
@@ -33,7 +34,7 @@
 	// minOutageShare and maxOutageShare bound the Retry-After time for a service that no
 	// instance reaches, as shares of the caller's remaining time. Callers retry once, and
 	// no later than after a third of that time. Killed servers recover after one to five
-	// seconds: in an outage of 1.5 s, no caller that was told to return after 200 ms was
+	// seconds: in an outage of 1.5 s, no caller with a Retry-After time of 200 ms was
 	// served. A refused request will mostly be late, so a later retry costs it little and
 	// makes an answer more likely.
 	minOutageShare = 1.0 / 6
--- a/internal/servers/cold_test.go
+++ b/internal/servers/cold_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against an older entry, received late from a peer, that makes a warm server cold
-// again. A server starts cold and its next entry says that it is warm.
+// again. A server starts cold and its next entry shows that it is warm.
 func TestEntriesSetHowLongAServerIsCold(t *testing.T) {
 	r := New()
 	now := monotime.Instant(time.Hour)
--- a/internal/servers/era_test.go
+++ b/internal/servers/era_test.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// Guards against a cold server that counts as warm because the copy, older than its
-// start, says so. It stays cold until its own next entry.
+// Guards against a cold server that counts as warm because the copy is older than its
+// start. It stays cold until its own next entry.
 func TestAColdServerStaysColdInANewEra(t *testing.T) {
 	r := New()
 	cold := server("a", 5)
--- a/internal/servers/notice.go
+++ b/internal/servers/notice.go
@@ -6,12 +6,12 @@
 	"basilrudder/internal/monotime"
 )
 
-// Notice is what a server states about itself in an answer.
+// Notice is what a server reports about itself in an answer.
 type Notice struct {
 	// Leaving is true if the server is about to end and accepts no new requests.
 	Leaving bool
 	// Limited is true if the server accepts at most Rate requests a second of all
-	// instances together. It holds for as long as its answers state it.
+	// instances together. It holds for as long as its answers advertise it.
 	Limited bool
 	Rate    float64
 	// Pause is how long the server accepts nothing more from this instance; 0 for no
@@ -19,23 +19,25 @@
 	Pause time.Duration
 }
 
-// RateLimit is the limit that a server states, if any.
+// RateLimit is the limit that a server advertises, if any.
 type RateLimit struct {
-	// Limited is true if it states one.
+	// Limited is true if it advertises one.
 	Limited bool
 	// Rate in requests a second, of all instances together.
 	Rate float64
-	// At is when this was last confirmed: for a limit, when the answer that stated it
-	// arrived; for the end of one, when the request was sent whose answer stated none. 0
-	// if no limit was ever stated.
+	// At is when this was last confirmed: for a limit, when the answer with it arrived;
+	// for the end of one, when the request was sent whose answer had none. 0 if no limit
+	// was ever advertised.
 	At monotime.Instant
 }
 
-// ApplyNotice applies what a server stated in its answer to a request sent at an instant.
+// ApplyNotice applies what a server reported in its answer to a request sent at an
+// instant.
 //
 // Answers of one server may arrive out of order, and an instance may read one late. An
 // answer without a limit ends one only if its request was sent after the limit was last
-// received: then the server wrote it after stating the limit. Leaving is never undone.
+// received: then the server wrote it after advertising the limit. Leaving is never
+// undone.
 func (r *Registry) ApplyNotice(id string, n Notice, sent, now monotime.Instant) Change {
 	rec := r.live[id]
 	if rec == nil {
@@ -70,7 +72,8 @@
 	return Updated
 }
 
-// RateLimit returns the limit that a server states; the zero value for an unknown server.
+// RateLimit returns the limit that a server advertises; the zero value for an unknown
+// server.
 func (r *Registry) RateLimit(id string) RateLimit {
 	if rec := r.live[id]; rec != nil {
 		return rec.rateLimit
@@ -78,7 +81,7 @@
 	return RateLimit{}
 }
 
-// RateLimited returns the ids of the servers that state a limit.
+// RateLimited returns the ids of the servers that advertise a limit.
 func (r *Registry) RateLimited() []string {
 	out := []string{}
 	for _, id := range r.ids() {
--- a/internal/servers/registry.go
+++ b/internal/servers/registry.go
@@ -18,7 +18,7 @@
 	// graceEndsAt is when the server counts as gone unless its entry reappears; 0 while
 	// the store has the entry.
 	graceEndsAt monotime.Instant
-	// rateLimit is the limit that the server states, if any.
+	// rateLimit is the limit that the server advertises, if any.
 	rateLimit RateLimit
 	// firstInEra is the first revision observed of its entry in the entry's era.
 	firstInEra Revision
--- a/internal/servers/removal.go
+++ b/internal/servers/removal.go
@@ -13,8 +13,8 @@
 	// them. It is below 2 s because a server that did leave must get no request later
 	// than 2 s after its removal was acknowledged.
 	RemovalGrace = 1700 * time.Millisecond
-	// tombstoneTTL is how long an incarnation that is gone is remembered. With a shorter
-	// time a late update of a peer would restore it.
+	// tombstoneTTL is how long a tombstone is kept. With a shorter time a late update of
+	// a peer would restore it.
 	tombstoneTTL = 5 * time.Minute
 )
 
--- a/internal/throttle/server.go
+++ b/internal/throttle/server.go
@@ -14,9 +14,9 @@
 	// unreachable is true if no connection to it could be made, so that it may be cold
 	// when it recovers.
 	unreachable bool
-	// rateLimit is the rate that it states, at least probeRate; 0 if it states none.
+	// rateLimit is the rate that it advertises, at least probeRate; 0 for none.
 	rateLimit float64
-	// pausedUntil is when it accepts requests of this instance again, as it stated.
+	// pausedUntil is when it accepts requests of this instance again, as it reported.
 	pausedUntil monotime.Instant
 	// nextAt is when this instance may send the next request.
 	nextAt monotime.Instant
--- a/internal/throttle/throttle.go
+++ b/internal/throttle/throttle.go
@@ -2,8 +2,8 @@
 // capacity.
 //
 // A server that has just started sustains few requests a second and crashes well above
-// that; a server may also state a rate limit. Every instance of the fleet may send to it,
-// and no instance decides for the others. So each limited server has owners among the
+// that; a server may also advertise a rate limit. Every instance of the fleet may send to
+// it, and no instance decides for the others. So each limited server has owners among the
 // live instances, chosen by rendezvous hashing. Only they send to it, each at an even
 // pace, and together at the rate that it sustains. Instances whose lists of members
 // differ for a moment may choose different owners; two disjoint sets of owners send at
@@ -53,9 +53,9 @@
 	// the delay of updates, and a fleet that serves a service sends it some requests in
 	// that time; with a shorter window a server in use could count as unused.
 	inUseWindow = 300 * time.Millisecond
-	// probeRate is the minimum rate, in requests a second, also for a server that states
-	// a lower one. Only an answer shows that its limit has ended, so a server that got no
-	// requests would stay limited for good.
+	// probeRate is the minimum rate, in requests a second, also for a server that
+	// advertises a lower one. Only an answer shows that its limit has ended, so a server
+	// that got no requests would stay limited for good.
 	probeRate = 0.2
 	// maxRecent bounds the requests recorded of a server. It must exceed what any cold
 	// server sustains in a second, or the count would never reach that rate.
@@ -119,14 +119,15 @@
 	l.update(id, func(s *server) { s.coldUntil = until })
 }
 
-// SetRateLimit records the rate limit that a server states, over all instances together.
+// SetRateLimit records the rate limit that a server advertises, over all instances
+// together.
 func (l *Limiter) SetRateLimit(id string, rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.update(id, func(s *server) { s.rateLimit = max(rate, probeRate) })
 }
 
-// ClearRateLimit records that a server states no rate limit.
+// ClearRateLimit records that a server advertises no rate limit.
 func (l *Limiter) ClearRateLimit(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -278,7 +278,7 @@
 	}
 }
 
-// Guards against exceeding the lower of the cold limit and the stated rate limit.
+// Guards against exceeding the lower of the cold limit and the advertised rate limit.
 func TestTheLowerOfTwoLimitsHolds(t *testing.T) {
 	for _, named := range []float64{1, 20} {
 		s := newSimulation(1, 1, 0)
