--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -92,19 +92,19 @@
 	return servers.Server{ID: id, Name: id, Service: "svc", Address: "10.0.0.1:" + id, Slots: 4, Revision: revision}
 }
 
-// newFleet returns a fleet without links, its feed, and the source of the feed.
-func newFleet() (*fleet, *feed, *fakeSource) {
+// newFleet returns a fleet without links, its storeSync, and the source of that.
+func newFleet() (*fleet, *storeSync, *fakeSource) {
 	source := &fakeSource{}
 	f := &fleet{
 		self: "me", log: zap.NewNop(), board: placement.NewBoard(pace.DefaultPrior, "here"),
-		budget: newRetryBudget(0.2, 56, 10*time.Second), members: func() int { return 8 },
+		budget: newRetryBudget(0.2, 56, 10*time.Second), memberCount: func() int { return 8 },
 		registry: servers.New(), updates: newUpdateBatcher(),
 		throttle: throttle.New("me", monotime.Now()),
 		outages:  newOutageDetector(), publish: func(*routing.Config) {},
 	}
 	f.crashes = newCrashTracker(f.updates, f.log)
 	f.resetConfirmations()
-	fd := &feed{source: source, fleet: f, log: zap.NewNop(), minWatch: time.Second, answerTimeout: 500 * time.Millisecond, confirming: make(chan struct{}, 1), rank: func() (int, int) { return 0, 1 }, hasHub: func() bool { return false }}
+	fd := &storeSync{source: source, fleet: f, log: zap.NewNop(), minWatch: time.Second, answerTimeout: 500 * time.Millisecond, confirming: make(chan struct{}, 1), rank: func() (int, int) { return 0, 1 }, hasHub: func() bool { return false }}
 	return f, fd, source
 }
 
@@ -285,7 +285,7 @@
 func TestConnectionsAreSharedOut(t *testing.T) {
 	f, _, _ := newFleet()
 	for _, c := range []struct{ most, members, want int }{{370, 8, 46}, {110, 8, 13}, {10, 59, minConnections}, {0, 8, 0}} {
-		f.members = func() int { return c.members }
+		f.memberCount = func() int { return c.members }
 		if got := f.connectionShare(c.most); got != c.want {
 			t.Errorf("share of %d among %d: %d, want %d", c.most, c.members, got, c.want)
 		}
@@ -333,9 +333,9 @@
 	})
 }
 
-// All watches of the fleet stop receiving. The instance whose watch ends first notices
-// and informs the others; each must learn of a change within two seconds, whatever the
-// number of instances.
+// All watches of the fleet stop receiving. The instance whose watch ends first detects
+// that and informs the others; each must receive a change within two seconds, whatever
+// the number of instances.
 func TestWatchesOfAFleetEndOftenEnough(t *testing.T) {
 	_, fd, _ := newFleet()
 	fd.minWatch = 1100 * time.Millisecond
@@ -351,8 +351,8 @@
 }
 
 // Many servers start together, and each change in the store answers the watch at once.
-// The instance must wait between watches: every answer is paid for, and it need not learn
-// of each server within a few milliseconds.
+// The instance must wait between watches: every answer is paid for, and a new server is
+// not needed within a few milliseconds.
 func TestManyChangesDoNotMakeAWatchEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, fd, source := newFleet()
@@ -427,7 +427,7 @@
 			})
 			other := map[string]string{"a": "b", "b": "a"}[name]
 			p := linkedPeers(f, name, wire.RelayMember{ID: other})
-			gateways[name] = &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, feed: fd, peers: p}
+			gateways[name] = &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, storeSync: fd, peers: p}
 		}
 		for _, g := range gateways {
 			if err := g.discoverCaches(t.Context()); err != nil {
@@ -463,7 +463,7 @@
 			reader.parts[s.Address] = []placement.Part{part}
 			put(f, fromStore, s)
 		}
-		g := &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, feed: fd, peers: linkedPeers(f, "me")}
+		g := &Gateway{cfg: Config{Caches: reader, Log: zap.NewNop()}, fleet: f, storeSync: fd, peers: linkedPeers(f, "me")}
 		g.peers.applyCaches(&wire.RelayNews{Caches: []wire.RelayCache{{Server: "e1", Parts: encodeParts([]placement.Part{part})}}})
 		if g.peers.cacheUpdates(f.cacheStates())[0].CachesWhole {
 			t.Error("reports complete caches after a partial update")
@@ -667,7 +667,7 @@
 // Servers start together and change the store continuously. Each change answers the
 // watches of all readers, and each answer is paid for. All six together may call the
 // store about as often as two that watch again at once, and the first in rank often
-// enough to learn of changes soon.
+// enough to receive changes soon.
 func TestReadersOfABusyStoreTakeTurns(t *testing.T) {
 	const length = 6 * time.Second
 	sum := 0
@@ -736,7 +736,7 @@
 			t.Errorf("message %d has %d bytes", i, len(data))
 		}
 		if last := i+1 == len(messages); update.CachesWhole != last {
-			t.Errorf("message %d of %d says whole: %v", i, len(messages), update.CachesWhole)
+			t.Errorf("message %d of %d reports whole: %v", i, len(messages), update.CachesWhole)
 		}
 		sent = append(sent, update.Caches...)
 	}
--- a/internal/gateway/updates.go
+++ b/internal/gateway/updates.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// cacheUpdates returns cache states in messages of bounded size. The last one tells
+// cacheUpdates returns cache states in messages of bounded size. The last one reports
 // whether they cover all engines.
 func (p *peers) cacheUpdates(caches []wire.RelayCache) (out []wire.RelayNews) {
 	for _, some := range splitCaches(caches) {
@@ -233,8 +233,8 @@
 					ColdLeft: milliseconds(s.ColdMS),
 				}, now)
 			}
-			bound := r.SetRateLimit(s.ID, decodeLimit(&s, now))
-			if change != servers.Unchanged || bound != servers.Unchanged {
+			limitChange := r.SetRateLimit(s.ID, decodeRateLimit(&s, now))
+			if change != servers.Unchanged || limitChange != servers.Unchanged {
 				ids = append(ids, s.ID)
 			}
 		}
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -330,7 +330,7 @@
 // slotShare returns the fraction live/total of a group's slots that this node may grant.
 func (n *Node) slotShare(view *membership.View) (live, total int) {
 	if n.cfg.Ownership == Shared {
-		return 1, max(view.Known, 1)
+		return 1, max(view.MemberCount, 1)
 	}
 	return ShareOf(view)
 }
@@ -339,5 +339,5 @@
 // all. During a partition, each part uses about that share of a server that both reach.
 func ShareOf(view *membership.View) (live, total int) {
 	live = len(view.Live) + len(view.Leaving)
-	return live, max(view.Known, live)
+	return live, max(view.MemberCount, live)
 }
--- a/internal/node/world_test.go
+++ b/internal/node/world_test.go
@@ -204,7 +204,7 @@
 // publishViews gives every process a membership view; with faults, views are partly wrong.
 func (w *world) publishViews() {
 	for _, p := range w.procs {
-		view := &membership.View{Known: len(w.procs)}
+		view := &membership.View{MemberCount: len(w.procs)}
 		for _, q := range w.procs {
 			if q != p && (q.dead || w.chance(20)) {
 				continue
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -25,7 +25,7 @@
 // Board is the model of all servers. It is safe for concurrent use.
 type Board struct {
 	prior      pace.Pace
-	home       string // data centre of this instance
+	dataCentre string // data centre of this instance
 	costJitter float64
 
 	mu         sync.Mutex
@@ -53,7 +53,7 @@
 func NewBoard(prior pace.Pace, dataCentre string) *Board {
 	return &Board{
 		prior:          prior,
-		home:           dataCentre,
+		dataCentre:     dataCentre,
 		rand:           newRand(),
 		servers:        make(map[string]*server),
 		kinds:          make(map[string]*engineKind),
@@ -80,7 +80,7 @@
 	b.costJitter = jitter
 }
 
-// Candidate is a server that may take a request.
+// Candidate is a server considered for a request.
 type Candidate struct {
 	// ID of the incarnation.
 	ID string
@@ -231,8 +231,8 @@
 	}
 }
 
-// OwnFirstEvent is FirstEvent for a run of this instance, and also learns the time to
-// first events from it. Reports of other instances arrive too late for that.
+// OwnFirstEvent is FirstEvent for a run of this instance, and also updates the estimated
+// time to first events. Reports of other instances arrive too late for that.
 func (b *Board) OwnFirstEvent(id RunID, now monotime.Instant) {
 	b.FirstEvent(id, now)
 	b.mu.Lock()
--- a/internal/relay/fake_test.go
+++ b/internal/relay/fake_test.go
@@ -74,8 +74,8 @@
 	cold map[string]bool
 	// coldPlaces is how many calls of Place find all servers rate limited.
 	coldPlaces int
-	// queued is how many calls of QueueState report that the run still waits behind other
-	// prompts.
+	// queued is how many calls of QueueStatus report that the run still waits behind
+	// other prompts.
 	queued int
 	// otherIsSooner means that another server would start a waiting request sooner.
 	otherIsSooner bool
@@ -126,9 +126,9 @@
 	f.begun = append(f.begun, target.ID)
 	return len(f.begun), true
 }
-func (f *fakeFleet) First(int, monotime.Instant) {}
+func (f *fakeFleet) FirstEvent(int, monotime.Instant) {}
 
-func (f *fakeFleet) QueueState(int, monotime.Instant) placement.QueueStatus {
+func (f *fakeFleet) QueueStatus(int, monotime.Instant) placement.QueueStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.queued == 0 {
--- a/internal/relay/protocol.go
+++ b/internal/relay/protocol.go
@@ -24,7 +24,7 @@
 type Request struct {
 	// ID is chosen by the caller, a new one for each try.
 	ID string
-	// Deadline is how long the caller waits; 0 when the headers do not say.
+	// Deadline is how long the caller waits; 0 if the headers do not state it.
 	Deadline time.Duration
 	// Key is the caller's API key; empty for none.
 	Key string
@@ -57,7 +57,7 @@
 
 // Answer holds the fields of a server's headers that the relay uses.
 type Answer struct {
-	// ID of the request that is answered; empty when the headers do not say.
+	// ID of the request that is answered; empty if the headers have none.
 	ID string
 	// Signed reports that the answer comes from a server that worked on the request.
 	Signed bool
@@ -90,7 +90,8 @@
 	// FetchFrom is the address of the server to fetch the start of the prompt from; empty
 	// for none.
 	FetchFrom string
-	// EntryAge is the time since the store last confirmed its entries for servers.
+	// EntryAge is the time since the store last confirmed the version in force, to this
+	// instance or to a peer.
 	EntryAge time.Duration
 }
 
@@ -112,12 +113,12 @@
 	// returns the run's number, or false if the server may not get the request now after
 	// all. Events takes the number of stream events that have just arrived.
 	Begin(target Target, work placement.Work, now monotime.Instant) (run int, ok bool)
-	First(run int, now monotime.Instant)
+	FirstEvent(run int, now monotime.Instant)
 	Events(run, count int, now monotime.Instant)
 	End(run int, now monotime.Instant)
-	// QueueState returns the estimated position of a run in the server's queue while the
+	// QueueStatus returns the estimated position of a run in the server's queue while the
 	// server has not answered.
-	QueueState(run int, now monotime.Instant) placement.QueueStatus
+	QueueStatus(run int, now monotime.Instant) placement.QueueStatus
 	// Observe records the outcome of a request at a server.
 	Observe(server string, outcome placement.Outcome, now monotime.Instant)
 	// AnySuspected reports whether any request is suspected of crashing servers. While
