--- a/internal/confsync/bench_test.go
+++ b/internal/confsync/bench_test.go
@@ -43,7 +43,7 @@
 	net.ring(s.instances, 7, 6)
 	content := map[string]string{"a": pad("one", 64<<10), "b": pad("rest", 512<<10)}
 	net.platform.publish(5, content)
-	net.link()
+	net.updateLinks()
 	net.Run(20 * time.Second)
 	net.wantRevision(5)
 	idle := net.bytes
@@ -76,7 +76,7 @@
 	net := newNetwork(b)
 	net.ring(8, 1, 4)
 	net.platform.publish(5, values(5))
-	net.link()
+	net.updateLinks()
 	net.Run(time.Second)
 	n := net.nodes[net.ids[0]]
 	now := net.Now()
--- a/internal/confsync/candidate.go
+++ b/internal/confsync/candidate.go
@@ -29,7 +29,7 @@
 	publishedAt monotime.Instant
 }
 
-func (c *Core) candidate(now monotime.Instant, id revisionID) *candidate {
+func (c *Core) ensureCandidate(now monotime.Instant, id revisionID) *candidate {
 	found := c.candidates[id]
 	if found == nil {
 		found = &candidate{id: id, failed: make(map[string]bool), retryAt: now}
@@ -46,7 +46,7 @@
 			c.removePeer(other, from)
 		}
 	}
-	cand := c.candidate(now, id)
+	cand := c.ensureCandidate(now, id)
 	if slices.Contains(cand.peers, from) {
 		return
 	}
@@ -83,22 +83,22 @@
 	}
 }
 
-// best returns the highest candidate worth a try now, or nil. Between two of
+// bestCandidate returns the highest candidate worth a try now, or nil. Between two of
 // one number the lower hash goes first, the same at every instance.
-func (c *Core) best(now monotime.Instant) *candidate {
+func (c *Core) bestCandidate(now monotime.Instant) *candidate {
 	var best *candidate
 	for _, cand := range c.candidates {
 		if now.Before(cand.retryAt) || !cand.hasSource() {
 			continue
 		}
-		if best == nil || cand.above(best) {
+		if best == nil || cand.outranks(best) {
 			best = cand
 		}
 	}
 	return best
 }
 
-func (cand *candidate) above(other *candidate) bool {
+func (cand *candidate) outranks(other *candidate) bool {
 	if cand.id.number != other.id.number {
 		return cand.id.number > other.id.number
 	}
@@ -106,14 +106,14 @@
 }
 
 func (cand *candidate) hasSource() bool {
-	return cand.fromPlatform() || len(cand.untried()) > 0
+	return cand.platformUntried() || len(cand.untriedPeers()) > 0
 }
 
-func (cand *candidate) fromPlatform() bool {
+func (cand *candidate) platformUntried() bool {
 	return cand.platformAt != 0 && !cand.failed[platformSource]
 }
 
-func (cand *candidate) untried() []string {
+func (cand *candidate) untriedPeers() []string {
 	out := make([]string, 0, len(cand.peers))
 	for _, id := range cand.peers {
 		if !cand.failed[id] {
@@ -123,9 +123,9 @@
 	return out
 }
 
-// giveUp ends an attempt in which every source failed. The platform has to
+// failAttempt ends an attempt in which every source failed. The platform has to
 // tell of the revision anew: a value may have been replaced in the meantime.
-func (c *Core) giveUp(now monotime.Instant, cand *candidate) {
+func (c *Core) failAttempt(now monotime.Instant, cand *candidate) {
 	cand.failures++
 	cand.retryAt = now.Add(c.backoff(cand.failures, backoffMax))
 	clear(cand.failed)
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -21,9 +21,9 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Call is the number of one call to the platform. Answers carry it back, so
+// CallID is the number of one call to the platform. Answers carry it back, so
 // that one which comes after its call was given up is told from a fresh one.
-type Call uint64
+type CallID uint64
 
 // Effects is what the core does to the world. Calls to the platform are
 // answered through the On methods of Core, later and never from within.
@@ -32,13 +32,13 @@
 	SendPeer(to string, envelope *wire.Envelope)
 	// Watch waits up to wait for a revision or an instance list newer than
 	// given; OnWatch answers.
-	Watch(call Call, revision uint64, instances int, wait time.Duration)
+	Watch(call CallID, revision uint64, instances int, wait time.Duration)
 	// FetchManifest reads the manifest; OnManifest answers.
-	FetchManifest(call Call)
+	FetchManifest(call CallID)
 	// FetchChunk reads one value; OnChunk answers.
-	FetchChunk(call Call, key string)
+	FetchChunk(call CallID, key string)
 	// FetchInstances reads the instance list; OnInstances answers.
-	FetchInstances(call Call)
+	FetchInstances(call CallID)
 	// Install checks a revision and puts it in force. An error refuses it as a
 	// whole, for good.
 	Install(revision uint64, files []inventory.File) error
@@ -50,16 +50,16 @@
 type PeersOnly struct{}
 
 // Watch implements Effects.
-func (PeersOnly) Watch(Call, uint64, int, time.Duration) {}
+func (PeersOnly) Watch(CallID, uint64, int, time.Duration) {}
 
 // FetchManifest implements Effects.
-func (PeersOnly) FetchManifest(Call) {}
+func (PeersOnly) FetchManifest(CallID) {}
 
 // FetchChunk implements Effects.
-func (PeersOnly) FetchChunk(Call, string) {}
+func (PeersOnly) FetchChunk(CallID, string) {}
 
 // FetchInstances implements Effects.
-func (PeersOnly) FetchInstances(Call) {}
+func (PeersOnly) FetchInstances(CallID) {}
 
 // Member is an instance that is believed to live.
 type Member struct {
@@ -86,35 +86,35 @@
 	ReadersPerDC int
 	// Seed of the jitter.
 	Seed uint64
-	// AskEvery is how often each neighbour is asked for its revision.
-	AskEvery time.Duration
+	// QueryInterval is how often each neighbour is asked for its revision.
+	QueryInterval time.Duration
 	// WatchWait is how long a watch waits at the platform.
 	WatchWait time.Duration
 	// CallTimeout is how long a read of the platform may take; a watch may take
 	// that much longer than its wait.
 	CallTimeout time.Duration
-	// PartTimeout is how long a neighbour may take to send the next piece.
-	PartTimeout time.Duration
-	// QuietAfter is the silence of all neighbours that turns a learner into an
+	// PieceTimeout is how long a neighbour may take to send the next piece.
+	PieceTimeout time.Duration
+	// PeerTimeout is the silence of all neighbours that turns a learner into an
 	// extra reader.
-	QuietAfter time.Duration
-	// UnrootedAfter is the age of the platform's last word, to anybody's
+	PeerTimeout time.Duration
+	// MaxPlatformAge is the age of the platform's last word, to anybody's
 	// knowledge, that turns a learner into an extra reader.
-	UnrootedAfter time.Duration
-	// PauseAfter is the time between two ticks that counts as a pause.
-	PauseAfter time.Duration
+	MaxPlatformAge time.Duration
+	// PauseThreshold is the time between two ticks that counts as a pause.
+	PauseThreshold time.Duration
 }
 
 // Defaults of Config.
 const (
-	DefaultReadersPerDC  = 2
-	DefaultAskEvery      = 2 * time.Second
-	DefaultWatchWait     = 10 * time.Second
-	DefaultCallTimeout   = 3 * time.Second
-	DefaultPartTimeout   = time.Second
-	DefaultQuietAfter    = 6 * time.Second
-	DefaultUnrootedAfter = 45 * time.Second
-	DefaultPauseAfter    = 2 * time.Second
+	DefaultReadersPerDC   = 2
+	DefaultQueryInterval  = 2 * time.Second
+	DefaultWatchWait      = 10 * time.Second
+	DefaultCallTimeout    = 3 * time.Second
+	DefaultPieceTimeout   = time.Second
+	DefaultPeerTimeout    = 6 * time.Second
+	DefaultMaxPlatformAge = 45 * time.Second
+	DefaultPauseThreshold = 2 * time.Second
 )
 
 // Limits of what is accepted and remembered.
@@ -128,27 +128,27 @@
 	// MaxChunks is the number of values of a revision.
 	MaxChunks = 4096
 
-	piecesPerWant   = 4
-	fetchesAtOnce   = 4
-	maxRefused      = 64
-	backoffMin      = 250 * time.Millisecond
-	backoffMax      = 15 * time.Second
-	extraBackoff    = 60 * time.Second
-	extraFailures   = 4
-	coldGrace       = 500 * time.Millisecond
-	coldGraceListed = 3 * time.Second
-	wakeAskEvery    = 500 * time.Millisecond
-	wakeAloneAfter  = 2 * time.Second
+	piecesPerRequest       = 4
+	maxConcurrentItems     = 4
+	maxRefused             = 64
+	backoffMin             = 250 * time.Millisecond
+	backoffMax             = 15 * time.Second
+	extraReaderBackoffMax  = 60 * time.Second
+	extraReaderMinFailures = 4
+	bootstrapGrace         = 500 * time.Millisecond
+	bootstrapGraceListed   = 3 * time.Second
+	resumeQueryInterval    = 500 * time.Millisecond
+	resumeTrustDelay       = 2 * time.Second
 )
 
 func (cfg Config) withDefaults() Config {
-	cfg.AskEvery = cmp.Or(cfg.AskEvery, DefaultAskEvery)
+	cfg.QueryInterval = cmp.Or(cfg.QueryInterval, DefaultQueryInterval)
 	cfg.WatchWait = cmp.Or(cfg.WatchWait, DefaultWatchWait)
 	cfg.CallTimeout = cmp.Or(cfg.CallTimeout, DefaultCallTimeout)
-	cfg.PartTimeout = cmp.Or(cfg.PartTimeout, DefaultPartTimeout)
-	cfg.QuietAfter = cmp.Or(cfg.QuietAfter, DefaultQuietAfter)
-	cfg.UnrootedAfter = cmp.Or(cfg.UnrootedAfter, DefaultUnrootedAfter)
-	cfg.PauseAfter = cmp.Or(cfg.PauseAfter, DefaultPauseAfter)
+	cfg.PieceTimeout = cmp.Or(cfg.PieceTimeout, DefaultPieceTimeout)
+	cfg.PeerTimeout = cmp.Or(cfg.PeerTimeout, DefaultPeerTimeout)
+	cfg.MaxPlatformAge = cmp.Or(cfg.MaxPlatformAge, DefaultMaxPlatformAge)
+	cfg.PauseThreshold = cmp.Or(cfg.PauseThreshold, DefaultPauseThreshold)
 	if cfg.ReadersPerDC == 0 {
 		cfg.ReadersPerDC = DefaultReadersPerDC
 	}
@@ -172,31 +172,31 @@
 	startedAt monotime.Instant
 	lastTick  monotime.Instant
 
-	live       []Member
-	listed     []Member
-	neighbours []string
-	reader     bool
-	extra      bool
+	live        []Member
+	listed      []Member
+	neighbours  []string
+	reader      bool
+	extraReader bool
 
 	current    revision
 	refused    []revisionID
 	candidates map[revisionID]*candidate
 	fetch      *fetch
 	conflicts  map[conflictKey]bool
-	// spare holds values of a fetch that failed, by hash.
-	spare map[string][]byte
-	// share places the instance among those that act for one cause.
-	share float64
+	// retained holds values of a fetch that failed, by hash.
+	retained map[string][]byte
+	// staggerFraction places the instance among those that act for one cause.
+	staggerFraction float64
 
 	platform platformState
 	gossip   gossipState
 
-	confirmedAt monotime.Instant
-	confirmed   bool
-	wokeAt      monotime.Instant
-	woken       bool
-	rootedAt    monotime.Instant
-	rooted      bool
+	confirmedAt         monotime.Instant
+	confirmed           bool
+	resumedAt           monotime.Instant
+	resuming            bool
+	platformConfirmedAt monotime.Instant
+	platformConfirmed   bool
 
 	stats Stats
 }
@@ -211,12 +211,12 @@
 		lastTick:   now,
 		candidates: make(map[revisionID]*candidate),
 		conflicts:  make(map[conflictKey]bool),
-		spare:      make(map[string][]byte),
+		retained:   make(map[string][]byte),
 	}
-	c.share = c.rng.Float64()
+	c.staggerFraction = c.rng.Float64()
 	c.platform = newPlatformState(now)
-	c.gossip = newGossipState(now.Add(c.jitter(cfg.AskEvery)))
-	c.elect()
+	c.gossip = newGossipState(now.Add(c.jitter(cfg.QueryInterval)))
+	c.electReader()
 	return c
 }
 
@@ -243,15 +243,15 @@
 // PlatformAge returns the time since the platform confirmed the revision to
 // this instance or to one it heard of; NeverConfirmed for unknown.
 func (c *Core) PlatformAge(now monotime.Instant) time.Duration {
-	if !c.rooted {
+	if !c.platformConfirmed {
 		return NeverConfirmed
 	}
-	return now.Sub(c.rootedAt)
+	return now.Sub(c.platformConfirmedAt)
 }
 
 // Reader reports whether the instance watches the platform now.
 func (c *Core) Reader() bool {
-	return c.reader || c.extra
+	return c.reader || c.extraReader
 }
 
 // Stats returns the counters.
@@ -268,26 +268,26 @@
 		c.confirmedAt = asked
 	}
 	c.confirmed = true
-	c.woken = false
+	c.resuming = false
 }
 
-func (c *Core) root(at monotime.Instant) {
-	if !c.rooted || c.rootedAt.Before(at) {
-		c.rootedAt = at
+func (c *Core) confirmPlatform(at monotime.Instant) {
+	if !c.platformConfirmed || c.platformConfirmedAt.Before(at) {
+		c.platformConfirmedAt = at
 	}
-	c.rooted = true
+	c.platformConfirmed = true
 }
 
 // Tick drives timeouts; call it several times a second.
 func (c *Core) Tick(now monotime.Instant, eff Effects) {
-	if gap := now.Sub(c.lastTick); gap > c.cfg.PauseAfter {
+	if gap := now.Sub(c.lastTick); gap > c.cfg.PauseThreshold {
 		c.OnPaused(now, gap, eff)
 	}
 	c.lastTick = now
 	c.expireCalls(now, eff)
-	c.expireParts(now)
-	c.choosePlatformRole(now)
-	c.askIfDue(now, eff)
+	c.expirePieces(now)
+	c.updateExtraReader(now)
+	c.queryIfDue(now, eff)
 	c.advance(now, eff)
 }
 
@@ -305,10 +305,10 @@
 func (c *Core) OnPaused(now monotime.Instant, _ time.Duration, eff Effects) {
 	c.lastTick = now
 	c.confirmed = false
-	c.woken = true
-	c.wokeAt = now
-	c.platform.forget(now)
-	c.gossip.forget(now)
+	c.resuming = true
+	c.resumedAt = now
+	c.platform.reset(now)
+	c.gossip.reset(now)
 	c.fetch.restart(now)
 	c.announce(now, eff)
 	c.advance(now, eff)
--- a/internal/confsync/confsync_test.go
+++ b/internal/confsync/confsync_test.go
@@ -21,19 +21,19 @@
 	}
 }
 
-// settled is a fleet at revision 5.
-func settled(t *testing.T, n, dcs int) *network {
+// newSettledFleet is a fleet at revision 5.
+func newSettledFleet(t *testing.T, n, dcs int) *network {
 	net := newNetwork(t)
 	net.ring(n, dcs, 4)
 	net.platform.publish(5, values(5))
-	net.link()
+	net.updateLinks()
 	net.Run(5 * time.Second)
 	net.wantRevision(5)
 	return net
 }
 
 func TestAChangeReachesAllThroughFewReaders(t *testing.T) {
-	net := settled(t, 24, 3)
+	net := newSettledFleet(t, 24, 3)
 	calls := net.platform.calls
 	net.platform.publish(6, values(6))
 	net.Run(time.Second)
@@ -54,19 +54,19 @@
 	}
 }
 
-func TestAStalePlatformNeverWins(t *testing.T) {
+func TestStalePlatformDoesNotLowerRevision(t *testing.T) {
 	// The platform's replica that answers falls back to revision 4, to the
 	// readers and to a process that starts then. Callers see servers that were
 	// withdrawn in revision 5 get work again if anybody believes it. The highest
 	// revision known to a neighbour is newer by definition, so it stays.
-	net := settled(t, 8, 2)
+	net := newSettledFleet(t, 8, 2)
 	net.platform.publish(4, values(4))
 	for _, n := range net.nodes {
 		n.pause()
 	}
 	net.Run(5 * time.Second)
 	for _, n := range net.nodes {
-		n.wake()
+		n.resume()
 	}
 	net.Run(20 * time.Second)
 	net.wantRevision(5)
@@ -82,11 +82,11 @@
 	net.wantRevision(6)
 }
 
-func TestReplacementOfAllButOneWithThePlatformDown(t *testing.T) {
+func TestNewInstancesFetchFromLastPeerWhilePlatformDown(t *testing.T) {
 	// The platform dies, then every instance but one is replaced. The new ones
 	// have nothing on disk and nobody to read from but that one neighbour: they
 	// must come up with its revision and not wait for the platform.
-	net := settled(t, 8, 2)
+	net := newSettledFleet(t, 8, 2)
 	net.platform.down = true
 	survivor := net.ids[3]
 	for _, id := range net.ids {
@@ -96,11 +96,11 @@
 			net.start(id, old.dc, old.neighbours)
 		}
 	}
-	net.link()
+	net.updateLinks()
 	net.Run(3 * time.Second)
 	net.wantRevision(5)
 	for _, id := range net.ids {
-		if _, age := net.nodes[id].core.Confirmed(net.Now()); age > 2*DefaultAskEvery {
+		if _, age := net.nodes[id].core.Confirmed(net.Now()); age > 2*DefaultQueryInterval {
 			t.Errorf("%s: confirmed %v ago", id, age)
 		}
 	}
@@ -110,14 +110,14 @@
 	net.wantRevision(6)
 }
 
-func TestAWokenProcessIsNotConfirmedByWhatLayInItsBuffers(t *testing.T) {
+func TestBufferedAnswersDoNotConfirmAfterPause(t *testing.T) {
 	// An instance sleeps for a minute; revision 6 withdraws a server meanwhile.
 	// Its socket buffers hold answers from before the change, which all say that
 	// 5 is the latest. Were they believed, it would send its queue to the
 	// withdrawn server. Only the answer to a question asked after waking counts.
-	net := settled(t, 8, 2)
+	net := newSettledFleet(t, 8, 2)
 	n := net.nodes[net.ids[2]]
-	for asked := n.core.gossip.question; n.core.gossip.question == asked; {
+	for before := n.core.gossip.lastQuery; n.core.gossip.lastQuery == before; {
 		net.Run(peerDelay / 2)
 	}
 	n.pause()
@@ -129,13 +129,13 @@
 	net.platform.publish(6, values(6))
 	n.offline = true
 	net.Run(time.Second)
-	n.wake()
+	n.resume()
 	net.Run(time.Second)
 	if revision, age := n.core.Confirmed(net.Now()); revision != 5 || age != NeverConfirmed {
 		t.Errorf("revision %d confirmed %v ago", revision, age)
 	}
 	net.cut = func(a, b string) bool { return false }
-	net.Run(2 * wakeAskEvery)
+	net.Run(2 * resumeQueryInterval)
 	if revision, age := n.core.Confirmed(net.Now()); revision != 6 || age > time.Second {
 		t.Errorf("after the links came back: revision %d confirmed %v ago", revision, age)
 	}
@@ -145,7 +145,7 @@
 	// A machine is suspended, and its clock with it. The answer to a watch from
 	// before lies in the buffer of a reader and looks as young as ever. Were it
 	// believed, the reader would dispatch by a revision that is long out of date.
-	net := settled(t, 4, 1)
+	net := newSettledFleet(t, 4, 1)
 	for _, id := range net.ids {
 		n := net.nodes[id]
 		if !n.core.Reader() {
@@ -165,26 +165,26 @@
 	}
 }
 
-func TestAllWakeTogetherWithThePlatformDown(t *testing.T) {
+func TestFleetResumesTogetherWithPlatformDown(t *testing.T) {
 	// The whole fleet stops at once, as when its machines are suspended, and the
 	// platform is down when it wakes. Nobody stayed awake to confirm anything; if
 	// each waited for one who did, the fleet would refuse work for ever.
-	net := settled(t, 8, 2)
+	net := newSettledFleet(t, 8, 2)
 	net.platform.down = true
 	for _, n := range net.nodes {
 		n.pause()
 	}
 	net.Run(time.Minute)
 	for _, n := range net.nodes {
-		n.wake()
+		n.resume()
 	}
-	net.Run(wakeAloneAfter / 2)
+	net.Run(resumeTrustDelay / 2)
 	for _, n := range net.nodes {
 		if _, age := n.core.Confirmed(net.Now()); age != NeverConfirmed {
 			t.Errorf("%s: confirmed %v ago, too early", n.id, age)
 		}
 	}
-	net.Run(wakeAloneAfter + time.Second)
+	net.Run(resumeTrustDelay + time.Second)
 	for _, n := range net.nodes {
 		if _, age := n.core.Confirmed(net.Now()); age > 2*time.Second {
 			t.Errorf("%s: confirmed %v ago", n.id, age)
@@ -196,13 +196,13 @@
 	// The network splits and only one part reaches the platform. That part goes
 	// to revision 6 while the other keeps 5. After the heal all are at 6 within
 	// seconds and nobody has gone back.
-	net := settled(t, 12, 2)
+	net := newSettledFleet(t, 12, 2)
 	left := func(id string) bool { return id < net.ids[6] }
 	net.cut = func(a, b string) bool { return left(a) != left(b) }
 	for _, n := range net.nodes {
 		n.offline = left(n.id)
 	}
-	net.link()
+	net.updateLinks()
 	net.platform.publish(6, values(6))
 	net.Run(30 * time.Second)
 	for _, n := range net.nodes {
@@ -213,7 +213,7 @@
 		if n.core.Revision() != want {
 			t.Errorf("%s is at %d, want %d", n.id, n.core.Revision(), want)
 		}
-		if _, age := n.core.Confirmed(net.Now()); age > 2*DefaultAskEvery {
+		if _, age := n.core.Confirmed(net.Now()); age > 2*DefaultQueryInterval {
 			t.Errorf("%s: confirmed %v ago inside its part", n.id, age)
 		}
 	}
@@ -221,19 +221,19 @@
 		t.Errorf("the platform's last word is %v old without the platform", age)
 	}
 	net.cut = func(a, b string) bool { return false }
-	net.link()
+	net.updateLinks()
 	net.Run(3 * time.Second)
 	net.wantRevision(6)
 }
 
-func TestAnIsolatedInstanceGrowsOld(t *testing.T) {
+func TestConfirmationAgeGrowsWhileIsolated(t *testing.T) {
 	// One instance reaches neither a neighbour nor the platform. It keeps its
 	// revision, and its age grows so that the node can stop serving in time.
-	net := settled(t, 4, 1)
+	net := newSettledFleet(t, 4, 1)
 	n := net.nodes[net.ids[1]]
 	n.offline = true
 	net.cut = func(a, b string) bool { return a == n.id || b == n.id }
-	net.link()
+	net.updateLinks()
 	net.Run(5 * time.Minute)
 	if revision, age := n.core.Confirmed(net.Now()); revision != 5 || age < 4*time.Minute {
 		t.Errorf("revision %d confirmed %v ago", revision, age)
@@ -246,9 +246,9 @@
 func TestACorruptedPieceIsFetchedElsewhere(t *testing.T) {
 	// A neighbour with bad memory sends a wrong byte in every piece. The value
 	// fails its hash and comes from somebody else; nothing wrong takes effect.
-	net := settled(t, 12, 1)
+	net := newSettledFleet(t, 12, 1)
 	bad := ""
-	net.alter = func(from, to string, part *wire.ConfigPart) {
+	net.alterPiece = func(from, to string, part *wire.ConfigPart) {
 		if bad == "" {
 			bad = from
 		}
@@ -272,7 +272,7 @@
 	// Operators publish revision 6 with a fault. It takes effect nowhere, each
 	// reader says so once, the last good one stays confirmed, and nobody fetches
 	// it again and again. The mended 7 goes through.
-	net := settled(t, 12, 3)
+	net := newSettledFleet(t, 12, 3)
 	for _, n := range net.nodes {
 		n.check = func(revision uint64) error {
 			if revision == 6 {
@@ -314,14 +314,14 @@
 	return sum
 }
 
-func TestAReaderThatDiesInTheMiddleOfAFetch(t *testing.T) {
+func TestFetchContinuesAfterSourceDies(t *testing.T) {
 	// A neighbour starts to send a large value and its machine dies. What came
 	// so far is kept, and the rest comes from another from that offset on.
-	net := settled(t, 6, 1)
+	net := newSettledFleet(t, 6, 1)
 	big := values(6)
 	big["customers"] = strings.Repeat("q", 900_000)
 	sender := ""
-	net.alter = func(from, to string, part *wire.ConfigPart) {
+	net.alterPiece = func(from, to string, part *wire.ConfigPart) {
 		if sender == "" && part.Offset > 200_000 {
 			sender = from
 			net.nodes[from].gone = true
@@ -335,14 +335,14 @@
 	net.wantRevision(6)
 }
 
-func TestOneRevisionWithTwoContentsIsAnAlarm(t *testing.T) {
+func TestConflictingContentsOfOneRevisionAreReported(t *testing.T) {
 	// Two sites publish different values under number 6, each to its half of the
 	// fleet. Were either half to follow the other, both might swap for ever. Each
 	// keeps what it has, says so, and 7 ends it.
-	net := settled(t, 8, 2)
+	net := newSettledFleet(t, 8, 2)
 	half := func(id string) bool { return id < net.ids[4] }
 	net.cut = func(a, b string) bool { return half(a) != half(b) }
-	net.link()
+	net.updateLinks()
 	for _, n := range net.nodes {
 		n.offline = half(n.id)
 	}
@@ -356,7 +356,7 @@
 	net.platform.publish(6, other)
 	net.Run(20 * time.Second)
 	net.cut = func(a, b string) bool { return false }
-	net.link()
+	net.updateLinks()
 	net.Run(10 * time.Second)
 	net.wantRevision(6)
 	conflicts := uint64(0)
@@ -374,10 +374,10 @@
 	net.wantRevision(7)
 }
 
-func TestAMissingValueDelaysTheRevisionAndHammersNobody(t *testing.T) {
+func TestMissingValueIsRetriedWithBackoff(t *testing.T) {
 	// The manifest is published before one of its values. Readers cannot
 	// complete it; they back off, and the fleet goes on with what it has.
-	net := settled(t, 6, 1)
+	net := newSettledFleet(t, 6, 1)
 	net.platform.publish(6, values(6))
 	good := net.platform.values["rules"]
 	net.platform.values["rules"] = []byte("not yet")
@@ -392,10 +392,10 @@
 	net.wantRevision(6)
 }
 
-func TestAMendedValueIsReadAtOnce(t *testing.T) {
+func TestCorrectedValueIsReadPromptly(t *testing.T) {
 	// As above, but the value follows the manifest after a second. The change
 	// must still be in force everywhere within three seconds.
-	net := settled(t, 6, 1)
+	net := newSettledFleet(t, 6, 1)
 	net.platform.publish(6, values(6))
 	good := net.platform.values["rules"]
 	net.platform.values["rules"] = []byte("not yet")
@@ -405,11 +405,11 @@
 	net.wantRevision(6)
 }
 
-func TestAnOlderProgramThatRefusesAloneStaysInService(t *testing.T) {
+func TestInstanceThatRefusesAloneStaysConfirmed(t *testing.T) {
 	// During an upgrade one instance still runs the older program, which does not
 	// know a key of revision 6. It keeps 5, fetches 6 once, and is confirmed by
 	// neighbours that have 6: it knows of nothing newer that it could use.
-	net := settled(t, 8, 2)
+	net := newSettledFleet(t, 8, 2)
 	old := net.nodes[net.ids[4]]
 	if old.core.Reader() {
 		t.Fatal("the instance is a reader")
@@ -422,19 +422,19 @@
 	if again := old.core.Stats().BytesFromPeers - fetched; again != 0 || old.reported(EventRefused) != 1 {
 		t.Errorf("%d bytes fetched again, %d refusals", again, old.reported(EventRefused))
 	}
-	if revision, age := old.core.Confirmed(net.Now()); revision != 5 || age > 2*DefaultAskEvery {
+	if revision, age := old.core.Confirmed(net.Now()); revision != 5 || age > 2*DefaultQueryInterval {
 		t.Errorf("revision %d confirmed %v ago", revision, age)
 	}
 }
 
-func TestANeighbourThatMovedOnIsLeftAtOnce(t *testing.T) {
+func TestDeclinedRequestMovesToAnotherSource(t *testing.T) {
 	// The neighbour that is asked for a revision has gone on to the next and
 	// says so. Waiting for its pieces until the timeout would cost a second on
 	// each hop; the other neighbour is asked in the same instant.
 	net := newNetwork(t)
 	net.ids = []string{"a"}
 	n := net.start("a", "dc-0", []string{"b", "c"})
-	n.core.Members(net.Now(), []Member{{ID: "a", DataCentre: "dc-0"}}, n.neighbours, n)
+	n.core.SetMembers(net.Now(), []Member{{ID: "a", DataCentre: "dc-0"}}, n.neighbours, n)
 	hash := strings.Repeat("a", 64)
 	for _, from := range n.neighbours {
 		n.core.OnOffer(net.Now(), from, wire.ConfigOffer{Revision: 6, ManifestSHA256: hash, Answers: 99}, n)
@@ -446,10 +446,10 @@
 	}
 }
 
-func TestALearnerWithQuietNeighboursReadsItself(t *testing.T) {
+func TestUnresponsiveNeighboursMakeExtraReader(t *testing.T) {
 	// Links look up but nothing comes through them any more. A learner that went
 	// on waiting would miss every change; it asks the platform itself.
-	net := settled(t, 8, 1)
+	net := newSettledFleet(t, 8, 1)
 	var learner *node
 	for _, id := range net.ids {
 		if n := net.nodes[id]; !n.core.Reader() {
@@ -457,16 +457,16 @@
 		}
 	}
 	net.cut = func(a, b string) bool { return a == learner.id || b == learner.id }
-	net.Run(DefaultQuietAfter + time.Second)
+	net.Run(DefaultPeerTimeout + time.Second)
 	net.platform.publish(6, values(6))
 	net.Run(3 * time.Second)
 	net.wantRevision(6)
 }
 
-func TestAPeerCannotBringWhatItDoesNotHold(t *testing.T) {
+func TestOfferOfNonexistentRevisionDoesNotBlock(t *testing.T) {
 	// A confused neighbour offers revision 900 and never sends it. The fetch
 	// ends, and the true revision 6 still comes through.
-	net := settled(t, 6, 1)
+	net := newSettledFleet(t, 6, 1)
 	n := net.nodes[net.ids[0]]
 	bogus := wire.ConfigOffer{Revision: 900, ManifestSHA256: strings.Repeat("a", 64)}
 	n.core.OnOffer(net.Now(), n.neighbours[0], bogus, n)
--- a/internal/confsync/fetch.go
+++ b/internal/confsync/fetch.go
@@ -34,10 +34,10 @@
 	active bool
 	// source is the neighbour, or platformSource.
 	source string
-	call   Call
-	// asked is the offset up to which pieces were asked for.
-	asked  int
-	sentAt monotime.Instant
+	call   CallID
+	// requestedTo is the offset up to which pieces were requestedTo for.
+	requestedTo int
+	progressAt  monotime.Instant
 }
 
 const unknownSize = -1
@@ -78,21 +78,21 @@
 	}
 }
 
-// sourceRefused handles a neighbour that does not hold what it was asked for;
+// onWantDeclined handles a neighbour that does not hold what it was asked for;
 // it tells what it has in force instead.
-func (c *Core) sourceRefused(from string, id revisionID) {
+func (c *Core) onWantDeclined(from string, id revisionID) {
 	if c.fetch != nil && c.fetch.candidate.id != id {
 		c.fetch.failSource(from)
 	}
 }
 
-// expireParts gives up neighbours that stopped sending in the middle.
-func (c *Core) expireParts(now monotime.Instant) {
+// expirePieces gives up neighbours that stopped sending in the middle.
+func (c *Core) expirePieces(now monotime.Instant) {
 	if c.fetch == nil {
 		return
 	}
 	for _, it := range c.fetch.items {
-		late := now.Sub(it.sentAt) > c.cfg.PartTimeout
+		late := now.Sub(it.progressAt) > c.cfg.PieceTimeout
 		if it.active && it.source != platformSource && late {
 			c.fetch.failSource(it.source)
 		}
@@ -108,9 +108,9 @@
 			return
 		}
 		if !c.startItems(now, f, eff) {
-			c.keepHeld(f)
+			c.retainValues(f)
 			c.fetch = nil
-			c.giveUp(now, f.candidate)
+			c.failAttempt(now, f.candidate)
 			continue
 		}
 		if !f.complete() {
@@ -123,18 +123,18 @@
 // chooseFetch stays with a fetch that has its manifest, so that revisions that
 // follow each other fast cannot keep every one of them from completing.
 func (c *Core) chooseFetch(now monotime.Instant, eff Effects) {
-	best := c.best(now)
+	best := c.bestCandidate(now)
 	if best == nil {
 		return
 	}
-	if c.fetch != nil && (c.fetch.manifest != nil || !best.above(c.fetch.candidate)) {
+	if c.fetch != nil && (c.fetch.manifest != nil || !best.outranks(c.fetch.candidate)) {
 		return
 	}
 	held := make(map[string][]byte, len(c.current.chunks))
 	for hash, data := range c.current.chunks {
 		held[hash] = data
 	}
-	for hash, data := range c.spare {
+	for hash, data := range c.retained {
 		held[hash] = data
 	}
 	c.fetch = &fetch{candidate: best, held: held}
@@ -145,12 +145,12 @@
 	c.fetch.items = []*item{{hash: best.id.hash, size: unknownSize}}
 }
 
-// keepHeld saves values of a fetch that failed for the next one.
-func (c *Core) keepHeld(f *fetch) {
-	c.spare = make(map[string][]byte)
+// retainValues saves values of a fetch that failed for the next one.
+func (c *Core) retainValues(f *fetch) {
+	c.retained = make(map[string][]byte)
 	for _, it := range f.items {
 		if it.done && !it.isManifest() {
-			c.spare[it.hash] = f.held[it.hash]
+			c.retained[it.hash] = f.held[it.hash]
 		}
 	}
 }
@@ -202,7 +202,7 @@
 		if it.done || it.active {
 			continue
 		}
-		if active >= fetchesAtOnce {
+		if active >= maxConcurrentItems {
 			return true
 		}
 		source, ok := c.pickSource(f.candidate)
@@ -218,8 +218,8 @@
 // pickSource prefers the platform at readers only: extra readers, of which
 // there may be many at a cold start, spare its rate when a neighbour can serve.
 func (c *Core) pickSource(cand *candidate) (string, bool) {
-	untried := cand.untried()
-	if cand.fromPlatform() && (c.reader || len(untried) == 0) {
+	untried := cand.untriedPeers()
+	if cand.platformUntried() && (c.reader || len(untried) == 0) {
 		return platformSource, true
 	}
 	if len(untried) == 0 {
@@ -231,19 +231,19 @@
 func (c *Core) startItem(now monotime.Instant, it *item, source string, eff Effects) {
 	it.active = true
 	it.source = source
-	it.sentAt = now
+	it.progressAt = now
 	if source != platformSource {
-		c.want(it, eff)
+		c.requestPieces(it, eff)
 		return
 	}
 	it.data = nil
-	it.call = c.platform.open(call{kind: callChunk, at: now, deadline: now.Add(c.cfg.CallTimeout)})
+	it.call = c.platform.openCall(call{kind: callChunk, at: now, deadline: now.Add(c.cfg.CallTimeout)})
 	c.stats.Reads++
 	eff.FetchChunk(it.call, it.key)
 }
 
-func (c *Core) want(it *item, eff Effects) {
-	it.asked = len(it.data) + piecesPerWant*PieceBytes
+func (c *Core) requestPieces(it *item, eff Effects) {
+	it.requestedTo = len(it.data) + piecesPerRequest*PieceBytes
 	c.stats.Wants++
 	eff.SendPeer(it.source, &wire.Envelope{ConfigWant: &wire.ConfigWant{
 		Revision: int(c.fetch.candidate.id.number),
@@ -252,8 +252,8 @@
 	}})
 }
 
-// finish checks a complete item against its hash.
-func (c *Core) finish(it *item, eff Effects) {
+// finishItem checks a complete item against its hash.
+func (c *Core) finishItem(it *item, eff Effects) {
 	f := c.fetch
 	it.stop()
 	if got := hashOf(it.data); got != it.hash {
--- a/internal/confsync/gossip.go
+++ b/internal/confsync/gossip.go
@@ -10,13 +10,13 @@
 
 // gossipState is what is open between this instance and its neighbours.
 type gossipState struct {
-	question int
-	asked    map[string]question
-	heard    map[string]monotime.Instant
-	nextAsk  monotime.Instant
+	lastQuery  int
+	pending    map[string]query
+	answeredAt map[string]monotime.Instant
+	nextQuery  monotime.Instant
 }
 
-type question struct {
+type query struct {
 	number int
 	at     monotime.Instant
 }
@@ -26,35 +26,35 @@
 	from   string
 }
 
-func newGossipState(nextAsk monotime.Instant) gossipState {
+func newGossipState(nextQuery monotime.Instant) gossipState {
 	return gossipState{
-		asked:   make(map[string]question),
-		heard:   make(map[string]monotime.Instant),
-		nextAsk: nextAsk,
+		pending:    make(map[string]query),
+		answeredAt: make(map[string]monotime.Instant),
+		nextQuery:  nextQuery,
 	}
 }
 
-func (g *gossipState) forget(now monotime.Instant) {
-	clear(g.asked)
-	g.nextAsk = now.Add(wakeAskEvery)
+func (g *gossipState) reset(now monotime.Instant) {
+	clear(g.pending)
+	g.nextQuery = now.Add(resumeQueryInterval)
 }
 
 func (g *gossipState) drop(id string) {
-	delete(g.asked, id)
-	delete(g.heard, id)
+	delete(g.pending, id)
+	delete(g.answeredAt, id)
 }
 
-func (c *Core) askIfDue(now monotime.Instant, eff Effects) {
-	if now.Before(c.gossip.nextAsk) {
+func (c *Core) queryIfDue(now monotime.Instant, eff Effects) {
+	if now.Before(c.gossip.nextQuery) {
 		return
 	}
-	every := c.cfg.AskEvery
-	if c.woken {
-		every = wakeAskEvery
+	every := c.cfg.QueryInterval
+	if c.resuming {
+		every = resumeQueryInterval
 	}
-	c.gossip.nextAsk = now.Add(every)
+	c.gossip.nextQuery = now.Add(every)
 	for _, id := range c.neighbours {
-		offer := c.question(now, id)
+		offer := c.newQuery(now, id)
 		// The hash is most of a question, and the answer brings the neighbour's.
 		// One that is behind learns ours by its own next question.
 		offer.ManifestSHA256 = ""
@@ -65,15 +65,15 @@
 // announce tells every neighbour of the revision in force and asks for theirs.
 func (c *Core) announce(now monotime.Instant, eff Effects) {
 	for _, id := range c.neighbours {
-		c.sendOffer(id, c.question(now, id), eff)
+		c.sendOffer(id, c.newQuery(now, id), eff)
 	}
 }
 
-func (c *Core) question(now monotime.Instant, to string) *wire.ConfigOffer {
-	c.gossip.question++
-	c.gossip.asked[to] = question{number: c.gossip.question, at: now}
+func (c *Core) newQuery(now monotime.Instant, to string) *wire.ConfigOffer {
+	c.gossip.lastQuery++
+	c.gossip.pending[to] = query{number: c.gossip.lastQuery, at: now}
 	offer := c.offer(now)
-	offer.Question = c.gossip.question
+	offer.Question = c.gossip.lastQuery
 	return offer
 }
 
@@ -81,12 +81,12 @@
 	offer := &wire.ConfigOffer{
 		Revision:       int(c.current.id.number),
 		ManifestSHA256: c.current.id.hash,
-		Unconfirmed:    c.woken,
+		Unconfirmed:    c.resuming,
 	}
 	if c.current.publishedAt != 0 {
 		offer.PublishedMS = int(now.Sub(c.current.publishedAt).Milliseconds()) + 1
 	}
-	if age := c.PlatformAge(now).Milliseconds(); c.rooted && age >= 0 && age < math.MaxInt32 {
+	if age := c.PlatformAge(now).Milliseconds(); c.platformConfirmed && age >= 0 && age < math.MaxInt32 {
 		offer.PlatformAgeMS = int(age) + 1
 	}
 	return offer
@@ -109,22 +109,22 @@
 		c.sendOffer(from, answer, eff)
 	}
 	if offer.Question == 0 && offer.Answers == 0 {
-		c.sourceRefused(from, id)
+		c.onWantDeclined(from, id)
 	}
 	c.consider(now, from, id, eff)
-	c.notePublished(now, id, offer)
+	c.recordPublished(now, id, offer)
 	if offer.Answers != 0 {
 		c.onAnswer(now, from, id, offer)
 	}
 	c.advance(now, eff)
 }
 
-// publishedMost bounds the age of a revision that is believed.
-const publishedMost = 24 * time.Hour
+// maxPublishedAge bounds the age of a revision that is believed.
+const maxPublishedAge = 24 * time.Hour
 
-func (c *Core) notePublished(now monotime.Instant, id revisionID, offer wire.ConfigOffer) {
+func (c *Core) recordPublished(now monotime.Instant, id revisionID, offer wire.ConfigOffer) {
 	cand := c.candidates[id]
-	if cand == nil || offer.PublishedMS <= 0 || offer.PublishedMS > int(publishedMost.Milliseconds()) {
+	if cand == nil || offer.PublishedMS <= 0 || offer.PublishedMS > int(maxPublishedAge.Milliseconds()) {
 		return
 	}
 	at := now.Add(-time.Duration(offer.PublishedMS-1) * time.Millisecond)
@@ -136,31 +136,31 @@
 // onAnswer confirms the revision when the neighbour was asked after the last
 // pause and knows nothing newer.
 func (c *Core) onAnswer(now monotime.Instant, from string, id revisionID, offer wire.ConfigOffer) {
-	asked, ok := c.gossip.asked[from]
-	if !ok || asked.number != offer.Answers {
+	pending, ok := c.gossip.pending[from]
+	if !ok || pending.number != offer.Answers {
 		return
 	}
 	c.stats.Answers++
-	c.gossip.heard[from] = now
+	c.gossip.answeredAt[from] = now
 	if id != c.current.id && !c.isRefused(id) {
 		return
 	}
-	if offer.Unconfirmed && !c.mayTrustWoken(now) {
+	if offer.Unconfirmed && !c.mayTrustResuming(now) {
 		return
 	}
-	c.confirm(asked.at)
+	c.confirm(pending.at)
 	if offer.PlatformAgeMS > 0 {
 		age := time.Duration(offer.PlatformAgeMS-1) * time.Millisecond
-		c.root(asked.at.Add(-age))
+		c.confirmPlatform(pending.at.Add(-age))
 	}
 }
 
-// mayTrustWoken allows two instances that slept at the same time to confirm
+// mayTrustResuming allows two instances that slept at the same time to confirm
 // each other, but only after an instance that stayed awake, or the platform,
 // had its time to answer: with all asleep and the platform down, nobody else
 // is left who could know of a newer revision.
-func (c *Core) mayTrustWoken(now monotime.Instant) bool {
-	return c.woken && now.Sub(c.wokeAt) > wakeAloneAfter
+func (c *Core) mayTrustResuming(now monotime.Instant) bool {
+	return c.resuming && now.Sub(c.resumedAt) > resumeTrustDelay
 }
 
 // consider makes a newer revision a candidate and notices one number with two
@@ -169,15 +169,15 @@
 	switch {
 	case id.number == 0 || !validHash(id.hash):
 	case id.number == c.current.id.number && id.hash != c.current.id.hash:
-		c.conflict(id, from, eff)
+		c.reportConflict(id, from, eff)
 	case id.number > c.current.id.number && !c.isRefused(id):
 		c.addSource(now, id, from)
 	}
 }
 
-// conflict keeps what is in force: a revision is never replaced by another of
+// reportConflict keeps what is in force: a revision is never replaced by another of
 // the same number, or two halves of the fleet would swap for ever.
-func (c *Core) conflict(id revisionID, from string, eff Effects) {
+func (c *Core) reportConflict(id revisionID, from string, eff Effects) {
 	key := conflictKey{number: id.number, from: from}
 	if c.conflicts[key] {
 		return
--- a/internal/confsync/listed_test.go
+++ b/internal/confsync/listed_test.go
@@ -10,22 +10,22 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// reads counts what a core asks the platform for.
-type reads struct {
+// countingEffects counts what a core asks the platform for.
+type countingEffects struct {
 	watches, manifests, lists int
-	last                      Call
+	last                      CallID
 }
 
-func (r *reads) SendPeer(string, *wire.Envelope) {}
-func (r *reads) Watch(call Call, _ uint64, _ int, _ time.Duration) {
+func (r *countingEffects) SendPeer(string, *wire.Envelope) {}
+func (r *countingEffects) Watch(call CallID, _ uint64, _ int, _ time.Duration) {
 	r.watches++
 	r.last = call
 }
-func (r *reads) FetchManifest(Call)                     { r.manifests++ }
-func (r *reads) FetchChunk(Call, string)                {}
-func (r *reads) FetchInstances(call Call)               { r.lists++; r.last = call }
-func (r *reads) Install(uint64, []inventory.File) error { return nil }
-func (r *reads) Report(Event)                           {}
+func (r *countingEffects) FetchManifest(CallID)                   { r.manifests++ }
+func (r *countingEffects) FetchChunk(CallID, string)              {}
+func (r *countingEffects) FetchInstances(call CallID)             { r.lists++; r.last = call }
+func (r *countingEffects) Install(uint64, []inventory.File) error { return nil }
+func (r *countingEffects) Report(Event)                           {}
 
 // What the platform sees: two calls from most processes of a fleet that starts at
 // once. Each asks for news and for the instance list; only those that the list
@@ -38,7 +38,7 @@
 	readers := 0
 	for _, m := range listed {
 		now := monotime.Instant(time.Second)
-		var r reads
+		var r countingEffects
 		c := New(now, Config{Self: m.ID, DataCentre: "dc"})
 		news := &platformapi.WatchAnswer{Revision: 3, InstancesVersion: 1}
 		c.Tick(now, &r)
@@ -62,9 +62,9 @@
 
 // What operators see: the instance starts. The instance list can't be had, the
 // configuration can.
-func TestAListThatCannotBeHadIsNotWaitedFor(t *testing.T) {
+func TestUnavailableInstanceListDoesNotBlockStart(t *testing.T) {
 	now := monotime.Instant(time.Second)
-	var r reads
+	var r countingEffects
 	c := New(now, Config{Self: "a", DataCentre: "dc"})
 	news := &platformapi.WatchAnswer{Revision: 3, InstancesVersion: 1}
 	c.Tick(now, &r)
--- a/internal/confsync/network_test.go
+++ b/internal/confsync/network_test.go
@@ -33,8 +33,8 @@
 	platform fakePlatform
 	// cut reports whether two instances cannot reach each other.
 	cut func(a, b string) bool
-	// alter may change a piece on its way.
-	alter func(from, to string, part *wire.ConfigPart)
+	// alterPiece may change a piece on its way.
+	alterPiece func(from, to string, part *wire.ConfigPart)
 	// delay is the one-way latency between two instances.
 	delay func(a, b *node) time.Duration
 	// installTime is how long the check of a revision keeps a process busy.
@@ -107,8 +107,8 @@
 	}
 }
 
-// link tells every instance who lives and whom it reaches.
-func (net *network) link() {
+// updateLinks tells every instance who lives and whom it reaches.
+func (net *network) updateLinks() {
 	var live []Member
 	for _, id := range net.ids {
 		if n := net.nodes[id]; !n.gone {
@@ -124,7 +124,7 @@
 			}
 		}
 		visible := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return net.cut(id, m.ID) })
-		n.deliver(func() { n.core.Members(net.Now(), visible, up, n) })
+		n.deliver(func() { n.core.SetMembers(net.Now(), visible, up, n) })
 	}
 }
 
@@ -141,9 +141,9 @@
 
 func (n *node) pause() { n.paused = true }
 
-// wake lets the process run again: its timer fires first, then it reads what
+// resume lets the process run again: its timer fires first, then it reads what
 // lay in its buffers.
-func (n *node) wake() {
+func (n *node) resume() {
 	n.paused = false
 	queue := n.queue
 	n.queue = nil
@@ -183,28 +183,28 @@
 	case envelope.ConfigWant != nil:
 		n.core.OnWant(now, from, *envelope.ConfigWant, n)
 	case envelope.ConfigPart != nil:
-		if n.net.alter != nil {
-			n.net.alter(from, n.id, envelope.ConfigPart)
+		if n.net.alterPiece != nil {
+			n.net.alterPiece(from, n.id, envelope.ConfigPart)
 		}
 		n.core.OnPart(now, from, *envelope.ConfigPart, n)
 	}
 }
 
-func (n *node) Watch(number Call, revision uint64, instances int, wait time.Duration) {
+func (n *node) Watch(number CallID, revision uint64, instances int, wait time.Duration) {
 	n.net.platform.watch(n, revision, wait, func(answer *platformapi.WatchAnswer, err error) {
 		n.core.OnWatch(n.net.Now(), number, answer, err, n)
 	})
 }
 
-func (n *node) FetchManifest(number Call) {
+func (n *node) FetchManifest(number CallID) {
 	n.net.platform.read(n, "manifest", func(data []byte, err error) { n.core.OnManifest(n.net.Now(), number, data, err, n) })
 }
 
-func (n *node) FetchChunk(number Call, key string) {
+func (n *node) FetchChunk(number CallID, key string) {
 	n.net.platform.read(n, key, func(data []byte, err error) { n.core.OnChunk(n.net.Now(), number, data, err, n) })
 }
 
-func (n *node) FetchInstances(Call) {}
+func (n *node) FetchInstances(CallID) {}
 
 func (n *node) Install(revision uint64, files []inventory.File) error {
 	if err := n.check(revision); err != nil {
@@ -266,7 +266,7 @@
 	}
 }
 
-func (p *fakePlatform) told() int {
+func (p *fakePlatform) answeredRevision() int {
 	if p.stale != 0 {
 		return p.stale
 	}
@@ -282,15 +282,15 @@
 			p.net.After(platformDelay, func() { n.deliver(func() { done(answer, err) }) })
 		}
 	}
-	news := func() {
+	replyIfNewer := func() {
 		if p.down || n.offline {
 			reply(nil, errDown)
-		} else if uint64(p.told()) > revision {
-			reply(&platformapi.WatchAnswer{Revision: p.told()}, nil)
+		} else if uint64(p.answeredRevision()) > revision {
+			reply(&platformapi.WatchAnswer{Revision: p.answeredRevision()}, nil)
 		}
 	}
-	p.net.After(platformDelay, news)
-	p.waiting = append(p.waiting, news)
+	p.net.After(platformDelay, replyIfNewer)
+	p.waiting = append(p.waiting, replyIfNewer)
 	p.net.After(platformDelay+wait, func() { reply(nil, nil) })
 }
 
--- a/internal/confsync/parts.go
+++ b/internal/confsync/parts.go
@@ -17,7 +17,7 @@
 		return
 	}
 	offset := want.Offset
-	for range piecesPerWant {
+	for range piecesPerRequest {
 		end := min(offset+PieceBytes, len(data))
 		c.stats.PartsSent++
 		c.stats.BytesToPeers += uint64(end - offset)
@@ -48,22 +48,22 @@
 
 // OnPart takes a piece that was asked for.
 func (c *Core) OnPart(now monotime.Instant, from string, part wire.ConfigPart, eff Effects) {
-	it := c.awaited(from, part)
+	it := c.findActiveItem(from, part)
 	if it == nil || !it.accept(part) {
 		return
 	}
-	it.sentAt = now
+	it.progressAt = now
 	c.stats.BytesFromPeers += uint64(len(part.Data))
 	switch {
 	case len(it.data) == it.size:
-		c.finish(it, eff)
-	case len(it.data) >= it.asked:
-		c.want(it, eff)
+		c.finishItem(it, eff)
+	case len(it.data) >= it.requestedTo:
+		c.requestPieces(it, eff)
 	}
 	c.advance(now, eff)
 }
 
-func (c *Core) awaited(from string, part wire.ConfigPart) *item {
+func (c *Core) findActiveItem(from string, part wire.ConfigPart) *item {
 	f := c.fetch
 	if f == nil || from == platformSource || uint64(part.Revision) != f.candidate.id.number {
 		return nil
--- a/internal/confsync/platform.go
+++ b/internal/confsync/platform.go
@@ -26,63 +26,63 @@
 	deadline monotime.Instant
 	// floor is the revision the watch is to exceed.
 	floor uint64
-	// told is the revision of the watch answer that a manifest read follows.
-	told uint64
+	// watchedRevision is the revision of the watch answer that a manifest read follows.
+	watchedRevision uint64
 }
 
 // platformState is what is open between this instance and the platform.
 type platformState struct {
-	last      Call
-	pending   map[Call]call
-	watchAt   monotime.Instant
-	failures  int
-	refused   uint64
-	instances int
-	stale     uint64
+	lastCall       CallID
+	pending        map[CallID]call
+	nextWatch      monotime.Instant
+	failures       int
+	highestRefused uint64
+	instances      int
+	lastStale      uint64
 }
 
 var errTimeout = errors.New("no answer in time")
 
 func newPlatformState(now monotime.Instant) platformState {
-	return platformState{pending: make(map[Call]call), watchAt: now}
+	return platformState{pending: make(map[CallID]call), nextWatch: now}
 }
 
-func (p *platformState) forget(now monotime.Instant) {
+func (p *platformState) reset(now monotime.Instant) {
 	clear(p.pending)
 	p.failures = 0
-	p.watchAt = now
+	p.nextWatch = now
 }
 
 // dropWatch ends a watch whose floor is a revision that could not be had.
 func (p *platformState) dropWatch() {
-	for number, made := range p.pending {
-		if made.kind == callWatch {
+	for number, opened := range p.pending {
+		if opened.kind == callWatch {
 			delete(p.pending, number)
 		}
 	}
 }
 
-func (p *platformState) open(made call) Call {
-	p.last++
-	p.pending[p.last] = made
-	return p.last
+func (p *platformState) openCall(opened call) CallID {
+	p.lastCall++
+	p.pending[p.lastCall] = opened
+	return p.lastCall
 }
 
-// take ends a call; false when it was given up before.
-func (p *platformState) take(number Call, kind callKind) (call, bool) {
-	made, ok := p.pending[number]
-	if !ok || made.kind != kind {
+// closeCall ends a call; false when it was given up before.
+func (p *platformState) closeCall(number CallID, kind callKind) (call, bool) {
+	opened, ok := p.pending[number]
+	if !ok || opened.kind != kind {
 		return call{}, false
 	}
 	delete(p.pending, number)
-	return made, true
+	return opened, true
 }
 
 // busy reports whether the platform is being read for anything but values; the
 // next watch would only return the same news.
 func (p *platformState) busy() bool {
-	for _, made := range p.pending {
-		if made.kind != callChunk {
+	for _, opened := range p.pending {
+		if opened.kind != callChunk {
 			return true
 		}
 	}
@@ -92,16 +92,16 @@
 // stagger returns this instance's share of d, so that instances which become
 // extra readers for one cause do not all do so at once.
 func (c *Core) stagger(d time.Duration) time.Duration {
-	return time.Duration(c.share * float64(d))
+	return time.Duration(c.staggerFraction * float64(d))
 }
 
-// known is the highest revision that was put in force or refused.
-func (c *Core) known() uint64 {
-	return max(c.current.id.number, c.platform.refused)
+// highestDecided is the highest revision that was put in force or refused.
+func (c *Core) highestDecided() uint64 {
+	return max(c.current.id.number, c.platform.highestRefused)
 }
 
 func (c *Core) watchFloor() uint64 {
-	floor := c.known()
+	floor := c.highestDecided()
 	for id, cand := range c.candidates {
 		if cand.platformAt != 0 {
 			floor = max(floor, id.number)
@@ -112,33 +112,33 @@
 
 func (c *Core) watchIfDue(now monotime.Instant, eff Effects) {
 	p := &c.platform
-	if !c.Reader() || now.Before(p.watchAt) || p.busy() {
+	if !c.Reader() || now.Before(p.nextWatch) || p.busy() {
 		return
 	}
 	c.stats.Watches++
-	if c.woken {
+	if c.resuming {
 		// Ask for whatever there is, without waiting: dispatch waits for it.
-		made := call{kind: callWatch, at: now, deadline: now.Add(c.cfg.CallTimeout)}
-		eff.Watch(p.open(made), 0, 0, 0)
+		opened := call{kind: callWatch, at: now, deadline: now.Add(c.cfg.CallTimeout)}
+		eff.Watch(p.openCall(opened), 0, 0, 0)
 		return
 	}
 	deadline := now.Add(c.cfg.WatchWait + c.cfg.CallTimeout)
 	made := call{kind: callWatch, at: now, deadline: deadline, floor: c.watchFloor()}
-	eff.Watch(p.open(made), made.floor, p.instances, c.cfg.WatchWait)
+	eff.Watch(p.openCall(made), made.floor, p.instances, c.cfg.WatchWait)
 }
 
 // expireCalls gives up calls that went silent, as a connection may for good.
 func (c *Core) expireCalls(now monotime.Instant, eff Effects) {
-	late := false
-	for number, made := range c.platform.pending {
-		if now.Before(made.deadline) {
+	timedOut := false
+	for number, opened := range c.platform.pending {
+		if now.Before(opened.deadline) {
 			continue
 		}
 		delete(c.platform.pending, number)
 		c.failChunk(number)
-		late = true
+		timedOut = true
 	}
-	if late {
+	if timedOut {
 		c.platformFailed(now, errTimeout, eff)
 	}
 }
@@ -154,16 +154,16 @@
 	c.platform.failures++
 	if !c.reader {
 		// All learners of the fleet may be extra readers for one cause.
-		limit = extraBackoff
-		c.platform.failures = max(c.platform.failures, extraFailures)
+		limit = extraReaderBackoffMax
+		c.platform.failures = max(c.platform.failures, extraReaderMinFailures)
 	}
-	c.platform.watchAt = now.Add(c.backoff(c.platform.failures, limit))
+	c.platform.nextWatch = now.Add(c.backoff(c.platform.failures, limit))
 }
 
 // OnWatch takes the end of a watch; a nil answer without an error says that
 // nothing was newer.
-func (c *Core) OnWatch(now monotime.Instant, number Call, answer *platformapi.WatchAnswer, err error, eff Effects) {
-	made, ok := c.platform.take(number, callWatch)
+func (c *Core) OnWatch(now monotime.Instant, number CallID, answer *platformapi.WatchAnswer, err error, eff Effects) {
+	opened, ok := c.platform.closeCall(number, callWatch)
 	if !ok {
 		return
 	}
@@ -171,33 +171,33 @@
 	case err != nil:
 		c.platformFailed(now, err, eff)
 	case answer == nil:
-		c.onNothingNewer(now, made)
+		c.onNothingNewer(now, opened)
 	default:
-		c.onNews(now, made, answer, eff)
+		c.onWatchAnswer(now, opened, answer, eff)
 	}
 	c.advance(now, eff)
 }
 
-func (c *Core) onNothingNewer(now monotime.Instant, made call) {
-	if made.floor <= c.known() && made.floor > 0 {
-		c.confirm(made.at)
-		c.root(made.at)
+func (c *Core) onNothingNewer(now monotime.Instant, opened call) {
+	if opened.floor <= c.highestDecided() && opened.floor > 0 {
+		c.confirm(opened.at)
+		c.confirmPlatform(opened.at)
 	}
-	if now.Sub(made.at) < c.cfg.WatchWait/2 {
+	if now.Sub(opened.at) < c.cfg.WatchWait/2 {
 		// A platform that does not wait would be asked at once again.
 		c.delayWatch(now)
 		return
 	}
 	c.platform.failures = 0
-	c.platform.watchAt = now
+	c.platform.nextWatch = now
 }
 
-func (c *Core) onNews(now monotime.Instant, made call, answer *platformapi.WatchAnswer, eff Effects) {
+func (c *Core) onWatchAnswer(now monotime.Instant, opened call, answer *platformapi.WatchAnswer, eff Effects) {
 	p := &c.platform
 	useful := false
 	if answer.InstancesVersion > p.instances {
 		useful = true
-		eff.FetchInstances(p.open(call{kind: callInstances, at: now, deadline: now.Add(c.cfg.CallTimeout)}))
+		eff.FetchInstances(p.openCall(call{kind: callInstances, at: now, deadline: now.Add(c.cfg.CallTimeout)}))
 		c.stats.Reads++
 	}
 	revision := uint64(max(answer.Revision, 0))
@@ -207,15 +207,15 @@
 	case revision > c.watchFloor():
 		useful = true
 		c.stats.Reads++
-		eff.FetchManifest(p.open(call{kind: callManifest, at: made.at, deadline: now.Add(c.cfg.CallTimeout), told: revision}))
-	case revision > c.known():
+		eff.FetchManifest(p.openCall(call{kind: callManifest, at: opened.at, deadline: now.Add(c.cfg.CallTimeout), watchedRevision: revision}))
+	case revision > c.highestDecided():
 		// On its way already; until it is here nothing is confirmed.
-	case revision == c.known():
-		useful = useful || c.woken
-		c.confirm(made.at)
-		c.root(made.at)
+	case revision == c.highestDecided():
+		useful = useful || c.resuming
+		c.confirm(opened.at)
+		c.confirmPlatform(opened.at)
 	default:
-		c.staleAnswer(revision, eff)
+		c.reportStale(revision, eff)
 	}
 	if !useful {
 		// A platform that answers at once without news would be asked at once
@@ -223,7 +223,7 @@
 		c.delayWatch(now)
 		return
 	}
-	p.watchAt = now
+	p.nextWatch = now
 }
 
 // waitsForList reports whether a process that has just started should know the
@@ -240,23 +240,23 @@
 // members until a peer is known.
 func (c *Core) SetListed(listed []Member) {
 	c.listed = slices.Clone(listed)
-	c.elect()
+	c.electReader()
 }
 
-// staleAnswer leaves what is in force alone: a lower revision is an old answer,
+// reportStale leaves what is in force alone: a lower revision is an old answer,
 // never a withdrawal.
-func (c *Core) staleAnswer(revision uint64, eff Effects) {
+func (c *Core) reportStale(revision uint64, eff Effects) {
 	c.stats.StaleAnswers++
-	if c.platform.stale == revision {
+	if c.platform.lastStale == revision {
 		return
 	}
-	c.platform.stale = revision
+	c.platform.lastStale = revision
 	eff.Report(Event{Kind: EventStale, Revision: revision})
 }
 
 // OnManifest takes the manifest that the platform publishes now.
-func (c *Core) OnManifest(now monotime.Instant, number Call, data []byte, err error, eff Effects) {
-	made, ok := c.platform.take(number, callManifest)
+func (c *Core) OnManifest(now monotime.Instant, number CallID, data []byte, err error, eff Effects) {
+	opened, ok := c.platform.closeCall(number, callManifest)
 	if !ok {
 		return
 	}
@@ -267,35 +267,35 @@
 	if err != nil {
 		c.platformFailed(now, err, eff)
 	} else {
-		c.useRead(now, made, data, eff)
+		c.useManifestRead(now, opened, data, eff)
 	}
 	c.advance(now, eff)
 }
 
-func (c *Core) useRead(now monotime.Instant, made call, data []byte, eff Effects) {
+func (c *Core) useManifestRead(now monotime.Instant, opened call, data []byte, eff Effects) {
 	manifest, err := parseManifest(data)
 	if manifest == nil || manifest.Revision < 1 {
 		c.platformFailed(now, err, eff)
 		return
 	}
 	id := revisionID{number: uint64(manifest.Revision), hash: hashOf(data)}
-	if id.number < made.told {
+	if id.number < opened.watchedRevision {
 		// Watch and values may come from replicas of different age.
 		c.delayWatch(now)
 	}
 	switch {
 	case c.isRefused(id):
-		c.platform.refused = max(c.platform.refused, id.number)
-		c.confirm(made.at)
+		c.platform.highestRefused = max(c.platform.highestRefused, id.number)
+		c.confirm(opened.at)
 	case id.number < c.current.id.number:
-		c.staleAnswer(id.number, eff)
+		c.reportStale(id.number, eff)
 	case id.number == c.current.id.number:
 		if id.hash != c.current.id.hash {
-			c.conflict(id, platformSource, eff)
+			c.reportConflict(id, platformSource, eff)
 		}
 	default:
-		cand := c.candidate(now, id)
-		cand.platformAt = made.at
+		cand := c.ensureCandidate(now, id)
+		cand.platformAt = opened.at
 		cand.raw = data
 		cand.retryAt = now
 		delete(cand.failed, platformSource)
@@ -306,8 +306,8 @@
 }
 
 // OnInstances tells that the shell read the instance list of that version.
-func (c *Core) OnInstances(now monotime.Instant, number Call, version int, err error, eff Effects) {
-	if _, ok := c.platform.take(number, callInstances); !ok {
+func (c *Core) OnInstances(now monotime.Instant, number CallID, version int, err error, eff Effects) {
+	if _, ok := c.platform.closeCall(number, callInstances); !ok {
 		return
 	}
 	if err != nil {
@@ -319,17 +319,17 @@
 }
 
 // OnChunk takes one value.
-func (c *Core) OnChunk(now monotime.Instant, number Call, data []byte, err error, eff Effects) {
-	if _, ok := c.platform.take(number, callChunk); !ok {
+func (c *Core) OnChunk(now monotime.Instant, number CallID, data []byte, err error, eff Effects) {
+	if _, ok := c.platform.closeCall(number, callChunk); !ok {
 		return
 	}
 	c.stats.BytesOfRead += uint64(len(data))
 	if err != nil {
 		c.failChunk(number)
 		c.platformFailed(now, err, eff)
-	} else if it := c.chunkOf(number); it != nil {
+	} else if it := c.findChunk(number); it != nil {
 		it.data = data
-		c.finish(it, eff)
+		c.finishItem(it, eff)
 		if !it.done {
 			// The value was replaced or is not there yet; the platform's
 			// manifest has to be read again, but not at once.
@@ -339,7 +339,7 @@
 	c.advance(now, eff)
 }
 
-func (c *Core) chunkOf(number Call) *item {
+func (c *Core) findChunk(number CallID) *item {
 	if c.fetch == nil {
 		return nil
 	}
@@ -351,8 +351,8 @@
 	return nil
 }
 
-func (c *Core) failChunk(number Call) {
-	if it := c.chunkOf(number); it != nil {
+func (c *Core) failChunk(number CallID) {
+	if it := c.findChunk(number); it != nil {
 		c.fetch.failSource(platformSource)
 	}
 }
--- a/internal/confsync/publish.go
+++ b/internal/confsync/publish.go
@@ -36,7 +36,7 @@
 	if c.fetch != nil && c.fetch.candidate.id.number <= number {
 		c.fetch = nil
 	}
-	clear(c.spare)
+	clear(c.retained)
 	id := revisionID{number: number, hash: hashOf(raw)}
 	c.putInForce(revision{id: id, manifest: raw, chunks: chunks, publishedAt: now})
 	c.announce(now, eff)
@@ -44,16 +44,16 @@
 	return nil
 }
 
-// Ask asks a neighbour for its revision.
-func (c *Core) Ask(now monotime.Instant, id string, eff Effects) {
+// QueryPeer asks a neighbour for its revision.
+func (c *Core) QueryPeer(now monotime.Instant, id string, eff Effects) {
 	if slices.Contains(c.neighbours, id) {
-		c.sendOffer(id, c.question(now, id), eff)
+		c.sendOffer(id, c.newQuery(now, id), eff)
 	}
 }
 
-// Knows reports whether this revision or a higher one is in force, was refused or is being
+// Tracks reports whether this revision or a higher one is in force, was refused or is being
 // fetched.
-func (c *Core) Knows(number uint64) bool {
+func (c *Core) Tracks(number uint64) bool {
 	if number <= c.current.id.number {
 		return true
 	}
--- a/internal/confsync/publish_test.go
+++ b/internal/confsync/publish_test.go
@@ -25,14 +25,14 @@
 	return out
 }
 
-// published is a fleet of cores whose owners read the platform; some read it here.
-func published(t *testing.T, n int) *network {
+// newPublishers is a fleet of cores whose owners read the platform; some read it here.
+func newPublishers(t *testing.T, n int) *network {
 	net := newNetwork(t)
 	net.ring(n, 3, 4)
 	for _, node := range net.nodes {
 		node.core = New(net.Now(), Config{Self: node.id, DataCentre: node.dc, Seed: 7, PeersOnly: true})
 	}
-	net.link()
+	net.updateLinks()
 	return net
 }
 
@@ -43,8 +43,8 @@
 }
 
 // Guards against readers of one revision that count as a conflict, and against whole revisions fetched for one value.
-func TestWhatReadersPublishReachesAll(t *testing.T) {
-	net := published(t, 24)
+func TestPublishedRevisionReachesAll(t *testing.T) {
+	net := newPublishers(t, 24)
 	readers := []*node{net.nodes[net.ids[0]], net.nodes[net.ids[9]]}
 	for revision := uint64(1); revision <= 5; revision++ {
 		bytes := net.bytes
@@ -65,12 +65,12 @@
 }
 
 // Guards against a revision that goes back, or is never reached, while others overtake it and messages are lost.
-func TestPublishedRevisionsOvertakeEachOther(t *testing.T) {
+func TestRevisionsPublishedOutOfOrderConverge(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		net := published(t, 16)
-		troubled := true
-		net.cut = func(a, b string) bool { return troubled && rng.IntN(10) == 0 }
+		net := newPublishers(t, 16)
+		lossy := true
+		net.cut = func(a, b string) bool { return lossy && rng.IntN(10) == 0 }
 		const last = 12
 		for revision := uint64(1); revision <= last; revision++ {
 			for _, i := range rng.Perm(16)[:3] {
@@ -80,7 +80,7 @@
 			}
 			net.Run(time.Duration(rng.IntN(200)) * time.Millisecond)
 		}
-		troubled = false
+		lossy = false
 		net.Run(10 * time.Second)
 		net.wantRevision(last)
 		if t.Failed() {
@@ -90,18 +90,18 @@
 }
 
 // Guards against an instance that stays behind because the offer was lost with a link.
-func TestAskingANeighbourMakesUpForALostOffer(t *testing.T) {
-	net := published(t, 4)
+func TestQueryRecoversFromLostOffer(t *testing.T) {
+	net := newPublishers(t, 4)
 	lost := true
 	net.cut = func(a, b string) bool { return lost && slices.Contains([]string{a, b}, net.ids[2]) }
 	net.nodes[net.ids[0]].publish(1)
 	net.Run(100 * time.Millisecond)
 	lost = false
 	behind := net.nodes[net.ids[2]]
-	if behind.core.Knows(1) {
+	if behind.core.Tracks(1) {
 		t.Error("knows of a revision that nobody told")
 	}
-	behind.core.Ask(net.Now(), net.ids[1], behind)
+	behind.core.QueryPeer(net.Now(), net.ids[1], behind)
 	net.Run(100 * time.Millisecond)
 	net.wantRevision(1)
 	if at := behind.core.PublishedAt(); net.Now().Sub(at) < 190*time.Millisecond {
@@ -111,7 +111,7 @@
 
 // Guards against an age that a damaged offer claims.
 func TestAbsurdAgesOfARevisionAreIgnored(t *testing.T) {
-	net := published(t, 4)
+	net := newPublishers(t, 4)
 	reader, other := net.nodes[net.ids[0]], net.nodes[net.ids[1]]
 	reader.publish(1)
 	offer := *reader.core.offer(net.Now())
--- a/internal/confsync/revision.go
+++ b/internal/confsync/revision.go
@@ -91,13 +91,13 @@
 		return
 	}
 	c.fetch = nil
-	clear(c.spare)
+	clear(c.retained)
 	c.stats.Installed++
 	c.putInForce(revision{id: id, manifest: f.raw, chunks: chunks, publishedAt: f.candidate.publishedAt})
 	eff.Report(Event{Kind: EventInstalled, Revision: id.number, Hash: id.hash})
 	if f.candidate.platformAt != 0 {
 		c.confirm(f.candidate.platformAt)
-		c.root(f.candidate.platformAt)
+		c.confirmPlatform(f.candidate.platformAt)
 	}
 	c.platform.failures = 0
 	c.announce(now, eff)
@@ -105,7 +105,7 @@
 
 func (c *Core) putInForce(fresh revision) {
 	c.current = fresh
-	c.elect()
+	c.electReader()
 	clear(c.conflicts)
 	c.dropOldCandidates()
 }
@@ -115,7 +115,7 @@
 func (c *Core) refuse(id revisionID, err error, eff Effects) {
 	candidate := c.candidates[id]
 	if candidate != nil && candidate.platformAt != 0 {
-		c.platform.refused = max(c.platform.refused, id.number)
+		c.platform.highestRefused = max(c.platform.highestRefused, id.number)
 	}
 	delete(c.candidates, id)
 	if c.fetch != nil && c.fetch.candidate.id == id {
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -14,7 +14,7 @@
 const platformTimeout = 5 * time.Second
 
 // Watch implements instance.Effects.
-func (d *Daemon) Watch(call confsync.Call, revision uint64, instances int, wait time.Duration) {
+func (d *Daemon) Watch(call confsync.CallID, revision uint64, instances int, wait time.Duration) {
 	d.call(wait+platformTimeout, func(ctx context.Context) {
 		answer, err := d.platform.Watch(ctx, revision, instances, wait)
 		d.instance.OnWatch(monotime.Now(), call, answer, err)
@@ -22,7 +22,7 @@
 }
 
 // FetchManifest implements instance.Effects.
-func (d *Daemon) FetchManifest(call confsync.Call) {
+func (d *Daemon) FetchManifest(call confsync.CallID) {
 	d.call(platformTimeout, func(ctx context.Context) {
 		data, err := d.platform.Manifest(ctx)
 		d.instance.OnManifest(monotime.Now(), call, data, err)
@@ -30,7 +30,7 @@
 }
 
 // FetchChunk implements instance.Effects.
-func (d *Daemon) FetchChunk(call confsync.Call, key string) {
+func (d *Daemon) FetchChunk(call confsync.CallID, key string) {
 	d.call(platformTimeout, func(ctx context.Context) {
 		data, err := d.platform.Value(ctx, key)
 		d.instance.OnChunk(monotime.Now(), call, data, err)
@@ -38,7 +38,7 @@
 }
 
 // FetchInstances implements instance.Effects.
-func (d *Daemon) FetchInstances(call confsync.Call) {
+func (d *Daemon) FetchInstances(call confsync.CallID) {
 	d.call(platformTimeout, func(ctx context.Context) {
 		list, skipped, err := d.platform.Instances(ctx)
 		if skipped > 0 {
--- a/internal/gateway/configs.go
+++ b/internal/gateway/configs.go
@@ -88,7 +88,7 @@
 		return
 	}
 	c.linked = peers
-	c.core.Members(monotime.Now(), nil, peers, c)
+	c.core.SetMembers(monotime.Now(), nil, peers, c)
 }
 
 // tick does what is due by time alone.
@@ -125,11 +125,11 @@
 	now := monotime.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version <= 0 || c.core.Knows(uint64(version)) || c.askedAt != 0 && now.Sub(c.askedAt) < configAskInterval {
+	if version <= 0 || c.core.Tracks(uint64(version)) || c.askedAt != 0 && now.Sub(c.askedAt) < configAskInterval {
 		return
 	}
 	c.askedAt = now
-	c.core.Ask(now, from, c)
+	c.core.QueryPeer(now, from, c)
 }
 
 func (c *configs) noteTold(offer *wire.ConfigOffer, now monotime.Instant) {
--- a/internal/instance/fleet_test.go
+++ b/internal/instance/fleet_test.go
@@ -350,7 +350,7 @@
 	})
 }
 
-func (e *fleetEffects) Watch(call confsync.Call, revision uint64, instances int, wait time.Duration) {
+func (e *fleetEffects) Watch(call confsync.CallID, revision uint64, instances int, wait time.Duration) {
 	f := e.p.f
 	news := f.tells > revision || f.starts > instances
 	deadline := f.Now().Add(wait)
@@ -376,16 +376,16 @@
 	poll()
 }
 
-func (e *fleetEffects) FetchManifest(call confsync.Call) {
+func (e *fleetEffects) FetchManifest(call confsync.CallID) {
 	data := e.p.f.served[e.p.f.tells]
 	e.ask(0, func(now monotime.Instant, err error) { e.p.inst.OnManifest(now, call, data, err) })
 }
 
-func (e *fleetEffects) FetchChunk(call confsync.Call, key string) {
+func (e *fleetEffects) FetchChunk(call confsync.CallID, key string) {
 	e.ask(0, func(now monotime.Instant, err error) { e.p.inst.OnChunk(now, call, e.p.f.chunks[key], err) })
 }
 
-func (e *fleetEffects) FetchInstances(call confsync.Call) {
+func (e *fleetEffects) FetchInstances(call confsync.CallID) {
 	list := e.p.f.list()
 	e.ask(0, func(now monotime.Instant, err error) { e.p.inst.OnInstances(now, call, list, err) })
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -29,13 +29,13 @@
 type Effects interface {
 	node.Effects
 	// Watch waits up to wait for news at the platform; OnWatch answers.
-	Watch(call confsync.Call, revision uint64, instances int, wait time.Duration)
+	Watch(call confsync.CallID, revision uint64, instances int, wait time.Duration)
 	// FetchManifest reads the manifest; OnManifest answers.
-	FetchManifest(call confsync.Call)
+	FetchManifest(call confsync.CallID)
 	// FetchChunk reads one value; OnChunk answers.
-	FetchChunk(call confsync.Call, key string)
+	FetchChunk(call confsync.CallID, key string)
 	// FetchInstances reads the instance list; OnInstances answers.
-	FetchInstances(call confsync.Call)
+	FetchInstances(call confsync.CallID)
 	// Report tells operators of an event of the configuration.
 	Report(event confsync.Event)
 	// Installed tells that a configuration is in force.
@@ -77,10 +77,10 @@
 		node:    node.New(cfg.Node, eff),
 		members: membership.New(cfg.Self, cfg.Seeds, cfg.Node.Seed),
 		conf: confsync.New(now, confsync.Config{
-			Self:       cfg.Self.ID,
-			DataCentre: cfg.Self.DataCentre,
-			Seed:       cfg.Node.Seed,
-			PauseAfter: pauseAfter,
+			Self:           cfg.Self.ID,
+			DataCentre:     cfg.Self.DataCentre,
+			Seed:           cfg.Node.Seed,
+			PauseThreshold: pauseAfter,
 		}),
 	}
 }
@@ -150,7 +150,7 @@
 	for _, m := range view.Live {
 		live = append(live, confsync.Member{ID: m.ID, DataCentre: m.DataCentre})
 	}
-	i.conf.Members(now, live, i.members.Neighbours(), i.confEffects(now))
+	i.conf.SetMembers(now, live, i.members.Neighbours(), i.confEffects(now))
 }
 
 // OnLinkUp tells that a link to a peer is open.
@@ -205,22 +205,22 @@
 }
 
 // OnWatch answers Effects.Watch.
-func (i *Instance) OnWatch(now monotime.Instant, call confsync.Call, answer *platformapi.WatchAnswer, err error) {
+func (i *Instance) OnWatch(now monotime.Instant, call confsync.CallID, answer *platformapi.WatchAnswer, err error) {
 	i.update(now, func() { i.conf.OnWatch(now, call, answer, err, i.confEffects(now)) })
 }
 
 // OnManifest answers Effects.FetchManifest.
-func (i *Instance) OnManifest(now monotime.Instant, call confsync.Call, data []byte, err error) {
+func (i *Instance) OnManifest(now monotime.Instant, call confsync.CallID, data []byte, err error) {
 	i.update(now, func() { i.conf.OnManifest(now, call, data, err, i.confEffects(now)) })
 }
 
 // OnChunk answers Effects.FetchChunk.
-func (i *Instance) OnChunk(now monotime.Instant, call confsync.Call, data []byte, err error) {
+func (i *Instance) OnChunk(now monotime.Instant, call confsync.CallID, data []byte, err error) {
 	i.update(now, func() { i.conf.OnChunk(now, call, data, err, i.confEffects(now)) })
 }
 
 // OnInstances answers Effects.FetchInstances.
-func (i *Instance) OnInstances(now monotime.Instant, call confsync.Call, list *platformapi.InstanceList, err error) {
+func (i *Instance) OnInstances(now monotime.Instant, call confsync.CallID, list *platformapi.InstanceList, err error) {
 	i.update(now, func() {
 		version := 0
 		if err == nil {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -39,10 +39,10 @@
 	DefaultTimeout = time.Second
 
 	maxConnections = 16
-	maxIdle        = 30 * time.Second
-	// attempts is two, because a kept connection may have been closed by the
+	maxIdleTime    = 30 * time.Second
+	// maxAttempts is two, because a kept connection may have been closed by the
 	// service; every call counts at the service, so there are no more.
-	attempts = 2
+	maxAttempts = 2
 )
 
 // Errors of the client.
@@ -88,9 +88,9 @@
 	host := &fasthttp.HostClient{
 		Addr:                      cfg.Address,
 		MaxConns:                  maxConnections,
-		MaxIdleConnDuration:       maxIdle,
+		MaxIdleConnDuration:       maxIdleTime,
 		MaxResponseBodySize:       cfg.MaxBytes,
-		MaxIdemponentCallAttempts: attempts,
+		MaxIdemponentCallAttempts: maxAttempts,
 		DisablePathNormalizing:    true,
 		NoDefaultUserAgentHeader:  true,
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestDownAndOversized(t *testing.T) {
+func TestUnavailableAndOversizedAnswers(t *testing.T) {
 	client := serve(t, func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) == "/v1/values/big" {
 			ctx.SetBodyString(strings.Repeat("x", MaxValueBytes+1))
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestASilentConnectionIsGivenUpAndANewOneOpened(t *testing.T) {
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	// Something between the two ends loses track of the connection: the request
 	// goes out, no answer and no reset ever comes. The read ends by its timeout,
 	// and the next one must not wait on the same connection.
