--- a/internal/confsync/bench_test.go
+++ b/internal/confsync/bench_test.go
@@ -8,7 +8,7 @@
 	"basilrudder/internal/vtime"
 )
 
-// fleetShape is what the spread of a change depends on.
+// fleetShape holds the parameters that the propagation time depends on.
 type fleetShape struct {
 	instances   int
 	regionDelay time.Duration
@@ -71,7 +71,7 @@
 	return fmt.Sprintf("%-*s", size, text)
 }
 
-// BenchmarkAnswer is the work for one question of a neighbour.
+// BenchmarkAnswer measures the work for one query of a neighbour.
 func BenchmarkAnswer(b *testing.B) {
 	net := newNetwork(b)
 	net.ring(8, 1, 4)
--- a/internal/confsync/candidate.go
+++ b/internal/confsync/candidate.go
@@ -7,25 +7,26 @@
 	"basilrudder/internal/monotime"
 )
 
-// platformSource stands for the platform among the sources of a candidate; no
-// instance has an empty id.
+// platformSource represents the platform among the sources of a candidate. No instance
+// has an empty ID.
 const platformSource = ""
 
-// candidate is a newer revision that somebody has told of.
+// candidate is a newer revision that a neighbour or the platform has announced.
 type candidate struct {
 	id revisionID
-	// peers hold it in force, in the order in which they told.
+	// peers are the neighbours that have it in force, in the order of their
+	// announcements.
 	peers []string
-	// platformAt is when the platform was asked for it; 0 when it was not.
+	// platformAt is the time of the platform call that returned it; 0 if there was none.
 	platformAt monotime.Instant
-	// raw is the manifest where the platform gave it.
+	// raw is the manifest as read from the platform, if it was.
 	raw []byte
-	// failed holds the sources that failed in this attempt.
+	// failed holds the sources that failed during this attempt.
 	failed   map[string]bool
 	failures int
 	retryAt  monotime.Instant
-	// publishedAt is the earliest instant at which it was read at the platform, as far as
-	// is known.
+	// publishedAt is the earliest recorded time at which an instance read it at the
+	// platform.
 	publishedAt monotime.Instant
 }
 
@@ -38,8 +39,8 @@
 	return found
 }
 
-// addSource notes that an instance has the revision in force. It has only one
-// in force, so that the candidates are never more than the instances.
+// addSource records that an instance has the revision in force. An instance has only one
+// in force, so there are never more candidates than instances.
 func (c *Core) addSource(now monotime.Instant, id revisionID, from string) {
 	for _, other := range c.candidates {
 		if other.id != id {
@@ -83,8 +84,9 @@
 	}
 }
 
-// bestCandidate returns the highest candidate worth a try now, or nil. Between two of
-// one number the lower hash goes first, the same at every instance.
+// bestCandidate returns the highest candidate that has a source and is due for an
+// attempt, or nil. Among candidates of one revision number the lowest hash comes first,
+// at every instance alike.
 func (c *Core) bestCandidate(now monotime.Instant) *candidate {
 	var best *candidate
 	for _, cand := range c.candidates {
@@ -123,8 +125,8 @@
 	return out
 }
 
-// failAttempt ends an attempt in which every source failed. The platform has to
-// tell of the revision anew: a value may have been replaced in the meantime.
+// failAttempt ends an attempt in which every source failed. The platform must announce
+// the revision again, because a value may have been replaced in the meantime.
 func (c *Core) failAttempt(now monotime.Instant, cand *candidate) {
 	cand.failures++
 	cand.retryAt = now.Add(c.backoff(cand.failures, backoffMax))
@@ -139,8 +141,8 @@
 	}
 }
 
-// backoff returns the wait after a number of failures in a row, with jitter,
-// so that instances that failed together do not come back together.
+// backoff returns the delay after a number of consecutive failures. It has jitter, so
+// that instances that failed together do not retry together.
 func (c *Core) backoff(failures int, limit time.Duration) time.Duration {
 	const maxDoublings = 16
 	wait := min(backoffMin<<min(failures, maxDoublings), limit)
--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -1,11 +1,11 @@
-// Package confsync decides which revision of the configuration is in force at
-// one instance and how it learns of a newer one. A few readers in each data
-// centre hold a waiting watch at the platform; everybody else learns from its
-// neighbours. The highest revision wins, whoever tells of it; a revision takes
-// effect whole or not at all, and none ever gives way to a lower one.
+// Package confsync decides which revision of the configuration is in force at one
+// instance and how the instance learns of newer ones. In each data centre a few readers
+// keep a long poll (watch) open at the platform; all other instances (learners) fetch
+// from their neighbours. The highest revision wins, whatever its source. A revision takes
+// effect completely or not at all, and is never replaced by a lower one.
 //
-// The package is pure: it takes the instant as an argument, does its I/O
-// through Effects and starts no goroutine.
+// The package is deterministic: it takes the current time as an argument, does its I/O
+// through Effects and starts no goroutines.
 package confsync
 
 import (
@@ -21,32 +21,33 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// CallID is the number of one call to the platform. Answers carry it back, so
-// that one which comes after its call was given up is told from a fresh one.
+// CallID identifies one call to the platform. Answers carry it, which distinguishes a
+// late answer to an abandoned call from an answer to an open one.
 type CallID uint64
 
-// Effects is what the core does to the world. Calls to the platform are
-// answered through the On methods of Core, later and never from within.
+// Effects performs the I/O of a Core. Calls to the platform are answered through the On
+// methods of Core, later and never from within the call.
 type Effects interface {
-	// SendPeer sends to an instance; a message may be lost.
+	// SendPeer sends a message to an instance. The message may be lost.
 	SendPeer(to string, envelope *wire.Envelope)
-	// Watch waits up to wait for a revision or an instance list newer than
-	// given; OnWatch answers.
+	// Watch waits up to wait for a revision or an instance list newer than the given
+	// ones. OnWatch receives the answer.
 	Watch(call CallID, revision uint64, instances int, wait time.Duration)
-	// FetchManifest reads the manifest; OnManifest answers.
+	// FetchManifest reads the manifest. OnManifest receives it.
 	FetchManifest(call CallID)
-	// FetchChunk reads one value; OnChunk answers.
+	// FetchChunk reads one value. OnChunk receives it.
 	FetchChunk(call CallID, key string)
-	// FetchInstances reads the instance list; OnInstances answers.
+	// FetchInstances reads the instance list. OnInstances receives its version.
 	FetchInstances(call CallID)
-	// Install checks a revision and puts it in force. An error refuses it as a
-	// whole, for good.
+	// Install checks a revision and puts it in force. An error refuses the whole revision;
+	// it is not tried again.
 	Install(revision uint64, files []inventory.File) error
-	// Report tells operators.
+	// Report reports an event to operators.
 	Report(Event)
 }
 
-// PeersOnly is what an owner need not do for a core with Config.PeersOnly.
+// PeersOnly implements the platform calls of Effects as no-ops, for owners of a core with
+// Config.PeersOnly.
 type PeersOnly struct{}
 
 // Watch implements Effects.
@@ -61,84 +62,124 @@
 // FetchInstances implements Effects.
 func (PeersOnly) FetchInstances(CallID) {}
 
-// Member is an instance that is believed to live.
+// Member is an instance that is considered live.
 type Member struct {
-	// ID of the instance.
 	ID string
-	// DataCentre it stands in.
+	// DataCentre is the data centre in which the instance is located.
 	DataCentre string
 }
 
-// NeverConfirmed is the age of a revision that nobody has confirmed since the
-// process started or woke.
+// NeverConfirmed is the age of a revision that has not been confirmed since the process
+// started or was last paused.
 const NeverConfirmed = time.Duration(math.MaxInt64)
 
-// Config of a Core. Zero durations and numbers take the defaults.
+// Config configures a Core. Zero durations and numbers select the defaults.
 type Config struct {
-	// Self is the id of the instance.
+	// Self is the ID of the instance.
 	Self string
-	// DataCentre the instance stands in.
+	// DataCentre is the data centre in which the instance is located.
 	DataCentre string
-	// PeersOnly says that the owner follows the platform itself and calls Publish; the core
-	// makes no calls.
+	// PeersOnly disables all calls to the platform: the owner reads it and calls Publish.
 	PeersOnly bool
-	// ReadersPerDC is how many instances of a data centre watch the platform.
+	// ReadersPerDC is the number of instances per data centre that watch the platform.
 	ReadersPerDC int
-	// Seed of the jitter.
+	// Seed seeds the jitter.
 	Seed uint64
-	// QueryInterval is how often each neighbour is asked for its revision.
+	// QueryInterval is the interval at which each neighbour is asked for its revision.
 	QueryInterval time.Duration
-	// WatchWait is how long a watch waits at the platform.
+	// WatchWait is the time that the platform holds a watch open when there is nothing
+	// newer.
 	WatchWait time.Duration
-	// CallTimeout is how long a read of the platform may take; a watch may take
-	// that much longer than its wait.
+	// CallTimeout bounds a read of the platform. A watch is bounded by WatchWait +
+	// CallTimeout.
 	CallTimeout time.Duration
-	// PieceTimeout is how long a neighbour may take to send the next piece.
+	// PieceTimeout bounds the time until a neighbour sends the next piece.
 	PieceTimeout time.Duration
-	// PeerTimeout is the silence of all neighbours that turns a learner into an
-	// extra reader.
+	// PeerTimeout is the time without an answer from any neighbour after which a learner
+	// becomes an extra reader.
 	PeerTimeout time.Duration
-	// MaxPlatformAge is the age of the platform's last word, to anybody's
-	// knowledge, that turns a learner into an extra reader.
+	// MaxPlatformAge is the age of the platform's last confirmation received by this
+	// instance, directly or from a neighbour, after which a learner becomes an extra
+	// reader.
 	MaxPlatformAge time.Duration
-	// PauseThreshold is the time between two ticks that counts as a pause.
+	// PauseThreshold is the time between two ticks above which the process counts as
+	// paused.
 	PauseThreshold time.Duration
 }
 
-// Defaults of Config.
+// Default values of Config.
 const (
-	DefaultReadersPerDC   = 2
-	DefaultQueryInterval  = 2 * time.Second
-	DefaultWatchWait      = 10 * time.Second
-	DefaultCallTimeout    = 3 * time.Second
-	DefaultPieceTimeout   = time.Second
-	DefaultPeerTimeout    = 6 * time.Second
+	// DefaultReadersPerDC is 2 so that one failed reader does not leave a data centre
+	// without any. Each further reader costs a permanent watch and the reads of each change.
+	DefaultReadersPerDC = 2
+	// DefaultQueryInterval bounds the delay of a change after a lost offer. A shorter one
+	// costs idle traffic; a longer one must stay well below DefaultPeerTimeout.
+	DefaultQueryInterval = 2 * time.Second
+	// DefaultWatchWait sets the idle call rate at the platform. The confirmation of a
+	// reader without anything newer is up to this old, plus the call.
+	DefaultWatchWait = 10 * time.Second
+	// DefaultCallTimeout delays a retry after an unresponsive connection. A shorter one
+	// abandons reads of a slow platform, which are then repeated.
+	DefaultCallTimeout = 3 * time.Second
+	// DefaultPieceTimeout is the delay per hop if a source stops sending. A shorter one
+	// excludes sources that are only busy.
+	DefaultPieceTimeout = time.Second
+	// DefaultPeerTimeout allows three queries. A shorter one makes learners read the
+	// platform after a few lost messages; a longer one delays changes at an isolated one.
+	DefaultPeerTimeout = 6 * time.Second
+	// DefaultMaxPlatformAge must exceed DefaultWatchWait + DefaultCallTimeout and the time
+	// to spread between neighbours, or learners read the platform while the readers work.
 	DefaultMaxPlatformAge = 45 * time.Second
+	// DefaultPauseThreshold separates scheduling delays from pauses. A shorter one drops
+	// the confirmation after mere delays; a longer one misses pauses up to its length.
 	DefaultPauseThreshold = 2 * time.Second
 )
 
-// Limits of what is accepted and remembered.
+// Limits on received and stored data, and intervals.
 const (
-	// PieceBytes is the size of a piece between instances.
+	// PieceBytes is the maximum size of a piece sent between instances. Larger pieces
+	// delay other messages on the link for longer.
 	PieceBytes = 32 << 10
-	// MaxValueBytes is the size of a value at the platform.
+	// MaxValueBytes is the maximum size of a value or manifest. A lower limit rejects
+	// values that the platform accepts.
 	MaxValueBytes = 1 << 20
-	// MaxRevisionBytes is the size of all values of a revision.
+	// MaxRevisionBytes is the maximum total size of a revision's values. It bounds the
+	// memory for an untrusted manifest; a larger revision is refused.
 	MaxRevisionBytes = 32 << 20
-	// MaxChunks is the number of values of a revision.
+	// MaxChunks is the maximum number of values in a revision. A manifest with more is
+	// refused.
 	MaxChunks = 4096
 
-	piecesPerRequest       = 4
-	maxConcurrentItems     = 4
-	maxRefused             = 64
-	backoffMin             = 250 * time.Millisecond
-	backoffMax             = 15 * time.Second
+	// piecesPerRequest bounds what one request returns, here to 128 KiB. Fewer cost more
+	// round trips per value; more send further data after the requester has given up.
+	piecesPerRequest = 4
+	// maxConcurrentItems bounds the open transfers of a fetch. Fewer slow it down by
+	// round trips; more raise the peak of calls to the platform.
+	maxConcurrentItems = 4
+	// maxRefused bounds the refused revisions that are recorded. One that is no longer
+	// recorded is fetched and checked again if it is announced.
+	maxRefused = 64
+	// backoffMin and backoffMax bound the delay between attempts. Lower ones load a
+	// failing platform; a higher maximum delays changes after it has recovered.
+	backoffMin = 250 * time.Millisecond
+	backoffMax = 15 * time.Second
+	// extraReaderBackoffMax and extraReaderMinFailures make extra readers retry more
+	// slowly than readers, because the whole fleet may be retrying.
 	extraReaderBackoffMax  = 60 * time.Second
 	extraReaderMinFailures = 4
-	bootstrapGrace         = 500 * time.Millisecond
-	bootstrapGraceListed   = 3 * time.Second
-	resumeQueryInterval    = 500 * time.Millisecond
-	resumeTrustDelay       = 2 * time.Second
+	// bootstrapGrace is the time for a peer to answer a process without a configuration.
+	// A lower one makes more of them read the platform, a higher one delays the start.
+	bootstrapGrace = 500 * time.Millisecond
+	// bootstrapGraceListed applies instead if the platform lists other instances. It must
+	// cover the time in which the readers read and check the configuration.
+	bootstrapGraceListed = 3 * time.Second
+	// resumeQueryInterval replaces QueryInterval after a pause, while dispatch waits for a
+	// confirmation.
+	resumeQueryInterval = 500 * time.Millisecond
+	// resumeTrustDelay is the time for an instance that was not paused, or the platform,
+	// to answer first. Below a round trip, instances that were paused together could
+	// confirm an outdated revision to each other.
+	resumeTrustDelay = 2 * time.Second
 )
 
 func (cfg Config) withDefaults() Config {
@@ -155,7 +196,7 @@
 	return cfg
 }
 
-// Stats counts what the core did. Bytes are those of pieces and values.
+// Stats counts the operations of a Core. Byte counts cover pieces and values only.
 type Stats struct {
 	Installed, Refused, Conflicts, Corrupted  uint64
 	StaleAnswers, PlatformErrors              uint64
@@ -183,9 +224,9 @@
 	candidates map[revisionID]*candidate
 	fetch      *fetch
 	conflicts  map[conflictKey]bool
-	// retained holds values of a fetch that failed, by hash.
+	// retained holds values of a failed fetch by their hash.
 	retained map[string][]byte
-	// staggerFraction places the instance among those that act for one cause.
+	// staggerFraction is this instance's fixed random position in [0,1) for stagger.
 	staggerFraction float64
 
 	platform platformState
@@ -201,7 +242,7 @@
 	stats Stats
 }
 
-// New returns a core without a configuration.
+// New returns a core that has no configuration.
 func New(now monotime.Instant, cfg Config) *Core {
 	cfg = cfg.withDefaults()
 	c := &Core{
@@ -220,7 +261,7 @@
 	return c
 }
 
-// jitter returns a random share of d.
+// jitter returns a random duration between 0 and d.
 func (c *Core) jitter(d time.Duration) time.Duration {
 	return time.Duration(c.rng.Int64N(int64(d) + 1))
 }
@@ -230,9 +271,9 @@
 	return c.current.id.number
 }
 
-// Confirmed returns the revision in force and the time since a neighbour or
-// the platform was asked and knew of nothing newer. The age is NeverConfirmed
-// from the start, and from a pause, until the first such answer.
+// Confirmed returns the revision in force and the time since the query or call to a
+// neighbour or the platform that reported nothing newer. The age is NeverConfirmed after
+// the start and after each pause, until the first such answer.
 func (c *Core) Confirmed(now monotime.Instant) (uint64, time.Duration) {
 	if !c.confirmed {
 		return c.Revision(), NeverConfirmed
@@ -240,8 +281,8 @@
 	return c.Revision(), now.Sub(c.confirmedAt)
 }
 
-// PlatformAge returns the time since the platform confirmed the revision to
-// this instance or to one it heard of; NeverConfirmed for unknown.
+// PlatformAge returns the time since the platform last confirmed the revision, to this
+// instance or to one whose confirmation was received. It is NeverConfirmed when unknown.
 func (c *Core) PlatformAge(now monotime.Instant) time.Duration {
 	if !c.platformConfirmed {
 		return NeverConfirmed
@@ -249,17 +290,16 @@
 	return now.Sub(c.platformConfirmedAt)
 }
 
-// Reader reports whether the instance watches the platform now.
+// Reader reports whether the instance currently watches the platform.
 func (c *Core) Reader() bool {
 	return c.reader || c.extraReader
 }
 
-// Stats returns the counters.
 func (c *Core) Stats() Stats {
 	return c.stats
 }
 
-// confirm takes note of an answer to a question asked at the instant.
+// confirm records a confirmation by an answer to a query sent at asked.
 func (c *Core) confirm(asked monotime.Instant) {
 	if c.current.id.number == 0 {
 		return
@@ -271,6 +311,7 @@
 	c.resuming = false
 }
 
+// confirmPlatform records a confirmation by the platform at the given time.
 func (c *Core) confirmPlatform(at monotime.Instant) {
 	if !c.platformConfirmed || c.platformConfirmedAt.Before(at) {
 		c.platformConfirmedAt = at
@@ -278,7 +319,7 @@
 	c.platformConfirmed = true
 }
 
-// Tick drives timeouts; call it several times a second.
+// Tick runs due timeouts and periodic work. Call it several times a second.
 func (c *Core) Tick(now monotime.Instant, eff Effects) {
 	if gap := now.Sub(c.lastTick); gap > c.cfg.PauseThreshold {
 		c.OnPaused(now, gap, eff)
@@ -291,17 +332,17 @@
 	c.advance(now, eff)
 }
 
-// advance does what the state now allows; every event ends with it.
+// advance starts the calls and fetches that the current state allows. Every event ends
+// with it.
 func (c *Core) advance(now monotime.Instant, eff Effects) {
 	c.watchIfDue(now, eff)
 	c.driveFetch(now, eff)
 }
 
-// OnPaused tells that the process did not run for gap. What it knew may be
-// long out of date: messages in its buffers were sent before or during the
-// pause, and nothing in them proves that they are new. So every open question
-// and call is forgotten, and only the answer to one asked from now on confirms
-// the revision.
+// OnPaused resets the state after the process did not run for gap. The recorded state may
+// be long out of date: buffered messages were sent before or during the pause, and
+// nothing in them proves that they are recent. All open queries and calls are therefore
+// dropped, and only an answer to a later one confirms the revision.
 func (c *Core) OnPaused(now monotime.Instant, _ time.Duration, eff Effects) {
 	c.lastTick = now
 	c.confirmed = false
--- a/internal/confsync/confsync_test.go
+++ b/internal/confsync/confsync_test.go
@@ -12,7 +12,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// values returns three values, of which one names the revision.
+// values returns three values, one of which contains the revision.
 func values(revision int) map[string]string {
 	return map[string]string{
 		"rules":     fmt.Sprintf("revision = %d", revision),
@@ -21,7 +21,7 @@
 	}
 }
 
-// newSettledFleet is a fleet at revision 5.
+// newSettledFleet returns a fleet with revision 5 in force everywhere.
 func newSettledFleet(t *testing.T, n, dcs int) *network {
 	net := newNetwork(t)
 	net.ring(n, dcs, 4)
@@ -47,18 +47,16 @@
 			t.Errorf("%s fetched %d bytes", n.id, got)
 		}
 	}
-	// Each reader reads the manifest and the one value that changed, then
-	// watches on.
+	// Each reader reads the manifest and the one value that changed, then watches again.
 	if spent := net.platform.calls - calls; readers != 6 || spent > 3*readers {
 		t.Errorf("%d readers made %d calls", readers, spent)
 	}
 }
 
 func TestStalePlatformDoesNotLowerRevision(t *testing.T) {
-	// The platform's replica that answers falls back to revision 4, to the
-	// readers and to a process that starts then. Callers see servers that were
-	// withdrawn in revision 5 get work again if anybody believes it. The highest
-	// revision known to a neighbour is newer by definition, so it stays.
+	// A replica of the platform falls back to revision 4 and answers readers and resuming
+	// processes. If 4 took effect, servers that revision 5 withdrew would get work again.
+	// The higher revision of a neighbour is newer by definition and must stay.
 	net := newSettledFleet(t, 8, 2)
 	net.platform.publish(4, values(4))
 	for _, n := range net.nodes {
@@ -75,7 +73,7 @@
 		stale += n.reported(EventStale)
 	}
 	if stale == 0 {
-		t.Error("nobody reported the stale answer")
+		t.Error("no instance reported the stale answer")
 	}
 	net.platform.publish(6, values(6))
 	net.Run(20 * time.Second)
@@ -83,9 +81,9 @@
 }
 
 func TestNewInstancesFetchFromLastPeerWhilePlatformDown(t *testing.T) {
-	// The platform dies, then every instance but one is replaced. The new ones
-	// have nothing on disk and nobody to read from but that one neighbour: they
-	// must come up with its revision and not wait for the platform.
+	// The platform fails, then every instance but one is replaced. The new ones have no
+	// stored state and a single source: they must start with that neighbour's revision
+	// instead of waiting for the platform.
 	net := newSettledFleet(t, 8, 2)
 	net.platform.down = true
 	survivor := net.ids[3]
@@ -111,10 +109,10 @@
 }
 
 func TestBufferedAnswersDoNotConfirmAfterPause(t *testing.T) {
-	// An instance sleeps for a minute; revision 6 withdraws a server meanwhile.
-	// Its socket buffers hold answers from before the change, which all say that
-	// 5 is the latest. Were they believed, it would send its queue to the
-	// withdrawn server. Only the answer to a question asked after waking counts.
+	// An instance is paused for a minute while revision 6 withdraws a server. Its socket
+	// buffers hold answers from before the change, all with revision 5 as the latest. If
+	// they counted, it would dispatch its queue to the withdrawn server. Only answers to
+	// queries sent after the pause confirm.
 	net := newSettledFleet(t, 8, 2)
 	n := net.nodes[net.ids[2]]
 	for before := n.core.gossip.lastQuery; n.core.gossip.lastQuery == before; {
@@ -123,7 +121,7 @@
 	n.pause()
 	net.Run(time.Minute)
 	if len(n.queue) == 0 {
-		t.Fatal("no answer lay in the buffers")
+		t.Fatal("no answer was buffered")
 	}
 	net.cut = func(a, b string) bool { return a == n.id || b == n.id }
 	net.platform.publish(6, values(6))
@@ -137,14 +135,14 @@
 	net.cut = func(a, b string) bool { return false }
 	net.Run(2 * resumeQueryInterval)
 	if revision, age := n.core.Confirmed(net.Now()); revision != 6 || age > time.Second {
-		t.Errorf("after the links came back: revision %d confirmed %v ago", revision, age)
+		t.Errorf("after the links recovered: revision %d confirmed %v ago", revision, age)
 	}
 }
 
 func TestAWatchFromBeforeThePauseConfirmsNothing(t *testing.T) {
-	// A machine is suspended, and its clock with it. The answer to a watch from
-	// before lies in the buffer of a reader and looks as young as ever. Were it
-	// believed, the reader would dispatch by a revision that is long out of date.
+	// A machine is suspended together with its clock. A watch answer from before is in a
+	// reader's buffer and appears recent. If it confirmed the revision, the reader would
+	// dispatch by one that is long out of date.
 	net := newSettledFleet(t, 4, 1)
 	for _, id := range net.ids {
 		n := net.nodes[id]
@@ -166,9 +164,9 @@
 }
 
 func TestFleetResumesTogetherWithPlatformDown(t *testing.T) {
-	// The whole fleet stops at once, as when its machines are suspended, and the
-	// platform is down when it wakes. Nobody stayed awake to confirm anything; if
-	// each waited for one who did, the fleet would refuse work for ever.
+	// The whole fleet is paused at once, for example by suspended machines, and the
+	// platform is down when it resumes. No instance stayed running to confirm anything.
+	// If each waited for one that did, the fleet would refuse work forever.
 	net := newSettledFleet(t, 8, 2)
 	net.platform.down = true
 	for _, n := range net.nodes {
@@ -193,9 +191,9 @@
 }
 
 func TestHealOfAPartitionBringsTheHigherRevision(t *testing.T) {
-	// The network splits and only one part reaches the platform. That part goes
-	// to revision 6 while the other keeps 5. After the heal all are at 6 within
-	// seconds and nobody has gone back.
+	// The network splits and only one part reaches the platform. That part goes to
+	// revision 6, the other keeps 5. After the partition heals, all must be at 6 within
+	// seconds, and no instance may have gone back.
 	net := newSettledFleet(t, 12, 2)
 	left := func(id string) bool { return id < net.ids[6] }
 	net.cut = func(a, b string) bool { return left(a) != left(b) }
@@ -218,7 +216,7 @@
 		}
 	}
 	if age := net.nodes[net.ids[0]].core.PlatformAge(net.Now()); age < 20*time.Second {
-		t.Errorf("the platform's last word is %v old without the platform", age)
+		t.Errorf("last platform confirmation is only %v old without the platform", age)
 	}
 	net.cut = func(a, b string) bool { return false }
 	net.updateLinks()
@@ -227,8 +225,9 @@
 }
 
 func TestConfirmationAgeGrowsWhileIsolated(t *testing.T) {
-	// One instance reaches neither a neighbour nor the platform. It keeps its
-	// revision, and its age grows so that the node can stop serving in time.
+	// One instance reaches neither a neighbour nor the platform. It keeps its revision,
+	// and the age of the confirmation must grow so that the node can stop serving in
+	// time.
 	net := newSettledFleet(t, 4, 1)
 	n := net.nodes[net.ids[1]]
 	n.offline = true
@@ -239,13 +238,13 @@
 		t.Errorf("revision %d confirmed %v ago", revision, age)
 	}
 	if watches := n.core.Stats().Watches; watches > 60 {
-		t.Errorf("%d watches against a platform out of reach", watches)
+		t.Errorf("%d watches at an unreachable platform", watches)
 	}
 }
 
 func TestACorruptedPieceIsFetchedElsewhere(t *testing.T) {
-	// A neighbour with bad memory sends a wrong byte in every piece. The value
-	// fails its hash and comes from somebody else; nothing wrong takes effect.
+	// A neighbour with faulty memory sends a wrong byte in every piece. The value fails
+	// its hash check and must come from another source; nothing wrong may take effect.
 	net := newSettledFleet(t, 12, 1)
 	bad := ""
 	net.alterPiece = func(from, to string, part *wire.ConfigPart) {
@@ -264,14 +263,14 @@
 		corrupted += n.core.Stats().Corrupted
 	}
 	if corrupted == 0 {
-		t.Error("no corrupted value was met")
+		t.Error("no corrupted value was reported")
 	}
 }
 
 func TestABadRevisionIsRefusedWholeAndOnce(t *testing.T) {
-	// Operators publish revision 6 with a fault. It takes effect nowhere, each
-	// reader says so once, the last good one stays confirmed, and nobody fetches
-	// it again and again. The mended 7 goes through.
+	// Revision 6 is published with a fault. It must not take effect anywhere, each reader
+	// reports it once, the previous revision stays confirmed, and 6 is not fetched again.
+	// The corrected revision 7 is installed.
 	net := newSettledFleet(t, 12, 3)
 	for _, n := range net.nodes {
 		n.check = func(revision uint64) error {
@@ -315,8 +314,8 @@
 }
 
 func TestFetchContinuesAfterSourceDies(t *testing.T) {
-	// A neighbour starts to send a large value and its machine dies. What came
-	// so far is kept, and the rest comes from another from that offset on.
+	// A neighbour's machine fails while it sends a large value. The data received so far
+	// is kept, and the rest comes from another source from that offset on.
 	net := newSettledFleet(t, 6, 1)
 	big := values(6)
 	big["customers"] = strings.Repeat("q", 900_000)
@@ -336,9 +335,9 @@
 }
 
 func TestConflictingContentsOfOneRevisionAreReported(t *testing.T) {
-	// Two sites publish different values under number 6, each to its half of the
-	// fleet. Were either half to follow the other, both might swap for ever. Each
-	// keeps what it has, says so, and 7 ends it.
+	// Two sites publish different values under number 6, each to its half of the fleet.
+	// If either half adopted the other's, both could swap forever. Each keeps what it has
+	// and reports the conflict; revision 7 ends it.
 	net := newSettledFleet(t, 8, 2)
 	half := func(id string) bool { return id < net.ids[4] }
 	net.cut = func(a, b string) bool { return half(a) != half(b) }
@@ -367,7 +366,7 @@
 		}
 	}
 	if conflicts == 0 {
-		t.Error("nobody noticed the conflict")
+		t.Error("no instance reported the conflict")
 	}
 	net.platform.publish(7, values(7))
 	net.Run(20 * time.Second)
@@ -375,8 +374,8 @@
 }
 
 func TestMissingValueIsRetriedWithBackoff(t *testing.T) {
-	// The manifest is published before one of its values. Readers cannot
-	// complete it; they back off, and the fleet goes on with what it has.
+	// The manifest is published before one of its values. Readers cannot complete the
+	// revision; they must back off, and the fleet keeps the previous one.
 	net := newSettledFleet(t, 6, 1)
 	net.platform.publish(6, values(6))
 	good := net.platform.values["rules"]
@@ -393,8 +392,8 @@
 }
 
 func TestCorrectedValueIsReadPromptly(t *testing.T) {
-	// As above, but the value follows the manifest after a second. The change
-	// must still be in force everywhere within three seconds.
+	// As in TestMissingValueIsRetriedWithBackoff, but the value follows the manifest
+	// after a second. The change must still be in force everywhere within three seconds.
 	net := newSettledFleet(t, 6, 1)
 	net.platform.publish(6, values(6))
 	good := net.platform.values["rules"]
@@ -406,9 +405,9 @@
 }
 
 func TestInstanceThatRefusesAloneStaysConfirmed(t *testing.T) {
-	// During an upgrade one instance still runs the older program, which does not
-	// know a key of revision 6. It keeps 5, fetches 6 once, and is confirmed by
-	// neighbours that have 6: it knows of nothing newer that it could use.
+	// During an upgrade one instance still runs an older program, which rejects an
+	// unknown key in revision 6. It keeps 5, fetches 6 only once, and is confirmed by
+	// neighbours that have 6, because there is nothing newer that it could use.
 	net := newSettledFleet(t, 8, 2)
 	old := net.nodes[net.ids[4]]
 	if old.core.Reader() {
@@ -428,9 +427,9 @@
 }
 
 func TestDeclinedRequestMovesToAnotherSource(t *testing.T) {
-	// The neighbour that is asked for a revision has gone on to the next and
-	// says so. Waiting for its pieces until the timeout would cost a second on
-	// each hop; the other neighbour is asked in the same instant.
+	// The neighbour that was asked for a revision has moved on to the next one and
+	// answers with that. Waiting for the piece timeout would cost a second per hop; the
+	// other neighbour must be asked immediately.
 	net := newNetwork(t)
 	net.ids = []string{"a"}
 	n := net.start("a", "dc-0", []string{"b", "c"})
@@ -447,8 +446,8 @@
 }
 
 func TestUnresponsiveNeighboursMakeExtraReader(t *testing.T) {
-	// Links look up but nothing comes through them any more. A learner that went
-	// on waiting would miss every change; it asks the platform itself.
+	// Links appear up but no messages arrive. A learner that kept waiting would miss
+	// every change; it must read the platform itself.
 	net := newSettledFleet(t, 8, 1)
 	var learner *node
 	for _, id := range net.ids {
@@ -464,8 +463,8 @@
 }
 
 func TestOfferOfNonexistentRevisionDoesNotBlock(t *testing.T) {
-	// A confused neighbour offers revision 900 and never sends it. The fetch
-	// ends, and the true revision 6 still comes through.
+	// A faulty neighbour offers revision 900 and never sends it. The fetch must end, and
+	// the valid revision 6 must still be installed.
 	net := newSettledFleet(t, 6, 1)
 	n := net.nodes[net.ids[0]]
 	bogus := wire.ConfigOffer{Revision: 900, ManifestSHA256: strings.Repeat("a", 64)}
--- a/internal/confsync/event.go
+++ b/internal/confsync/event.go
@@ -1,35 +1,33 @@
 package confsync
 
-// EventKind is what happened.
+// EventKind is the kind of an event.
 type EventKind string
 
-// Kinds of events.
+// Event kinds.
 const (
-	// EventInstalled tells of a revision that took effect.
+	// EventInstalled reports a revision that took effect.
 	EventInstalled EventKind = "installed"
-	// EventRefused tells of a revision that failed its checks; the last good
-	// one stays.
+	// EventRefused reports a revision that failed its checks. The previous one stays in
+	// force.
 	EventRefused EventKind = "refused"
-	// EventConflict tells that another instance has another content under the
-	// revision number in force.
+	// EventConflict reports different content under the revision number in force.
 	EventConflict EventKind = "conflict"
-	// EventCorrupted tells of a value that is not what its hash says.
+	// EventCorrupted reports a value that does not match its hash.
 	EventCorrupted EventKind = "corrupted"
-	// EventStale tells of a platform answer older than the revision in force.
+	// EventStale reports a platform answer older than the revision in force.
 	EventStale EventKind = "stale"
-	// EventPlatform tells of a call to the platform that failed.
+	// EventPlatform reports a failed call to the platform.
 	EventPlatform EventKind = "platform"
 )
 
-// Event is something an operator may want to know.
+// Event is an event reported to operators.
 type Event struct {
-	// Kind of the event.
 	Kind EventKind
-	// Revision it is about; 0 for none.
+	// Revision is the revision concerned; 0 for none.
 	Revision uint64
-	// Hash of the revision's manifest or of the value.
+	// Hash is the hash of the revision's manifest or of the value.
 	Hash string
-	// From is the neighbour it came from; empty for the platform.
+	// From is the neighbour that sent the data; empty for the platform.
 	From string
 	// Err is the cause, or nil.
 	Err error
--- a/internal/confsync/fetch.go
+++ b/internal/confsync/fetch.go
@@ -8,34 +8,34 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// fetch gathers one candidate.
+// fetch is the transfer of one candidate.
 type fetch struct {
 	candidate *candidate
 	raw       []byte
 	manifest  *platformapi.Manifest
-	// items are the manifest, or then the values not yet held.
+	// items holds the manifest alone at first, then the values that are missing.
 	items []*item
-	// held has every value by its hash; those of the revision in force need
-	// no fetch.
+	// held holds the available values by hash. Those of the revision in force need no
+	// transfer.
 	held map[string][]byte
 }
 
-// item is one value on its way.
+// item is the transfer of one value or of the manifest.
 type item struct {
-	// key at the platform; empty for the manifest.
+	// key is the key at the platform; empty for the manifest.
 	key  string
 	hash string
-	// size in bytes; unknownSize until the first piece of a manifest.
+	// size is in bytes; unknownSize until the first piece of a manifest.
 	size int
-	// data received so far; a new source continues where the last one ended.
+	// data is what has been received. Another peer continues where the last one stopped.
 	data []byte
 	done bool
 
 	active bool
-	// source is the neighbour, or platformSource.
+	// source is the neighbour's ID, or platformSource.
 	source string
 	call   CallID
-	// requestedTo is the offset up to which pieces were requestedTo for.
+	// requestedTo is the offset up to which pieces have been requested.
 	requestedTo int
 	progressAt  monotime.Instant
 }
@@ -46,7 +46,7 @@
 	return it.key == ""
 }
 
-// wireHash is how peer messages name the item.
+// wireHash returns the hash that identifies the item in peer messages.
 func (it *item) wireHash() string {
 	if it.isManifest() {
 		return ""
@@ -58,7 +58,7 @@
 	it.active = false
 }
 
-// restart asks for everything on its way again.
+// restart stops all transfers, so that they are requested again.
 func (f *fetch) restart(monotime.Instant) {
 	if f == nil {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-// failSource gives up a source for the rest of the attempt.
+// failSource excludes a source for the rest of the attempt.
 func (f *fetch) failSource(source string) {
 	f.candidate.failed[source] = true
 	for _, it := range f.items {
@@ -78,15 +78,15 @@
 	}
 }
 
-// onWantDeclined handles a neighbour that does not hold what it was asked for;
-// it tells what it has in force instead.
+// onWantDeclined handles a neighbour that lacks the requested data. It answers with the
+// revision that it has in force instead.
 func (c *Core) onWantDeclined(from string, id revisionID) {
 	if c.fetch != nil && c.fetch.candidate.id != id {
 		c.fetch.failSource(from)
 	}
 }
 
-// expirePieces gives up neighbours that stopped sending in the middle.
+// expirePieces excludes neighbours that stopped sending during a transfer.
 func (c *Core) expirePieces(now monotime.Instant) {
 	if c.fetch == nil {
 		return
@@ -120,8 +120,9 @@
 	}
 }
 
-// chooseFetch stays with a fetch that has its manifest, so that revisions that
-// follow each other fast cannot keep every one of them from completing.
+// chooseFetch starts the fetch of the best candidate. It keeps a fetch that already has
+// its manifest: otherwise revisions in quick succession could prevent each other from
+// ever completing.
 func (c *Core) chooseFetch(now monotime.Instant, eff Effects) {
 	best := c.bestCandidate(now)
 	if best == nil {
@@ -145,7 +146,7 @@
 	c.fetch.items = []*item{{hash: best.id.hash, size: unknownSize}}
 }
 
-// retainValues saves values of a fetch that failed for the next one.
+// retainValues keeps the complete values of a failed fetch for the next one.
 func (c *Core) retainValues(f *fetch) {
 	c.retained = make(map[string][]byte)
 	for _, it := range f.items {
@@ -155,11 +156,11 @@
 	}
 }
 
-// useManifest lists what is missing, or refuses the candidate.
+// useManifest lists the missing values, or refuses the candidate.
 func (c *Core) useManifest(f *fetch, raw []byte, eff Effects) {
 	manifest, err := parseManifest(raw)
 	if err == nil && uint64(manifest.Revision) != f.candidate.id.number {
-		err = errors.Errorf("manifest is of revision %d", manifest.Revision)
+		err = errors.Errorf("manifest contains revision %d instead of the announced one", manifest.Revision)
 	}
 	if err != nil {
 		c.refuse(f.candidate.id, err, eff)
@@ -190,7 +191,7 @@
 	return true
 }
 
-// startItems asks for items up to the limit; false when no source is left.
+// startItems requests items up to the limit. It returns false if no source is left.
 func (c *Core) startItems(now monotime.Instant, f *fetch, eff Effects) bool {
 	active := 0
 	for _, it := range f.items {
@@ -215,8 +216,8 @@
 	return true
 }
 
-// pickSource prefers the platform at readers only: extra readers, of which
-// there may be many at a cold start, spare its rate when a neighbour can serve.
+// pickSource prefers the platform only at regular readers. Extra readers, which may be
+// many when the fleet starts, save the platform's call rate if a neighbour can serve.
 func (c *Core) pickSource(cand *candidate) (string, bool) {
 	untried := cand.untriedPeers()
 	if cand.platformUntried() && (c.reader || len(untried) == 0) {
@@ -259,8 +260,8 @@
 	if got := hashOf(it.data); got != it.hash {
 		c.stats.Corrupted++
 		eff.Report(Event{Kind: EventCorrupted, Revision: f.candidate.id.number, Hash: it.hash, From: it.source})
-		// A wrong byte may be from any source that gave a piece; start over
-		// without the last one, until one source gives the whole.
+		// The wrong byte may come from any source that sent a piece. Start over without
+		// the last source, until a single source has sent the whole item.
 		it.data = nil
 		f.failSource(it.source)
 		return
--- a/internal/confsync/gossip.go
+++ b/internal/confsync/gossip.go
@@ -8,7 +8,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// gossipState is what is open between this instance and its neighbours.
+// gossipState tracks the open queries to the neighbours and their answers.
 type gossipState struct {
 	lastQuery  int
 	pending    map[string]query
@@ -55,14 +55,14 @@
 	c.gossip.nextQuery = now.Add(every)
 	for _, id := range c.neighbours {
 		offer := c.newQuery(now, id)
-		// The hash is most of a question, and the answer brings the neighbour's.
-		// One that is behind learns ours by its own next question.
+		// The hash is most of a query's size, and the answer carries the neighbour's. A
+		// neighbour that is behind gets this hash by its own next query.
 		offer.ManifestSHA256 = ""
 		c.sendOffer(id, offer, eff)
 	}
 }
 
-// announce tells every neighbour of the revision in force and asks for theirs.
+// announce sends every neighbour the revision in force and queries theirs.
 func (c *Core) announce(now monotime.Instant, eff Effects) {
 	for _, id := range c.neighbours {
 		c.sendOffer(id, c.newQuery(now, id), eff)
@@ -97,7 +97,7 @@
 	eff.SendPeer(to, &wire.Envelope{ConfigOffer: offer})
 }
 
-// OnOffer takes the revision that another instance has in force.
+// OnOffer handles the revision that another instance reports to have in force.
 func (c *Core) OnOffer(now monotime.Instant, from string, offer wire.ConfigOffer, eff Effects) {
 	if offer.Revision < 0 {
 		return
@@ -119,7 +119,8 @@
 	c.advance(now, eff)
 }
 
-// maxPublishedAge bounds the age of a revision that is believed.
+// maxPublishedAge is the maximum accepted age of a published revision. Longer ages are
+// ignored as damaged; the publishing time of a revision older than that is lost.
 const maxPublishedAge = 24 * time.Hour
 
 func (c *Core) recordPublished(now monotime.Instant, id revisionID, offer wire.ConfigOffer) {
@@ -133,8 +134,8 @@
 	}
 }
 
-// onAnswer confirms the revision when the neighbour was asked after the last
-// pause and knows nothing newer.
+// onAnswer confirms the revision if the neighbour was asked after the last pause and has
+// nothing newer.
 func (c *Core) onAnswer(now monotime.Instant, from string, id revisionID, offer wire.ConfigOffer) {
 	pending, ok := c.gossip.pending[from]
 	if !ok || pending.number != offer.Answers {
@@ -155,16 +156,15 @@
 	}
 }
 
-// mayTrustResuming allows two instances that slept at the same time to confirm
-// each other, but only after an instance that stayed awake, or the platform,
-// had its time to answer: with all asleep and the platform down, nobody else
-// is left who could know of a newer revision.
+// mayTrustResuming allows two instances that were paused at the same time to confirm each
+// other. An instance that was not paused, or the platform, first gets the time to answer:
+// only if all were paused and the platform is down is nobody left that could have a newer
+// revision.
 func (c *Core) mayTrustResuming(now monotime.Instant) bool {
 	return c.resuming && now.Sub(c.resumedAt) > resumeTrustDelay
 }
 
-// consider makes a newer revision a candidate and notices one number with two
-// contents.
+// consider makes a newer revision a candidate and detects two contents of one number.
 func (c *Core) consider(now monotime.Instant, from string, id revisionID, eff Effects) {
 	switch {
 	case id.number == 0 || !validHash(id.hash):
@@ -175,8 +175,8 @@
 	}
 }
 
-// reportConflict keeps what is in force: a revision is never replaced by another of
-// the same number, or two halves of the fleet would swap for ever.
+// reportConflict reports a conflict and keeps what is in force. If a revision could be
+// replaced by another one of the same number, two halves of the fleet could swap forever.
 func (c *Core) reportConflict(id revisionID, from string, eff Effects) {
 	key := conflictKey{number: id.number, from: from}
 	if c.conflicts[key] {
--- a/internal/confsync/listed_test.go
+++ b/internal/confsync/listed_test.go
@@ -10,7 +10,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// countingEffects counts what a core asks the platform for.
+// countingEffects counts the calls of a core to the platform.
 type countingEffects struct {
 	watches, manifests, lists int
 	last                      CallID
@@ -27,9 +27,10 @@
 func (r *countingEffects) Install(uint64, []inventory.File) error { return nil }
 func (r *countingEffects) Report(Event)                           {}
 
-// What the platform sees: two calls from most processes of a fleet that starts at
-// once. Each asks for news and for the instance list; only those that the list
-// makes readers go on to read the configuration, the others learn it from them.
+// Guards against a fleet that starts at once and reads the whole configuration in every
+// process. Each process may call the platform for a watch and for the instance list; only
+// the readers chosen from that list read the configuration, the others fetch it from
+// them.
 func TestAFleetThatStartsAtOnceReadsThePlatformFewTimes(t *testing.T) {
 	var listed []Member
 	for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
@@ -40,9 +41,9 @@
 		now := monotime.Instant(time.Second)
 		var r countingEffects
 		c := New(now, Config{Self: m.ID, DataCentre: "dc"})
-		news := &platformapi.WatchAnswer{Revision: 3, InstancesVersion: 1}
+		answer := &platformapi.WatchAnswer{Revision: 3, InstancesVersion: 1}
 		c.Tick(now, &r)
-		c.OnWatch(now, r.last, news, nil, &r)
+		c.OnWatch(now, r.last, answer, nil, &r)
 		if r.manifests != 0 || r.lists != 1 {
 			t.Fatalf("%s: %d manifests and %d lists before the list was known", m.ID, r.manifests, r.lists)
 		}
@@ -51,7 +52,7 @@
 		now = now.Add(50 * time.Millisecond)
 		c.Tick(now, &r)
 		if r.watches == 2 {
-			c.OnWatch(now, r.last, news, nil, &r)
+			c.OnWatch(now, r.last, answer, nil, &r)
 		}
 		readers += r.manifests
 	}
@@ -60,21 +61,21 @@
 	}
 }
 
-// What operators see: the instance starts. The instance list can't be had, the
-// configuration can.
+// Guards against an instance that never starts because the instance list cannot be read
+// although the configuration can.
 func TestUnavailableInstanceListDoesNotBlockStart(t *testing.T) {
 	now := monotime.Instant(time.Second)
 	var r countingEffects
 	c := New(now, Config{Self: "a", DataCentre: "dc"})
-	news := &platformapi.WatchAnswer{Revision: 3, InstancesVersion: 1}
+	answer := &platformapi.WatchAnswer{Revision: 3, InstancesVersion: 1}
 	c.Tick(now, &r)
-	c.OnWatch(now, r.last, news, nil, &r)
+	c.OnWatch(now, r.last, answer, nil, &r)
 	c.OnInstances(now, r.last, 0, errTimeout, &r)
 	for r.watches < 2 {
 		now = now.Add(50 * time.Millisecond)
 		c.Tick(now, &r)
 	}
-	c.OnWatch(now, r.last, news, nil, &r)
+	c.OnWatch(now, r.last, answer, nil, &r)
 	if r.manifests != 1 {
 		t.Errorf("%d manifests read, want 1", r.manifests)
 	}
--- a/internal/confsync/members.go
+++ b/internal/confsync/members.go
@@ -10,10 +10,10 @@
 	"basilrudder/internal/monotime"
 )
 
-// readerSalt keeps the choice of readers apart from other uses of the hash.
+// readerSalt separates the choice of readers from other uses of the hash.
 const readerSalt = "configuration reader "
 
-// SetMembers tells who lives and to whom links are up.
+// SetMembers sets the live members and the neighbours with an open link.
 func (c *Core) SetMembers(now monotime.Instant, live []Member, neighbours []string, eff Effects) {
 	c.live = slices.Clone(live)
 	before := c.neighbours
@@ -34,9 +34,9 @@
 	c.advance(now, eff)
 }
 
-// electReader chooses the readers of the data centre by rendezvous hashing over its
-// live members. Two instances with different views choose readers too many,
-// which costs calls and nothing else.
+// electReader decides whether this instance is a reader, by rendezvous hashing over the
+// live members of the data centre. Instances with different views may choose too many
+// readers, which only costs platform calls.
 func (c *Core) electReader() {
 	if c.cfg.PeersOnly {
 		return
@@ -55,9 +55,9 @@
 	c.reader = above < c.cfg.ReadersPerDC
 }
 
-// readerCandidates are the live members. A process without a configuration knows
-// only some of them yet and would take itself for a reader; to it the instance
-// list counts too.
+// readerCandidates returns the live members. A process without a configuration has seen
+// only some of them and would consider itself a reader, so the listed instances are added
+// for it.
 func (c *Core) readerCandidates() []Member {
 	if c.current.id.number != 0 {
 		return c.live
@@ -75,12 +75,12 @@
 	return xxhash.Sum64String(readerSalt + id)
 }
 
-// updateExtraReader makes a learner an extra reader for as long as its
-// neighbours cannot be what it learns from:
+// updateExtraReader makes a learner an extra reader while its neighbours are no
+// sufficient source:
 //   - none of them answers;
-//   - the revision waits for its confirmation after a pause;
-//   - nobody around has heard the platform for long, so that perhaps the readers
-//     cannot reach it though this instance could.
+//   - the revision still awaits its confirmation resumeQueryInterval after a pause;
+//   - no platform confirmation has arrived for long: perhaps the readers cannot reach the
+//     platform but this instance can.
 func (c *Core) updateExtraReader(now monotime.Instant) {
 	if c.cfg.PeersOnly {
 		return
@@ -107,10 +107,9 @@
 	return now.Sub(last) > timeout
 }
 
-// bootstrapTimeout is how long a process without a configuration waits for a peer.
-// Where the list names other readers they are worth waiting for: at a start of
-// the whole fleet they read and check the configuration first, and do not answer
-// while they do.
+// bootstrapTimeout is how long a process without a configuration waits for a peer. It is
+// longer if the platform lists other instances: when the whole fleet starts, the readers
+// first read and check the configuration and do not answer meanwhile.
 func (c *Core) bootstrapTimeout() time.Duration {
 	grace := bootstrapGrace
 	if len(c.listed) > 1 {
--- a/internal/confsync/network_test.go
+++ b/internal/confsync/network_test.go
@@ -24,7 +24,7 @@
 	platformDelay = 3 * time.Millisecond
 )
 
-// network is a small fleet of cores with one platform in virtual time.
+// network is a small fleet of cores and one platform in virtual time.
 type network struct {
 	t testing.TB
 	vtime.Loop
@@ -33,17 +33,17 @@
 	platform fakePlatform
 	// cut reports whether two instances cannot reach each other.
 	cut func(a, b string) bool
-	// alterPiece may change a piece on its way.
+	// alterPiece may modify a piece in transit.
 	alterPiece func(from, to string, part *wire.ConfigPart)
 	// delay is the one-way latency between two instances.
 	delay func(a, b *node) time.Duration
-	// installTime is how long the check of a revision keeps a process busy.
+	// installTime is how long a process is busy with checking a revision.
 	installTime time.Duration
-	// bytes sent between instances, as CBOR.
+	// bytes is the CBOR size of all messages sent between instances.
 	bytes int
 }
 
-// node is one instance; it is the Effects of its core.
+// node is one instance and implements the Effects of its core.
 type node struct {
 	net        *network
 	id         string
@@ -69,8 +69,9 @@
 	return net
 }
 
-// ring joins n instances over dcs data centres, each with its next and its
-// third next, which is a 4-regular graph; degree 6 adds the seventh next.
+// ring connects n instances over dcs data centres, each with those 1 and 3 positions away
+// in both directions, which gives a 4-regular graph. Degree 6 adds those 7 positions
+// away.
 func (net *network) ring(n, dcs, degree int) {
 	for i := range n {
 		net.ids = append(net.ids, fmt.Sprintf("i%03d", i))
@@ -107,7 +108,7 @@
 	}
 }
 
-// updateLinks tells every instance who lives and whom it reaches.
+// updateLinks passes the live members and open links to every instance.
 func (net *network) updateLinks() {
 	var live []Member
 	for _, id := range net.ids {
@@ -128,7 +129,7 @@
 	}
 }
 
-// deliver runs an event, or keeps it in the buffer of a paused process.
+// deliver runs an event, or buffers it while the process is paused.
 func (n *node) deliver(run func()) {
 	switch {
 	case n.gone:
@@ -141,8 +142,7 @@
 
 func (n *node) pause() { n.paused = true }
 
-// resume lets the process run again: its timer fires first, then it reads what
-// lay in its buffers.
+// resume ends the pause: the timer fires first, then the buffered events are processed.
 func (n *node) resume() {
 	n.paused = false
 	queue := n.queue
@@ -237,7 +237,7 @@
 	revision int
 	values   map[string][]byte
 	down     bool
-	// stale, when set, is the revision it answers with whatever it holds.
+	// stale, if set, is the revision in watch answers regardless of the stored one.
 	stale   int
 	waiting []func()
 	calls   int
@@ -245,7 +245,7 @@
 
 var errDown = errors.New("platform is down")
 
-// publish puts values under their keys and a manifest of them all in place.
+// publish stores values under their keys together with their manifest.
 func (p *fakePlatform) publish(revision int, values map[string]string) {
 	manifest := platformapi.Manifest{Revision: revision}
 	for _, key := range slices.Sorted(maps.Keys(values)) {
@@ -306,7 +306,7 @@
 	})
 }
 
-// wantRevision fails for every live instance that is not at the revision.
+// wantRevision reports an error for each running instance at a different revision.
 func (net *network) wantRevision(revision uint64) {
 	net.t.Helper()
 	for _, id := range net.ids {
--- a/internal/confsync/parts.go
+++ b/internal/confsync/parts.go
@@ -5,8 +5,9 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// OnWant serves a manifest or a value of the revision in force. What is not
-// held is answered with the revision in force, so that the asker looks on.
+// OnWant sends pieces of the manifest or of a value of the revision in force. If the data
+// is not available, it answers with the revision in force, so that the peer turns to
+// another source.
 func (c *Core) OnWant(now monotime.Instant, from string, want wire.ConfigWant, eff Effects) {
 	data, ok := c.lookup(want)
 	if !ok {
@@ -46,7 +47,7 @@
 	return data, ok
 }
 
-// OnPart takes a piece that was asked for.
+// OnPart handles a requested piece.
 func (c *Core) OnPart(now monotime.Instant, from string, part wire.ConfigPart, eff Effects) {
 	it := c.findActiveItem(from, part)
 	if it == nil || !it.accept(part) {
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// accept appends a piece that continues the item; anything else is dropped, as
-// a piece asked for before a timeout may come twice.
+// accept appends a piece that continues the item. Any other piece is dropped: one
+// requested before a timeout may arrive twice.
 func (it *item) accept(part wire.ConfigPart) bool {
 	if it.size == unknownSize && part.Total >= 0 && part.Total <= MaxValueBytes {
 		it.size = part.Total
--- a/internal/confsync/platform.go
+++ b/internal/confsync/platform.go
@@ -19,18 +19,18 @@
 	callChunk
 )
 
-// call is one open call to the platform.
+// call is an open call to the platform.
 type call struct {
 	kind     callKind
 	at       monotime.Instant
 	deadline monotime.Instant
-	// floor is the revision the watch is to exceed.
+	// floor is the revision that the watch must exceed.
 	floor uint64
-	// watchedRevision is the revision of the watch answer that a manifest read follows.
+	// watchedRevision is the revision in the watch answer that caused this manifest read.
 	watchedRevision uint64
 }
 
-// platformState is what is open between this instance and the platform.
+// platformState tracks the open calls to the platform.
 type platformState struct {
 	lastCall       CallID
 	pending        map[CallID]call
@@ -41,7 +41,7 @@
 	lastStale      uint64
 }
 
-var errTimeout = errors.New("no answer in time")
+var errTimeout = errors.New("no answer within the timeout")
 
 func newPlatformState(now monotime.Instant) platformState {
 	return platformState{pending: make(map[CallID]call), nextWatch: now}
@@ -53,7 +53,7 @@
 	p.nextWatch = now
 }
 
-// dropWatch ends a watch whose floor is a revision that could not be had.
+// dropWatch ends a watch whose floor is a revision that could not be fetched.
 func (p *platformState) dropWatch() {
 	for number, opened := range p.pending {
 		if opened.kind == callWatch {
@@ -68,7 +68,7 @@
 	return p.lastCall
 }
 
-// closeCall ends a call; false when it was given up before.
+// closeCall removes an open call. It returns false if the call was already abandoned.
 func (p *platformState) closeCall(number CallID, kind callKind) (call, bool) {
 	opened, ok := p.pending[number]
 	if !ok || opened.kind != kind {
@@ -78,8 +78,8 @@
 	return opened, true
 }
 
-// busy reports whether the platform is being read for anything but values; the
-// next watch would only return the same news.
+// busy reports whether a call other than a value read is open. Another watch would only
+// return the same answer.
 func (p *platformState) busy() bool {
 	for _, opened := range p.pending {
 		if opened.kind != callChunk {
@@ -89,13 +89,14 @@
 	return false
 }
 
-// stagger returns this instance's share of d, so that instances which become
-// extra readers for one cause do not all do so at once.
+// stagger returns a fixed fraction of d that differs between instances, so that instances
+// which become extra readers for the same cause do not all do so at once.
 func (c *Core) stagger(d time.Duration) time.Duration {
 	return time.Duration(c.staggerFraction * float64(d))
 }
 
-// highestDecided is the highest revision that was put in force or refused.
+// highestDecided returns the highest revision that was put in force, or refused as read
+// from the platform.
 func (c *Core) highestDecided() uint64 {
 	return max(c.current.id.number, c.platform.highestRefused)
 }
@@ -117,7 +118,8 @@
 	}
 	c.stats.Watches++
 	if c.resuming {
-		// Ask for whatever there is, without waiting: dispatch waits for it.
+		// Return the current revision without waiting: dispatch is on hold until it is
+		// confirmed.
 		opened := call{kind: callWatch, at: now, deadline: now.Add(c.cfg.CallTimeout)}
 		eff.Watch(p.openCall(opened), 0, 0, 0)
 		return
@@ -127,7 +129,8 @@
 	eff.Watch(p.openCall(made), made.floor, p.instances, c.cfg.WatchWait)
 }
 
-// expireCalls gives up calls that went silent, as a connection may for good.
+// expireCalls abandons calls without an answer by their deadline: an unresponsive
+// connection may never return one.
 func (c *Core) expireCalls(now monotime.Instant, eff Effects) {
 	timedOut := false
 	for number, opened := range c.platform.pending {
@@ -153,15 +156,15 @@
 	limit := backoffMax
 	c.platform.failures++
 	if !c.reader {
-		// All learners of the fleet may be extra readers for one cause.
+		// All learners of the fleet may become extra readers for the same cause.
 		limit = extraReaderBackoffMax
 		c.platform.failures = max(c.platform.failures, extraReaderMinFailures)
 	}
 	c.platform.nextWatch = now.Add(c.backoff(c.platform.failures, limit))
 }
 
-// OnWatch takes the end of a watch; a nil answer without an error says that
-// nothing was newer.
+// OnWatch handles the end of a watch. A nil answer without an error means that there is
+// nothing newer.
 func (c *Core) OnWatch(now monotime.Instant, number CallID, answer *platformapi.WatchAnswer, err error, eff Effects) {
 	opened, ok := c.platform.closeCall(number, callWatch)
 	if !ok {
@@ -184,7 +187,8 @@
 		c.confirmPlatform(opened.at)
 	}
 	if now.Sub(opened.at) < c.cfg.WatchWait/2 {
-		// A platform that does not wait would be asked at once again.
+		// A platform that answers without waiting would otherwise be called again at
+		// once.
 		c.delayWatch(now)
 		return
 	}
@@ -203,13 +207,13 @@
 	revision := uint64(max(answer.Revision, 0))
 	switch {
 	case c.waitsForList(answer):
-		// The list tells whether this instance is to read the rest at all.
+		// The instance list decides whether this instance reads the configuration.
 	case revision > c.watchFloor():
 		useful = true
 		c.stats.Reads++
 		eff.FetchManifest(p.openCall(call{kind: callManifest, at: opened.at, deadline: now.Add(c.cfg.CallTimeout), watchedRevision: revision}))
 	case revision > c.highestDecided():
-		// On its way already; until it is here nothing is confirmed.
+		// Already being fetched; nothing is confirmed until it is complete.
 	case revision == c.highestDecided():
 		useful = useful || c.resuming
 		c.confirm(opened.at)
@@ -218,33 +222,33 @@
 		c.reportStale(revision, eff)
 	}
 	if !useful {
-		// A platform that answers at once without news would be asked at once
-		// again, without end.
+		// A platform that answers at once with nothing newer would otherwise be called in
+		// an endless loop.
 		c.delayWatch(now)
 		return
 	}
 	p.nextWatch = now
 }
 
-// waitsForList reports whether a process that has just started should know the
-// instance list before it reads the configuration. Without it each process takes
-// itself for a reader until it meets a peer: a fleet of 360 that starts at once
-// would read everything 360 times, 25 s of the platform's rate. A list that can't
-// be had is not waited for.
+// waitsForList reports whether a process that has just started must read the instance
+// list before the configuration. Without the list each process considers itself a reader
+// until it meets a peer: a fleet of 360 that starts at once would read everything 360
+// times, which is 25 s of the platform's call rate. If the list cannot be read, the
+// process does not wait for it.
 func (c *Core) waitsForList(answer *platformapi.WatchAnswer) bool {
 	starts := c.current.id.number == 0 && len(c.live) <= 1
 	return starts && c.platform.instances == 0 && c.platform.failures == 0 && answer.InstancesVersion > 0
 }
 
-// SetListed tells which instances the platform lists. They stand in for the live
-// members until a peer is known.
+// SetListed sets the instances that the platform lists. Until a configuration is in force
+// they count as members for the choice of readers.
 func (c *Core) SetListed(listed []Member) {
 	c.listed = slices.Clone(listed)
 	c.electReader()
 }
 
-// reportStale leaves what is in force alone: a lower revision is an old answer,
-// never a withdrawal.
+// reportStale reports a lower revision and keeps the one in force: a lower revision is an
+// outdated answer, never a withdrawal.
 func (c *Core) reportStale(revision uint64, eff Effects) {
 	c.stats.StaleAnswers++
 	if c.platform.lastStale == revision {
@@ -254,7 +258,7 @@
 	eff.Report(Event{Kind: EventStale, Revision: revision})
 }
 
-// OnManifest takes the manifest that the platform publishes now.
+// OnManifest handles the manifest currently published at the platform.
 func (c *Core) OnManifest(now monotime.Instant, number CallID, data []byte, err error, eff Effects) {
 	opened, ok := c.platform.closeCall(number, callManifest)
 	if !ok {
@@ -262,7 +266,7 @@
 	}
 	c.stats.BytesOfRead += uint64(len(data))
 	if err == nil && len(data) > MaxValueBytes {
-		err = errors.Errorf("manifest of %d bytes", len(data))
+		err = errors.Errorf("manifest too large: %d bytes", len(data))
 	}
 	if err != nil {
 		c.platformFailed(now, err, eff)
@@ -280,7 +284,7 @@
 	}
 	id := revisionID{number: uint64(manifest.Revision), hash: hashOf(data)}
 	if id.number < opened.watchedRevision {
-		// Watch and values may come from replicas of different age.
+		// Watch answers and values may come from replicas of different age.
 		c.delayWatch(now)
 	}
 	switch {
@@ -305,7 +309,7 @@
 	}
 }
 
-// OnInstances tells that the shell read the instance list of that version.
+// OnInstances records that the owner has read the given version of the instance list.
 func (c *Core) OnInstances(now monotime.Instant, number CallID, version int, err error, eff Effects) {
 	if _, ok := c.platform.closeCall(number, callInstances); !ok {
 		return
@@ -318,7 +322,7 @@
 	c.advance(now, eff)
 }
 
-// OnChunk takes one value.
+// OnChunk handles one value.
 func (c *Core) OnChunk(now monotime.Instant, number CallID, data []byte, err error, eff Effects) {
 	if _, ok := c.platform.closeCall(number, callChunk); !ok {
 		return
@@ -331,8 +335,8 @@
 		it.data = data
 		c.finishItem(it, eff)
 		if !it.done {
-			// The value was replaced or is not there yet; the platform's
-			// manifest has to be read again, but not at once.
+			// The value was replaced or is not available yet. The manifest must be read
+			// again, but not immediately.
 			c.delayWatch(now)
 		}
 	}
--- a/internal/confsync/publish.go
+++ b/internal/confsync/publish.go
@@ -11,10 +11,10 @@
 	"basilrudder/internal/schema/platformapi"
 )
 
-// Publish takes a revision that the owner read at the platform and has put in force, for
-// neighbours to fetch. One that is not newer than that in force changes nothing. The same
-// files must always come in the same order: instances that read one revision agree on it
-// by the hash of its manifest.
+// Publish makes a revision that the owner has read at the platform and put in force
+// available to neighbours. A revision that is not newer than the one in force changes
+// nothing. The order of the files must always be the same: instances that read the same
+// revision agree on it by its manifest's hash.
 func (c *Core) Publish(now monotime.Instant, number uint64, files []inventory.File, eff Effects) error {
 	if number <= c.current.id.number {
 		return nil
@@ -51,8 +51,8 @@
 	}
 }
 
-// Tracks reports whether this revision or a higher one is in force, was refused or is being
-// fetched.
+// Tracks reports whether this revision or a higher one is in force, was refused or is a
+// candidate.
 func (c *Core) Tracks(number uint64) bool {
 	if number <= c.current.id.number {
 		return true
@@ -65,6 +65,6 @@
 	return slices.ContainsFunc(c.refused, func(id revisionID) bool { return id.number >= number })
 }
 
-// PublishedAt returns when the revision in force was first read at the platform, as far as
-// is known: the time on the way is not counted. 0 for unknown.
+// PublishedAt returns the earliest recorded time at which the revision in force was read
+// at the platform; 0 if unknown. Transmission times between instances are not included.
 func (c *Core) PublishedAt() monotime.Instant { return c.current.publishedAt }
--- a/internal/confsync/publish_test.go
+++ b/internal/confsync/publish_test.go
@@ -12,7 +12,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// files are 40 values of 4 KB, of which one changes with the revision.
+// files returns 40 values of about 4 KB, one of which changes with the revision.
 func files(revision uint64) []inventory.File {
 	var out []inventory.File
 	for n := range uint64(40) {
@@ -25,7 +25,8 @@
 	return out
 }
 
-// newPublishers is a fleet of cores whose owners read the platform; some read it here.
+// newPublishers returns a fleet of cores whose owners read the platform. Tests choose the
+// ones that do.
 func newPublishers(t *testing.T, n int) *network {
 	net := newNetwork(t)
 	net.ring(n, 3, 4)
@@ -42,7 +43,8 @@
 	}
 }
 
-// Guards against readers of one revision that count as a conflict, and against whole revisions fetched for one value.
+// Guards against conflicts between readers of the same revision, and against fetching a
+// whole revision when one value changed.
 func TestPublishedRevisionReachesAll(t *testing.T) {
 	net := newPublishers(t, 24)
 	readers := []*node{net.nodes[net.ids[0]], net.nodes[net.ids[9]]}
@@ -64,7 +66,8 @@
 	}
 }
 
-// Guards against a revision that goes back, or is never reached, while others overtake it and messages are lost.
+// Guards against a revision that goes back or is never reached when revisions are
+// published out of order and messages are lost.
 func TestRevisionsPublishedOutOfOrderConverge(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 0))
@@ -89,7 +92,7 @@
 	}
 }
 
-// Guards against an instance that stays behind because the offer was lost with a link.
+// Guards against an instance that stays behind because an offer was lost with its link.
 func TestQueryRecoversFromLostOffer(t *testing.T) {
 	net := newPublishers(t, 4)
 	lost := true
@@ -99,17 +102,17 @@
 	lost = false
 	behind := net.nodes[net.ids[2]]
 	if behind.core.Tracks(1) {
-		t.Error("knows of a revision that nobody told")
+		t.Error("tracks a revision that was never announced")
 	}
 	behind.core.QueryPeer(net.Now(), net.ids[1], behind)
 	net.Run(100 * time.Millisecond)
 	net.wantRevision(1)
 	if at := behind.core.PublishedAt(); net.Now().Sub(at) < 190*time.Millisecond {
-		t.Errorf("published %v ago, as is told", net.Now().Sub(at))
+		t.Errorf("published %v ago, want at least 190ms", net.Now().Sub(at))
 	}
 }
 
-// Guards against an age that a damaged offer claims.
+// Guards against accepting the age in a damaged offer.
 func TestAbsurdAgesOfARevisionAreIgnored(t *testing.T) {
 	net := newPublishers(t, 4)
 	reader, other := net.nodes[net.ids[0]], net.nodes[net.ids[1]]
@@ -119,7 +122,7 @@
 		offer.PublishedMS = age
 		other.core.OnOffer(net.Now(), reader.id, wire.ConfigOffer(offer), other)
 		if cand := other.core.candidates[reader.core.current.id]; cand.publishedAt != 0 {
-			t.Errorf("age %d was believed", age)
+			t.Errorf("age %d was accepted", age)
 		}
 	}
 }
--- a/internal/confsync/revision.go
+++ b/internal/confsync/revision.go
@@ -14,19 +14,19 @@
 	"basilrudder/internal/schema/platformapi"
 )
 
-// revisionID is a revision with the hash of its manifest, in lower-case hex.
+// revisionID is a revision number with the hash of the manifest in lower-case hex.
 type revisionID struct {
 	number uint64
 	hash   string
 }
 
-// revision is one that is in force, with what neighbours may ask for.
+// revision is a revision in force, with the data that neighbours may request.
 type revision struct {
 	id       revisionID
 	manifest []byte
 	chunks   map[string][]byte
-	// publishedAt is when an instance first read it at the platform, as far as is known;
-	// 0 for unknown.
+	// publishedAt is the earliest recorded time at which an instance read it at the
+	// platform; 0 if unknown.
 	publishedAt monotime.Instant
 }
 
@@ -41,37 +41,37 @@
 	return len(hash) == hashLength && strings.Trim(hash, "0123456789abcdef") == ""
 }
 
-// parseManifest reads and checks a manifest, which comes from outside. With an
-// error it still returns one that could be read, for its revision.
+// parseManifest decodes and checks an untrusted manifest. If a check fails, the decoded
+// manifest is returned with the error, for its revision number.
 func parseManifest(data []byte) (*platformapi.Manifest, error) {
 	manifest := &platformapi.Manifest{}
 	if err := json.Unmarshal(data, manifest); err != nil {
-		return nil, errors.Wrap(err, "manifest")
+		return nil, errors.Wrap(err, "parse manifest")
 	}
 	return manifest, checkManifest(manifest)
 }
 
 func checkManifest(manifest *platformapi.Manifest) error {
 	if manifest.Revision < 1 {
-		return errors.Errorf("manifest: revision %d", manifest.Revision)
+		return errors.Errorf("manifest: invalid revision %d", manifest.Revision)
 	}
 	if len(manifest.Chunks) == 0 || len(manifest.Chunks) > MaxChunks {
-		return errors.Errorf("manifest: %d values", len(manifest.Chunks))
+		return errors.Errorf("manifest: invalid number of values: %d", len(manifest.Chunks))
 	}
 	total := 0
 	keys := make(map[string]bool, len(manifest.Chunks))
 	for _, chunk := range manifest.Chunks {
 		if !validHash(chunk.SHA256) || chunk.Bytes < 0 || chunk.Bytes > MaxValueBytes {
-			return errors.Errorf("manifest: value %q has a bad hash or size", chunk.Key)
+			return errors.Errorf("manifest: value %q has an invalid hash or size", chunk.Key)
 		}
 		if chunk.Key == "" || keys[chunk.Key] {
-			return errors.Errorf("manifest: value %q is empty or twice there", chunk.Key)
+			return errors.Errorf("manifest: empty or duplicate key %q", chunk.Key)
 		}
 		keys[chunk.Key] = true
 		total += chunk.Bytes
 	}
 	if total > MaxRevisionBytes {
-		return errors.Errorf("manifest: %d bytes in all", total)
+		return errors.Errorf("manifest: total size of %d bytes exceeds the limit", total)
 	}
 	return nil
 }
@@ -110,8 +110,8 @@
 	c.dropOldCandidates()
 }
 
-// refuse remembers a revision that failed its checks, so that it is neither
-// fetched nor checked again; the revision in force stays.
+// refuse records a revision that failed its checks, so that it is neither fetched nor
+// checked again. The revision in force stays.
 func (c *Core) refuse(id revisionID, err error, eff Effects) {
 	candidate := c.candidates[id]
 	if candidate != nil && candidate.platformAt != 0 {
--- a/internal/platform/decode.go
+++ b/internal/platform/decode.go
@@ -10,16 +10,16 @@
 	"basilrudder/internal/schema/platformapi"
 )
 
-// namePattern is that of ids and data centres in schema/platformapi.json.
+// namePattern is the pattern of instance IDs and data centres in schema/platformapi.json.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 func decodeWatch(body []byte) (*platformapi.WatchAnswer, error) {
 	out := &platformapi.WatchAnswer{}
 	if err := json.Unmarshal(body, out); err != nil {
-		return nil, errors.Wrap(errors.Join(ErrInvalid, err), "watch")
+		return nil, errors.Wrap(errors.Join(ErrInvalid, err), "decode watch answer")
 	}
 	if out.Revision < 0 || out.InstancesVersion < 0 {
-		return nil, errors.Wrapf(ErrInvalid, "watch: revision %d, instances %d", out.Revision, out.InstancesVersion)
+		return nil, errors.Wrapf(ErrInvalid, "watch answer: invalid revision %d or instance list version %d", out.Revision, out.InstancesVersion)
 	}
 	return out, nil
 }
@@ -27,10 +27,10 @@
 func decodeInstances(body []byte) (*platformapi.InstanceList, int, error) {
 	read := platformapi.InstanceList{}
 	if err := json.Unmarshal(body, &read); err != nil {
-		return nil, 0, errors.Wrap(errors.Join(ErrInvalid, err), "instances")
+		return nil, 0, errors.Wrap(errors.Join(ErrInvalid, err), "decode instance list")
 	}
 	if read.Version < 0 {
-		return nil, 0, errors.Wrapf(ErrInvalid, "instances: version %d", read.Version)
+		return nil, 0, errors.Wrapf(ErrInvalid, "instance list: invalid version %d", read.Version)
 	}
 	out := &platformapi.InstanceList{Version: read.Version}
 	seen := make(map[string]bool, len(read.Instances))
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,8 +1,8 @@
-// Package platform reads the configuration service: its watch, its values and
-// the instance list. The service can only be read, counts each call, and may be
-// down, slow, silent or stale; the client bounds the time and size of each
-// answer and leaves it to its user what to believe. Its way of reading serves the
-// users' platform as well, see the package platform at the root.
+// Package platform is a client of the configuration service: its watch, its values and
+// the instance list. The service is read-only, counts each call, and may be down, slow,
+// unresponsive or stale. The client bounds the time and size of each answer; the caller
+// decides which answers to accept. The same client reads the users' platform, see package
+// platform at the repository root.
 package platform
 
 import (
@@ -33,37 +33,42 @@
 )
 
 const (
-	// MaxValueBytes is the size of a value; a longer answer is an error.
+	// MaxValueBytes is the maximum size of a value. A longer answer is an error; a lower
+	// limit rejects values that the service accepts.
 	MaxValueBytes = 1 << 20
-	// DefaultTimeout of one read.
+	// DefaultTimeout is the timeout of a read.
 	DefaultTimeout = time.Second
 
+	// maxConnections bounds the concurrent reads; further ones fail at once.
 	maxConnections = 16
-	maxIdleTime    = 30 * time.Second
-	// maxAttempts is two, because a kept connection may have been closed by the
-	// service; every call counts at the service, so there are no more.
+	// maxIdleTime bounds the age of idle connections. Longer ones are more often closed by
+	// the service already, which costs a second attempt.
+	maxIdleTime = 30 * time.Second
+	// maxAttempts is two because the service may have closed a kept connection. It is no
+	// more because the service counts every call.
 	maxAttempts = 2
 )
 
 // Errors of the client.
 var (
-	// ErrNotFound says that the service holds no such value.
+	// ErrNotFound reports that the service has no such value.
 	ErrNotFound = errors.New("platform: no such value")
-	// ErrUnavailable says that the service refused or did not answer in time.
+	// ErrUnavailable reports that the service refused or did not answer within the
+	// timeout.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrInvalid says that an answer breaks the protocol.
+	// ErrInvalid reports an answer or key that violates the protocol.
 	ErrInvalid = errors.New("platform: invalid answer")
 )
 
-// Config of a Client.
+// Config configures a Client.
 type Config struct {
-	// Address is host and port of the service.
+	// Address is the host and port of the service.
 	Address string
-	// Timeout of one read, and of a watch beyond its wait; 0 for the default.
+	// Timeout bounds one read, and a watch beyond its wait; 0 for DefaultTimeout.
 	Timeout time.Duration
-	// MaxBytes of an answer; 0 for MaxValueBytes.
+	// MaxBytes is the maximum size of an answer; 0 for MaxValueBytes.
 	MaxBytes int
-	// Header is the name of a header whose value each Answer tells; empty for none.
+	// Header is the response header whose value each Answer contains; empty for none.
 	Header string
 	// Dial opens a connection; nil for TCP.
 	Dial func(address string) (net.Conn, error)
@@ -77,7 +82,7 @@
 	http    *fasthttp.HostClient
 }
 
-// New returns a client; it opens no connection yet.
+// New returns a client without opening a connection.
 func New(cfg Config) *Client {
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
@@ -104,8 +109,8 @@
 	return &Client{timeout: cfg.Timeout, address: cfg.Address, header: cfg.Header, http: host}
 }
 
-// Watch waits at the service for up to wait until it has a newer revision or a
-// newer instance list than given. Nothing newer is nil without an error.
+// Watch waits at the service for up to wait until it has a newer revision or instance
+// list than given. If there is nothing newer, it returns nil without an error.
 func (c *Client) Watch(ctx context.Context, revision uint64, instances int, wait time.Duration) (*platformapi.WatchAnswer, error) {
 	query := url.Values{}
 	query.Set(paramRevision, strconv.FormatUint(revision, 10))
@@ -124,7 +129,7 @@
 	return decodeWatch(answer.Body)
 }
 
-// Manifest reads the manifest as it is published.
+// Manifest reads the currently published manifest.
 func (c *Client) Manifest(ctx context.Context) ([]byte, error) {
 	return c.Value(ctx, ManifestKey)
 }
@@ -144,9 +149,9 @@
 	return answer.Body, nil
 }
 
-// Instances reads the instance list, which lags behind the truth. Entries that
-// break the protocol are left out, so that one of them does not hide the rest;
-// skipped counts them.
+// Instances reads the instance list, which may be out of date. Entries that violate the
+// protocol are omitted, so that one of them does not hide the others; skipped counts
+// them.
 func (c *Client) Instances(ctx context.Context) (list *platformapi.InstanceList, skipped int, err error) {
 	answer, err := c.Get(ctx, instancesPath, c.timeout)
 	if err != nil {
@@ -158,8 +163,8 @@
 	return decodeInstances(answer.Body)
 }
 
-// validKey refuses a key that servers would resolve to another path; keys come
-// from a manifest, and one could otherwise name the instance list.
+// validKey rejects keys that a server would resolve to another path. Keys come from a
+// manifest and could otherwise address the instance list.
 func validKey(key string) bool {
 	for part := range strings.SplitSeq(key, "/") {
 		if part == "" || part == "." || part == ".." {
@@ -169,7 +174,8 @@
 	return true
 }
 
-// CheckStatus returns nil for an answer, ErrNotFound, or ErrUnavailable.
+// CheckStatus returns nil for status 200, ErrNotFound for 404 and ErrUnavailable
+// otherwise.
 func CheckStatus(status int) error {
 	switch status {
 	case fasthttp.StatusOK:
@@ -181,22 +187,22 @@
 	}
 }
 
-// Answer of the service.
+// Answer is an answer of the service.
 type Answer struct {
 	Status int
 	Body   []byte
-	// Header is the value of Config.Header; empty when the answer has none.
+	// Header is the value of the header named in Config.Header; empty if absent.
 	Header string
 }
 
-// outcome is that of one read.
+// outcome is the result of one read.
 type outcome struct {
 	answer Answer
 	err    error
 }
 
-// Get reads a path with its query. It returns when ctx ends, though the read itself goes
-// on until its timeout.
+// Get reads a path with its query. It returns when ctx ends, but the read itself
+// continues until its timeout.
 func (c *Client) Get(ctx context.Context, path string, timeout time.Duration) (Answer, error) {
 	if err := ctx.Err(); err != nil {
 		return Answer{}, errors.Wrap(err, "platform")
@@ -221,8 +227,9 @@
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI("http://" + c.address + path)
 	if err := c.http.DoTimeout(req, resp, timeout); err != nil {
-		// A connection that went silent costs one timeout. Others kept open may
-		// be dead by the same cause and would cost one each, while new ones work.
+		// An unresponsive connection costs one timeout. Other idle connections may be
+		// dead for the same reason and would cost one timeout each, while new connections
+		// work.
 		c.http.CloseIdleConnections()
 		return Answer{}, errors.Wrap(errors.Join(ErrUnavailable, err), "read")
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -98,9 +98,9 @@
 }
 
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
-	// Something between the two ends loses track of the connection: the request
-	// goes out, no answer and no reset ever comes. The read ends by its timeout,
-	// and the next one must not wait on the same connection.
+	// A connection loses its state between the two ends: the request is sent, but neither
+	// an answer nor a reset arrives. The read must end by its timeout, and the next one
+	// must use a new connection.
 	listener := fasthttputil.NewInmemoryListener()
 	served := make(chan error, 1)
 	go func() {
@@ -123,7 +123,7 @@
 		},
 	})
 	if _, err := client.Value(t.Context(), "a"); !errors.Is(err, ErrUnavailable) {
-		t.Fatalf("silent connection: %v", err)
+		t.Fatalf("unresponsive connection: %v", err)
 	}
 	client.timeout = testTimeout
 	if got, err := client.Value(t.Context(), "a"); err != nil || string(got) != "value" {
