--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -12,17 +12,18 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// crashesAtOnce is how many crashes are told in a message: some 16 KB.
-const crashesAtOnce = 256
-
-// crashBook is what this instance knows of requests that crash servers, shared with all
-// others.
-type crashBook struct {
-	log  *zap.Logger
-	news *newsroom
-
-	// known is the number of requests in the book, so that calm costs nothing.
-	known atomic.Int64
+// crashesPerMessage bounds the crashes in a message: some 16 KB.
+const crashesPerMessage = 256
+
+// crashTracker tracks requests that crash servers. Its state is shared with all
+// instances.
+type crashTracker struct {
+	log     *zap.Logger
+	updates *updateBatcher
+
+	// suspects is the number of requests in the book. While it is zero, requests need
+	// neither a fingerprint nor the lock.
+	suspects atomic.Int64
 	// refused counts requests that were not sent on.
 	refused atomic.Int64
 
@@ -30,29 +31,29 @@
 	book *crashes.Tracker
 }
 
-func newCrashBook(news *newsroom, log *zap.Logger) *crashBook {
-	return &crashBook{log: log, news: news, book: crashes.NewTracker()}
+func newCrashTracker(updates *updateBatcher, log *zap.Logger) *crashTracker {
+	return &crashTracker{log: log, updates: updates, book: crashes.NewTracker()}
 }
 
 // Suspects implements relay.Fleet.
-func (f *fleet) Suspects() bool { return f.crashes.known.Load() > 0 }
+func (f *fleet) AnySuspected() bool { return f.crashes.suspects.Load() > 0 }
 
 // Culprit implements relay.Fleet.
-func (f *fleet) Culprit(request crashes.Fingerprint, now monotime.Instant) bool {
-	return f.crashes.culprit(request, now)
+func (f *fleet) IsPoison(request crashes.Fingerprint, now monotime.Instant) bool {
+	return f.crashes.isPoison(request, now)
 }
 
 // Crashed implements relay.Fleet.
 func (f *fleet) Crashed(crash crashes.Crash, now monotime.Instant) {
-	f.crashes.tell(f.crashes.add(f.self, []crashes.Crash{crash}, now))
+	f.crashes.broadcast(f.crashes.add(f.self, []crashes.Crash{crash}, now))
 }
 
 // Survived implements relay.Fleet.
 func (f *fleet) Survived(request crashes.Fingerprint, now monotime.Instant) {
-	f.crashes.tell(f.crashes.addServed(request, now, now))
+	f.crashes.broadcast(f.crashes.addServed(request, now, now))
 }
 
-func (c *crashBook) culprit(request crashes.Fingerprint, now monotime.Instant) bool {
+func (c *crashTracker) isPoison(request crashes.Fingerprint, now monotime.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	found := c.book.Poison(request, now)
@@ -62,56 +63,58 @@
 	return found
 }
 
-// add takes crashes and returns what of them is news.
-func (c *crashBook) add(from string, list []crashes.Crash, now monotime.Instant) (news []wire.RelayCrash) {
+// add records crashes and returns those that were not recorded before.
+func (c *crashTracker) add(from string, list []crashes.Crash, now monotime.Instant) (added []wire.RelayCrash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, crash := range list {
-		fresh, culprit := c.book.Add(crash, now)
+		fresh, poison := c.book.Add(crash, now)
 		if !fresh {
 			continue
 		}
-		news = append(news, encodeCrash(crash, now))
-		if culprit {
+		added = append(added, encodeCrash(crash, now))
+		if poison {
 			c.log.Warn("request_crashes_servers", zap.String("from", from), zap.Binary("fingerprint", crash.Request[:]),
 				zap.String("customer", crash.Customer), zap.String("server", crash.Server), zap.Duration("age_ms", now.Sub(crash.At)))
 		}
 	}
-	c.known.Store(int64(c.book.Len()))
-	return news
+	c.suspects.Store(int64(c.book.Len()))
+	return added
 }
 
-// addServed takes a run without a crash and returns what of it is news.
-func (c *crashBook) addServed(request crashes.Fingerprint, at, now monotime.Instant) []wire.RelayCrash {
+// addServed records a run that ended without a crash. It returns the run if peers are to
+// be informed: the request is in the book, and no recent run of it was recorded.
+func (c *crashTracker) addServed(request crashes.Fingerprint, at, now monotime.Instant) []wire.RelayCrash {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.book.Served(request, at) {
 		return nil
 	}
-	return []wire.RelayCrash{{Request: request[:], AgeMS: ageOf(at, now)}}
+	return []wire.RelayCrash{{Request: request[:], AgeMS: ageMS(at, now)}}
 }
 
-// tell tells all peers.
-func (c *crashBook) tell(news []wire.RelayCrash) {
-	if len(news) > 0 {
-		c.news.crashes(news)
+// broadcast sends crashes to all peers.
+func (c *crashTracker) broadcast(list []wire.RelayCrash) {
+	if len(list) > 0 {
+		c.updates.addCrashes(list)
 	}
 }
 
-// expire forgets what has not come for long.
-func (c *crashBook) expire(now monotime.Instant) {
-	if c.known.Load() == 0 {
+// expire removes requests that have not occurred for a long time.
+func (c *crashTracker) expire(now monotime.Instant) {
+	if c.suspects.Load() == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.book.Expire(now)
-	c.known.Store(int64(c.book.Len()))
+	c.suspects.Store(int64(c.book.Len()))
 }
 
-// all returns all that is known, for a peer that may have missed some.
-func (c *crashBook) all(now monotime.Instant) (out []wire.RelayCrash) {
-	if c.known.Load() == 0 {
+// encodeAll returns all recorded crashes and runs without a crash, for a peer that may
+// have missed some.
+func (c *crashTracker) encodeAll(now monotime.Instant) (out []wire.RelayCrash) {
+	if c.suspects.Load() == 0 {
 		return nil
 	}
 	c.mu.Lock()
@@ -120,66 +123,68 @@
 		out = append(out, encodeCrash(crash, now))
 	}
 	for request, at := range c.book.ServedAt() {
-		out = append(out, wire.RelayCrash{Request: request[:], AgeMS: ageOf(at, now)})
+		out = append(out, wire.RelayCrash{Request: request[:], AgeMS: ageMS(at, now)})
 	}
 	return out
 }
 
-// take takes what a peer tells and returns what of it is news here.
-func (c *crashBook) take(from string, told []wire.RelayCrash, now monotime.Instant) (news []wire.RelayCrash) {
+// receive applies crashes that a peer sent and returns those that were not recorded
+// before.
+func (c *crashTracker) receive(from string, received []wire.RelayCrash, now monotime.Instant) (fresh []wire.RelayCrash) {
 	var list []crashes.Crash
-	for _, t := range told {
+	for _, t := range received {
 		crash, ok := decodeCrash(t, now)
 		switch {
 		case !ok:
 			c.log.Warn("crash_unreadable", zap.String("from", from), zap.Int("bytes", len(t.Request)), zap.Int("age_ms", t.AgeMS))
 		case crash.Server == "":
-			news = append(news, c.addServed(crash.Request, crash.At, now)...)
+			fresh = append(fresh, c.addServed(crash.Request, crash.At, now)...)
 		default:
 			list = append(list, crash)
 		}
 	}
-	return append(news, c.add(from, list, now)...)
+	return append(fresh, c.add(from, list, now)...)
 }
 
 func encodeCrash(crash crashes.Crash, now monotime.Instant) wire.RelayCrash {
-	return wire.RelayCrash{Request: crash.Request[:], Customer: crash.Customer, Server: crash.Server, AgeMS: ageOf(crash.At, now)}
+	return wire.RelayCrash{Request: crash.Request[:], Customer: crash.Customer, Server: crash.Server, AgeMS: ageMS(crash.At, now)}
 }
 
-func ageOf(at, now monotime.Instant) int { return int(max(0, now.Sub(at)).Milliseconds()) }
+func ageMS(at, now monotime.Instant) int { return int(max(0, now.Sub(at)).Milliseconds()) }
 
-func decodeCrash(told wire.RelayCrash, now monotime.Instant) (out crashes.Crash, ok bool) {
-	if len(told.Request) != len(out.Request) || told.AgeMS < 0 || told.AgeMS > int(crashes.Retention.Milliseconds()) {
+func decodeCrash(received wire.RelayCrash, now monotime.Instant) (out crashes.Crash, ok bool) {
+	if len(received.Request) != len(out.Request) || received.AgeMS < 0 || received.AgeMS > int(crashes.Retention.Milliseconds()) {
 		return out, false
 	}
-	copy(out.Request[:], told.Request)
-	out.Customer, out.Server = told.Customer, told.Server
-	out.At = now.Add(-time.Duration(told.AgeMS) * time.Millisecond)
+	copy(out.Request[:], received.Request)
+	out.Customer, out.Server = received.Customer, received.Server
+	out.At = now.Add(-time.Duration(received.AgeMS) * time.Millisecond)
 	return out, true
 }
 
-// takeCrashes takes what a peer tells of crashes. What it tells this instance alone is
-// passed on: there was no way between the two, and so perhaps none between others.
-func (p *peers) takeCrashes(from string, news *wire.RelayNews, direct bool) {
-	if len(news.Crashes) == 0 {
+// applyCrashes applies the crashes that a peer sent. If they were sent to this instance
+// only, the new ones are passed on: the two instances had no connection before, and so
+// perhaps neither had others.
+func (p *peers) applyCrashes(from string, update *wire.RelayNews, direct bool) {
+	if len(update.Crashes) == 0 {
 		return
 	}
 	now := monotime.Now()
-	fresh := p.fleet.crashes.take(from, news.Crashes, now)
+	fresh := p.fleet.crashes.receive(from, update.Crashes, now)
 	if direct {
-		p.fleet.crashes.tell(fresh)
+		p.fleet.crashes.broadcast(fresh)
 	}
 }
 
-// crashState is what the metrics tell of requests that crash servers.
-type crashState struct {
-	Suspects int   `json:"suspects"`
-	Culprits int   `json:"culprits"`
-	Refused  int64 `json:"refused"`
+// crashMetrics is the state of poison request detection in the metrics.
+type crashMetrics struct {
+	Suspects       int   `json:"suspects"`
+	PoisonRequests int   `json:"culprits"`
+	Refused        int64 `json:"refused"`
 }
 
-func (c *crashBook) state() crashState {
+func (c *crashTracker) metrics() crashMetrics {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return crashState{Suspects: c.book.Len(), Culprits: c.book.PoisonCount(), Refused: c.refused.Load()}
+	return crashMetrics{Suspects: c.book.Len(), PoisonRequests: c.book.PoisonCount(), Refused: c.refused.Load()}
 }
--- a/internal/gateway/beliefs.go
+++ b/internal/gateway/serverstate.go
@@ -9,16 +9,17 @@
 	"basilrudder/internal/servers"
 )
 
-// Sources of a belief, for logs.
+// Origins of a change of server state, as logged.
 const (
 	fromStore = "store"
 	fromTimer = "timer"
-	// fromServer: what the server itself said in an answer.
+	// fromServer marks what a server reported about itself in an answer.
 	fromServer = "server"
 )
 
-// stateOf returns what to tell of a server; mu is held.
-func (f *fleet) stateOf(id string) (wire.RelayServer, bool) {
+// serverState returns the state of a server as sent to peers, or its tombstone; false if
+// the id is not tracked. mu is held.
+func (f *fleet) serverState(id string) (wire.RelayServer, bool) {
 	if revision, gone := f.registry.Gone(id); gone {
 		return wire.RelayServer{ID: id, Gone: true, Revision: int(revision)}, true
 	}
@@ -32,18 +33,18 @@
 		Slots: s.Slots, Draining: s.Draining, Invalid: s.Invalid, Revision: int(s.Revision),
 		ColdMS: int(max(0, f.registry.ColdUntil(id).Sub(now)).Milliseconds()),
 	}
-	encodeBound(&state, f.registry.RateLimit(id), now)
+	encodeLimit(&state, f.registry.RateLimit(id), now)
 	return state, true
 }
 
-// allServers returns the state of every server, those that are gone among them,
-// for a peer that is new or has missed something.
+// allServers returns the state of every server and the tombstones of those that are gone.
+// It is sent to a peer that is new or has missed updates.
 func (f *fleet) allServers() []wire.RelayServer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []wire.RelayServer
 	for _, s := range f.registry.List() {
-		if state, ok := f.stateOf(s.ID); ok {
+		if state, ok := f.serverState(s.ID); ok {
 			out = append(out, state)
 		}
 	}
@@ -53,16 +54,16 @@
 	return out
 }
 
-// known reports whether a server's entry is live.
-func (f *fleet) known(id string) bool {
+// hasServer reports whether the registry holds a live entry of a server.
+func (f *fleet) hasServer(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, ok := f.registry.Get(id)
 	return ok
 }
 
-// takingRequests returns the servers of all services that take requests.
-func (f *fleet) takingRequests() []servers.Server {
+// acceptingServers returns the servers of all services that accept requests.
+func (f *fleet) acceptingServers() []servers.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []servers.Server
@@ -72,51 +73,54 @@
 	return out
 }
 
-// serverCount returns the number of servers that are known, those of evacuated data
-// centres among them: an instance that may send to none of them still answers callers.
+// serverCount returns the number of servers with a live entry, including those of
+// evacuated data centres: an instance that may send to none of them still answers
+// callers.
 func (f *fleet) serverCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.registry.Len()
 }
 
-// update runs a change of the registry and then tells of what changed.
-func (f *fleet) update(from string, change func(r *servers.Registry, now monotime.Instant) []string) {
+// changeServers applies a change to the registry, logs the servers whose state changed,
+// and sends them to the peers unless a peer sent the change.
+func (f *fleet) changeServers(from string, change func(r *servers.Registry, now monotime.Instant) []string) {
 	now := monotime.Now()
 	f.mu.Lock()
 	before := f.registry.Latest()
 	ids := append(change(f.registry, now), f.registry.Replaced()...)
 	after := f.registry.Latest()
-	f.noteEra(from, before, after)
+	f.recordEraChange(from, before, after)
 	if len(ids) == 0 {
 		f.mu.Unlock()
 		return
 	}
-	f.listServers(f.table.Load())
+	f.rebuildServerLists(f.table.Load())
 	f.digest.Store(int64(f.registry.Digest() >> 1))
-	f.limited.Store(int64(len(f.registry.Limited())))
-	told := make([]wire.RelayServer, 0, len(ids))
+	f.limitedCount.Store(int64(len(f.registry.Limited())))
+	states := make([]wire.RelayServer, 0, len(ids))
 	for _, id := range ids {
-		if state, ok := f.stateOf(id); ok {
-			told = append(told, state)
+		if state, ok := f.serverState(id); ok {
+			states = append(states, state)
 		}
 	}
 	f.mu.Unlock()
-	for _, state := range told {
+	for _, state := range states {
 		f.log.Info("server_changed", zap.String("server", state.ID), zap.String("from", from),
 			zap.String("service", state.Service), zap.String("address", state.Address),
 			zap.Bool("draining", state.Draining), zap.Bool("invalid", state.Invalid), zap.Bool("gone", state.Gone),
 			zap.Int("cold_ms", state.ColdMS), zap.Bool("limited", state.Limited), zap.Float64("limit_per_s", state.Rate),
 			zap.Stringer("revision", servers.Revision(state.Revision)))
-		f.noteServer(&state, now)
+		f.applyServerState(&state, now)
 	}
 	if from == fromStore || from == fromTimer || from == fromServer {
-		f.news.servers(told)
+		f.updates.addServers(states)
 	}
 }
 
-// noteEra notes that the store has come back from a copy, if it has.
-func (f *fleet) noteEra(from string, before, after servers.Revision) {
+// recordEraChange records and logs that the store was restored from an older copy, if its
+// era changed.
+func (f *fleet) recordEraChange(from string, before, after servers.Revision) {
 	if before == 0 || before.Era() == after.Era() {
 		return
 	}
@@ -125,23 +129,24 @@
 		zap.Stringer("revision", after), zap.Stringer("revision_before", before))
 }
 
-// listed returns the revision of the last full list of the store that is known here.
-func (f *fleet) listed() servers.Revision {
+// listedRevision returns the revision of the last full list of the store that was applied
+// here.
+func (f *fleet) listedRevision() servers.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.registry.Listed()
 }
 
-// latest returns the highest revision of the store heard of, and doubtful the number of
-// servers whose entries are missing and may come back.
-func (f *fleet) latest() (revision servers.Revision, doubtful int) {
+// latestRevision returns the highest revision of the store received, and unconfirmed the
+// number of servers whose entries are missing from the store and may reappear.
+func (f *fleet) latestRevision() (revision servers.Revision, unconfirmed int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.registry.Latest(), f.registry.CountInGrace()
 }
 
-// noteServer tells the model of servers and the limiter of one that changed.
-func (f *fleet) noteServer(state *wire.RelayServer, now monotime.Instant) {
+// applyServerState passes a changed server on to the placement board and the limiter.
+func (f *fleet) applyServerState(state *wire.RelayServer, now monotime.Instant) {
 	if state.Gone {
 		f.board.RemoveServer(state.ID)
 		f.throttle.Forget(state.ID)
@@ -159,8 +164,9 @@
 	}
 }
 
-// listServers rebuilds byService and sources for a table, or for none; mu is held.
-func (f *fleet) listServers(table *routing.Table) {
+// rebuildServerLists rebuilds byService and sources for the services of a table, or for
+// all services if the table is nil. mu is held.
+func (f *fleet) rebuildServerLists(table *routing.Table) {
 	published := func(service string) bool { return table == nil || table.Service(service) != nil }
 	f.byService = make(map[string][]servers.Server)
 	for _, s := range f.registry.Accepting(published) {
--- a/internal/hints/hints_test.go
+++ b/internal/hints/hints_test.go
@@ -22,10 +22,10 @@
 	s := NewSchedule(LoadEvery, 1)
 	ids := engineIDs(20)
 	asked := make(map[string]int)
-	most := 0
+	maxDue := 0
 	for now := monotime.Instant(0); now < monotime.Instant(10*time.Minute); now = now.Add(tick) {
 		due := s.Due(now, ids, len(ids), nil)
-		most = max(most, len(due))
+		maxDue = max(maxDue, len(due))
 		for _, id := range due {
 			asked[id]++
 			s.Done(now, id, true)
@@ -33,23 +33,23 @@
 	}
 	for _, id := range ids {
 		if asked[id] < 110 || asked[id] > 130 {
-			t.Errorf("%s was asked %d times in 120 intervals", id, asked[id])
+			t.Errorf("%s was polled %d times in 120 intervals", id, asked[id])
 		}
 	}
-	if most > 5 {
-		t.Errorf("%d engines were asked in one tick", most)
+	if maxDue > 5 {
+		t.Errorf("%d engines were polled in one tick", maxDue)
 	}
 }
 
-// What operators see: calls to the other servers go on. The servers behind one
-// switch fall silent, so each question to them hangs until its timeout; they
-// must not take all the connections, nor be asked as often as the others.
-func TestSilentEnginesAreAskedSeldomAndFewAtOnce(t *testing.T) {
+// The servers behind one switch stop responding, so each poll of them hangs until its
+// timeout. They must not occupy all connections of the instance, nor be polled as often
+// as the others.
+func TestUnresponsiveEnginesAreAskedSeldomAndFewAtOnce(t *testing.T) {
 	s := NewSchedule(CacheEvery, 1)
 	ids := engineIDs(30)
-	const atOnce, timeout = 4, time.Second
+	const limit, timeout = 4, time.Second
 	hanging := make(map[string]monotime.Instant)
-	asked, most := 0, 0
+	asked, maxInFlight := 0, 0
 	for now := monotime.Instant(0); now < monotime.Instant(10*time.Minute); now = now.Add(tick) {
 		for _, id := range ids {
 			if since, ok := hanging[id]; ok && now.Sub(since) >= timeout {
@@ -57,34 +57,34 @@
 				s.Done(now, id, false)
 			}
 		}
-		for _, id := range s.Due(now, ids, atOnce, nil) {
+		for _, id := range s.Due(now, ids, limit, nil) {
 			hanging[id] = now
 			asked++
 		}
-		most = max(most, len(hanging))
+		maxInFlight = max(maxInFlight, len(hanging))
 	}
-	if most > atOnce {
-		t.Errorf("%d calls at once, want at most %d", most, atOnce)
+	if maxInFlight > limit {
+		t.Errorf("%d calls at once, want at most %d", maxInFlight, limit)
 	}
 	if perEngine := asked / len(ids); perEngine > 20 {
-		t.Errorf("a silent engine was asked %d times in ten minutes", perEngine)
+		t.Errorf("an unresponsive engine was polled %d times in ten minutes", perEngine)
 	}
 }
 
-func TestEnginesOfOthersAreForgotten(t *testing.T) {
+func TestEnginesNoLongerListedAreForgotten(t *testing.T) {
 	s := NewSchedule(time.Second, 1)
 	ids := engineIDs(3)
 	asked := s.Due(0, ids, 10, nil)
 	late := monotime.Instant(time.Minute)
 	asked = append(asked, s.Due(late, ids, 10, nil)...)
 	if len(asked) != 3 {
-		t.Fatalf("asked %v", asked)
+		t.Fatalf("polled %v", asked)
 	}
 	if due := s.Due(late, ids[:1], 10, nil); len(due) != 0 {
-		t.Errorf("asked again: %v", due)
+		t.Errorf("polled again: %v", due)
 	}
 	s.Done(late, ids[2], true)
 	if len(s.engines) != 1 {
-		t.Errorf("%d engines are remembered, want 1", len(s.engines))
+		t.Errorf("%d engines are scheduled, want 1", len(s.engines))
 	}
 }
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -44,7 +44,7 @@
 		n.finish(now, r, nil)
 		return
 	}
-	r.worst = verdict.Worse(r.worst, err.Verdict)
+	r.worst = verdict.Worst(r.worst, err.Verdict)
 	n.recordDecision(now, r, string(err.Reason), "attempt failed: "+err.Message, 0)
 	switch {
 	case err.Reason == verdict.ReasonCallerGone || err.Reason == verdict.ReasonDraining || r.gone && r.Class.Idempotent:
@@ -132,7 +132,7 @@
 	}
 	r.charged = tokens
 	if outcome == sched.Finished {
-		n.measures.Learn(r.Class, tokens, now.Sub(r.started), result.FirstToken)
+		n.measures.Record(r.Class, tokens, now.Sub(r.started), result.FirstToken)
 	} else {
 		r.wasted += tokens
 	}
--- a/internal/route/pick.go
+++ b/internal/route/pick.go
@@ -8,56 +8,62 @@
 	"basilrudder/internal/monotime"
 )
 
-// Picker remembers what an entry instance was told of the groups: the wait
-// expected in each, and which group ran a prefix last. It is not safe for
-// concurrent use.
+// Picker selects groups for the requests of an entry instance. It records the wait that each
+// group reported and the group that ran a prefix last. It is not safe for concurrent use.
 type Picker struct {
-	groups map[viewKey]groupView
-	places []prefixPlace
+	backlogs map[groupTier]backlogReport
+	prefixes []prefixEntry
 }
 
-// viewKey names the wait of one tier in one group: where a lower tier waits long,
-// the top tier may not wait at all.
-type viewKey struct {
+// groupTier is the key of a reported wait. The tiers of a group are separate, as the top tier
+// may not wait at all while a lower one waits long.
+type groupTier struct {
 	group string
 	tier  int
 }
 
-type groupView struct {
+// backlogReport is the expected wait that a group reported, and the time of its arrival.
+type backlogReport struct {
 	backlog time.Duration
 	at      monotime.Instant
 }
 
-type prefixPlace struct {
+// prefixEntry records the group that ran a prefix last, and when.
+type prefixEntry struct {
 	prefix uint64
 	group  *catalog.Group
 	at     monotime.Instant
 }
 
 const (
-	// backlogMemory is the time after which a told backlog counts half: by then
-	// the group may have drained or filled, and it should be tried again.
-	backlogMemory = time.Second
-	// prefixMemory is the time after which a prefix is likely to be evicted.
-	prefixMemory = 2 * time.Minute
-	prefixPlaces = 1 << 12
-	// prefixSaves is the part of the prefill that a cached prefix saves.
-	prefixSaves = 0.8
-	// prefillTokensPerS converts prompt tokens to time where a group's engines
-	// do not say.
-	prefillTokensPerS = 20000
+	// backlogHalvedAfter is the age at which a reported backlog counts half. By then the group
+	// may have drained or filled and should be tried again. A longer time keeps requests away
+	// from a group that has drained; a shorter one sends them to a group that is still busy.
+	backlogHalvedAfter = time.Second
+	// prefixTTL is the age at which a prefix has probably been evicted. With a longer one,
+	// requests accept a wait for a cache that is gone; a shorter one misses cached prefixes.
+	prefixTTL = 2 * time.Minute
+	// prefixTableSize is the number of recorded prefixes. It depends on the shift in
+	// prefixEntryFor: a smaller table alone is indexed out of range, a larger one stays unused.
+	prefixTableSize = 1 << 12
+	// prefixSavedShare is the share of the prefill that a cached prefix saves. With a larger
+	// one, requests accept a longer wait than the cache saves; a smaller one wastes caches.
+	prefixSavedShare = 0.8
+	// defaultPrefillTokensPerS is the prefill speed of engines without a published one. Above
+	// their real speed the saved time is too short and caches go unused; below, too long.
+	defaultPrefillTokensPerS = 20000
 )
 
-// NewPicker returns a Picker that knows nothing yet.
+// NewPicker returns a Picker without reports.
 func NewPicker() *Picker {
-	return &Picker{groups: make(map[viewKey]groupView), places: make([]prefixPlace, prefixPlaces)}
+	return &Picker{backlogs: make(map[groupTier]backlogReport), prefixes: make([]prefixEntry, prefixTableSize)}
 }
 
-// Ask describes the request that needs a group.
-type Ask struct {
+// Request describes a request that needs a group.
+type Request struct {
 	// Target is the model or the service.
 	Target string
-	// DataCentre the entry instance runs in.
+	// DataCentre that the entry instance runs in.
 	DataCentre string
 	// Tier of the request.
 	Tier int
@@ -65,49 +71,50 @@
 	Prefix uint64
 	// PromptTokens of the request.
 	PromptTokens int
-	// Skip names groups that refused this request already.
+	// Skip lists the names of the groups that refused this request.
 	Skip []string
 }
 
-// Pick returns the group to ask, or nil when no group serves the target. It
-// compares two random groups, and the one that ran the prefix last, by the wait
-// they told, the distance, and the prefill that the cache saves. Comparing all
-// would send every instance to the same group until the next news.
-func (p *Picker) Pick(now monotime.Instant, cat *catalog.Catalog, ask Ask, rng *rand.Rand) *catalog.Group {
-	groups := cat.GroupsFor[ask.Target]
+// Pick returns the group to request a slot from, or nil if no group serves the target. It
+// compares two random groups and the one that ran the prefix last, by their reported wait,
+// the network latency and the prefill time that the cache saves. If it compared all groups,
+// every instance would pick the same one until the next report.
+func (p *Picker) Pick(now monotime.Instant, cat *catalog.Catalog, req Request, rng *rand.Rand) *catalog.Group {
+	groups := cat.GroupsFor[req.Target]
 	if len(groups) == 0 {
 		return nil
 	}
-	best := draw(groups, &ask, nil, rng)
+	best := randomGroup(groups, &req, nil, rng)
 	if best == nil {
 		return nil
 	}
-	second := draw(groups, &ask, best, rng)
-	if second != nil && p.cost(now, cat, &ask, second) < p.cost(now, cat, &ask, best) {
+	second := randomGroup(groups, &req, best, rng)
+	if second != nil && p.cost(now, cat, &req, second) < p.cost(now, cat, &req, best) {
 		best = second
 	}
-	if known := p.prefixGroup(now, &ask, groups); known != nil && !skips(&ask, known) {
-		if p.cost(now, cat, &ask, known)-prefillSaved(&ask, known) <= p.cost(now, cat, &ask, best) {
-			best = known
+	if cached := p.prefixGroup(now, &req, groups); cached != nil && !isSkipped(&req, cached) {
+		if p.cost(now, cat, &req, cached)-prefillSaved(&req, cached) <= p.cost(now, cat, &req, best) {
+			best = cached
 		}
 	}
 	return best
 }
 
-// draw returns a random group that takes new work, is not skipped and is
-// another than the one drawn before.
-func draw(groups []*catalog.Group, ask *Ask, before *catalog.Group, rng *rand.Rand) *catalog.Group {
+// randomGroup returns a random group that accepts new work, is not skipped and is not the
+// excluded one; nil if there is none.
+func randomGroup(groups []*catalog.Group, req *Request, exclude *catalog.Group, rng *rand.Rand) *catalog.Group {
 	start := rng.IntN(len(groups))
 	for i := range groups {
 		g := groups[(start+i)%len(groups)]
-		if g != before && usable(g) && !skips(ask, g) {
+		if g != exclude && acceptsWork(g) && !isSkipped(req, g) {
 			return g
 		}
 	}
 	return nil
 }
 
-func usable(g *catalog.Group) bool {
+// acceptsWork reports whether at least one server of the group is not withdrawn.
+func acceptsWork(g *catalog.Group) bool {
 	for _, s := range g.Servers {
 		if !s.Spec.Withdrawn {
 			return true
@@ -116,8 +123,8 @@
 	return false
 }
 
-func skips(ask *Ask, g *catalog.Group) bool {
-	for _, name := range ask.Skip {
+func isSkipped(req *Request, g *catalog.Group) bool {
+	for _, name := range req.Skip {
 		if name == g.Name {
 			return true
 		}
@@ -125,79 +132,85 @@
 	return false
 }
 
-// cost is the expected delay of asking a group.
-func (p *Picker) cost(now monotime.Instant, cat *catalog.Catalog, ask *Ask, g *catalog.Group) time.Duration {
-	delay := 2 * cat.OneWay(ask.DataCentre, g.DataCentre)
-	v, known := p.groups[viewKey{g.Name, ask.Tier}]
-	if !known {
+// cost returns the expected delay of a request at the group: the round trip and the reported
+// wait, discounted by its age.
+func (p *Picker) cost(now monotime.Instant, cat *catalog.Catalog, req *Request, g *catalog.Group) time.Duration {
+	delay := 2 * cat.OneWay(req.DataCentre, g.DataCentre)
+	report, reported := p.backlogs[groupTier{g.Name, req.Tier}]
+	if !reported {
 		return delay
 	}
-	return delay + discounted(v.backlog, now.Sub(v.at))
+	return delay + decayed(report.backlog, now.Sub(report.at))
 }
 
-// discounted lets a told backlog fade with its age.
-func discounted(backlog, age time.Duration) time.Duration {
+// decayed returns the backlog discounted by its age: half of it after backlogHalvedAfter, a
+// third after twice that.
+func decayed(backlog, age time.Duration) time.Duration {
 	if age <= 0 {
 		return backlog
 	}
-	return time.Duration(float64(backlog) * float64(backlogMemory) / float64(backlogMemory+age))
+	return time.Duration(float64(backlog) * float64(backlogHalvedAfter) / float64(backlogHalvedAfter+age))
 }
 
-// Observe notes the wait that a group told for a tier.
-func (p *Picker) Observe(group string, tier int, backlog time.Duration, now monotime.Instant) {
-	p.groups[viewKey{group, tier}] = groupView{backlog: backlog, at: now}
+// ObserveBacklog records the wait that a group reported for a tier.
+func (p *Picker) ObserveBacklog(group string, tier int, backlog time.Duration, now monotime.Instant) {
+	p.backlogs[groupTier{group, tier}] = backlogReport{backlog: backlog, at: now}
 }
 
-// Told returns the wait that a group told for a tier last, and how long ago; false
-// when it told none.
-func (p *Picker) Told(now monotime.Instant, group string, tier int) (backlog, age time.Duration, ok bool) {
-	view, ok := p.groups[viewKey{group, tier}]
-	return view.backlog, now.Sub(view.at), ok
+// LastBacklog returns the wait that a group last reported for a tier, and the age of the
+// report; false without a report.
+func (p *Picker) LastBacklog(now monotime.Instant, group string, tier int) (backlog, age time.Duration, ok bool) {
+	report, ok := p.backlogs[groupTier{group, tier}]
+	return report.backlog, now.Sub(report.at), ok
 }
 
-// Ran notes that a group ran a request with the prefix.
-func (p *Picker) Ran(now monotime.Instant, prefix uint64, group *catalog.Group) {
+// RecordPrefix records that a group ran a request with the prefix.
+func (p *Picker) RecordPrefix(now monotime.Instant, prefix uint64, group *catalog.Group) {
 	if prefix != 0 {
-		*p.place(prefix) = prefixPlace{prefix: prefix, group: group, at: now}
+		*p.prefixEntryFor(prefix) = prefixEntry{prefix: prefix, group: group, at: now}
 	}
 }
 
-// Forget drops what is known of groups that the catalog no longer has.
-func (p *Picker) Forget(cat *catalog.Catalog) {
-	for key := range p.groups {
+// Prune removes the reported waits of groups that the catalog no longer has.
+func (p *Picker) Prune(cat *catalog.Catalog) {
+	for key := range p.backlogs {
 		if cat.Groups[key.group] == nil {
-			delete(p.groups, key)
+			delete(p.backlogs, key)
 		}
 	}
 }
 
-func (p *Picker) place(prefix uint64) *prefixPlace {
+// prefixEntryFor returns the entry of the prefix, which prefixes with the same hash share.
+// The shift leaves the 12 bits of prefixTableSize.
+func (p *Picker) prefixEntryFor(prefix uint64) *prefixEntry {
 	const mix = 0x9e3779b97f4a7c15
-	return &p.places[(prefix*mix)>>52]
+	return &p.prefixes[(prefix*mix)>>52]
 }
 
-// prefixGroup is the group that ran the prefix last, if the target still has it.
-func (p *Picker) prefixGroup(now monotime.Instant, ask *Ask, groups []*catalog.Group) *catalog.Group {
-	if ask.Prefix == 0 {
+// prefixGroup returns the group that ran the prefix last, if it still serves the target and
+// accepts work; otherwise nil.
+func (p *Picker) prefixGroup(now monotime.Instant, req *Request, groups []*catalog.Group) *catalog.Group {
+	if req.Prefix == 0 {
 		return nil
 	}
-	place := p.place(ask.Prefix)
-	if place.prefix != ask.Prefix || now.Sub(place.at) > prefixMemory {
+	entry := p.prefixEntryFor(req.Prefix)
+	if entry.prefix != req.Prefix || now.Sub(entry.at) > prefixTTL {
 		return nil
 	}
 	for _, g := range groups {
-		if g.Name == place.group.Name && usable(g) {
+		if g.Name == entry.group.Name && acceptsWork(g) {
 			return g
 		}
 	}
 	return nil
 }
 
-func prefillSaved(ask *Ask, g *catalog.Group) time.Duration {
+// prefillSaved returns the prefill time that a cached prefix saves at the group.
+func prefillSaved(req *Request, g *catalog.Group) time.Duration {
 	perSecond := g.Servers[0].Engines[0].Spec.PrefillTokensPerS
 	if perSecond <= 0 {
-		perSecond = prefillTokensPerS
+		perSecond = defaultPrefillTokensPerS
 	}
-	saved := prefixSaves * float64(ask.PromptTokens) / float64(perSecond)
+	saved := prefixSavedShare * float64(req.PromptTokens) / float64(perSecond)
 	return time.Duration(saved * float64(time.Second))
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -10,21 +10,22 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrInvalid says that a configuration can't be put in force.
+// ErrInvalid is the error of a configuration that can't be applied.
 var ErrInvalid = errors.New("routing: invalid configuration")
 
-// Table answers questions about one configuration. It is immutable and safe
-// for concurrent use.
+// Table is the lookup table of one configuration. It is immutable and safe for concurrent
+// use.
 type Table struct {
-	config    *Config
-	hosts     map[string][]*Route // longest prefix first
-	services  map[string]*Service
-	customers map[string]*Customer // by key
-	tiers     []int                // the routes' priorities, ascending, each once
-	levels    []int                // the customers' priorities, ascending, each once
+	config             *Config
+	hosts              map[string][]*Route // longest prefix first
+	services           map[string]*Service
+	customers          map[string]*Customer // by key
+	routePriorities    []int                // the routes' priorities, ascending, each once
+	customerPriorities []int                // the customers' priorities, ascending, each once
 }
 
-// NewTable builds the table of a configuration, which must not change afterwards.
+// NewTable builds the table of a configuration, which must not be changed afterwards. It
+// returns an ErrInvalid if a route can't be served.
 func NewTable(config *Config) (*Table, error) {
 	t := &Table{
 		config:    config,
@@ -38,11 +39,11 @@
 	}
 	for i := range config.Routes {
 		route := &config.Routes[i]
-		if err := t.check(route); err != nil {
+		if err := t.validateRoute(route); err != nil {
 			return nil, err
 		}
-		t.tiers = append(t.tiers, route.Priority)
-		host := normalHost(route.Host)
+		t.routePriorities = append(t.routePriorities, route.Priority)
+		host := normalizeHost(route.Host)
 		t.hosts[host] = append(t.hosts[host], route)
 	}
 	for _, routes := range t.hosts {
@@ -56,50 +57,50 @@
 			t.customers[key] = customer
 		}
 		if customer.Priority != nil {
-			t.levels = append(t.levels, *customer.Priority)
+			t.customerPriorities = append(t.customerPriorities, *customer.Priority)
 		}
 	}
-	t.tiers, t.levels = ascending(t.tiers), ascending(t.levels)
+	t.routePriorities, t.customerPriorities = sortedDistinct(t.routePriorities), sortedDistinct(t.customerPriorities)
 	return t, nil
 }
 
-// ascending returns the distinct priorities in order.
-func ascending(priorities []int) []int {
+// sortedDistinct returns the distinct priorities, ascending. It reuses the slice.
+func sortedDistinct(priorities []int) []int {
 	slices.Sort(priorities)
 	return slices.Compact(priorities)
 }
 
-func (t *Table) check(route *Route) error {
+func (t *Table) validateRoute(route *Route) error {
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		return errors.Wrapf(ErrInvalid, "route %q: prefix %q", route.Name, route.Prefix)
+		return errors.Wrapf(ErrInvalid, "route %q: prefix %q must begin and end with a slash", route.Name, route.Prefix)
 	}
 	if route.Timeout <= 0 || route.Attempts < 1 || len(route.Shares) == 0 {
-		return errors.Wrapf(ErrInvalid, "route %q: timeout %v, attempts %d, %d services",
+		return errors.Wrapf(ErrInvalid, "route %q: timeout %v, %d attempts and %d services must all be positive",
 			route.Name, route.Timeout, route.Attempts, len(route.Shares))
 	}
 	for _, share := range route.Shares {
 		if t.services[share.Service] == nil {
-			return errors.Wrapf(ErrInvalid, "route %q: no service %q", route.Name, share.Service)
+			return errors.Wrapf(ErrInvalid, "route %q: service %q does not exist", route.Name, share.Service)
 		}
 	}
 	return nil
 }
 
-// Version of the configuration.
+// Version returns the version of the configuration.
 func (t *Table) Version() int64 { return t.config.Version }
 
-// Config the table was built from; it must not be changed.
+// Config returns the configuration that the table was built from. It must not be changed.
 func (t *Table) Config() *Config { return t.config }
 
-// Limits for callers.
+// Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// Service by name; nil when there is none.
+// Service returns the service with the name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Match returns the route of a host with the longest prefix that begins path.
+// Match returns the route of the host with the longest prefix that matches the path, or nil.
 func (t *Table) Match(host, path string) *Route {
-	for _, route := range t.hosts[normalHost(host)] {
+	for _, route := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -112,54 +113,54 @@
 	return t.config.KeysRequired && !route.Public
 }
 
-// Customer returns the customer who holds key; nil when nobody does.
+// Customer returns the customer that the key belongs to, or nil.
 func (t *Table) Customer(key string) *Customer {
 	return t.customers[key]
 }
 
-// Rank orders requests by urgency, 0 first: by the route's priority, and among
-// routes with the same one by the customer's; a customer without one counts as
-// the first. Engines preempt by this order. With the customer's first, a long
-// prompt of an urgent customer makes an engine preempt the short streams of all
-// others: on a day of high load, 11 to 16 of them at 140 engines. Ranks are
-// counted without gaps, because servers tell only a few apart.
+// Rank returns the urgency of a request, 0 first. Requests are ordered by the priority of the
+// route, then by that of the customer; a customer without one ranks as the first. Engines
+// preempt in this order. If the customer's priority came first, a long prompt of an urgent
+// customer would make an engine preempt the short streams of all others: 11 to 16 streams at
+// 140 engines on a day of high load. Ranks have no gaps, because servers distinguish only a
+// few.
 func (t *Table) Rank(route *Route, customer *Customer) int {
-	tier, _ := slices.BinarySearch(t.tiers, route.Priority)
-	level := 0
+	routeIndex, _ := slices.BinarySearch(t.routePriorities, route.Priority)
+	customerIndex := 0
 	if customer != nil && customer.Priority != nil {
-		level, _ = slices.BinarySearch(t.levels, *customer.Priority)
+		customerIndex, _ = slices.BinarySearch(t.customerPriorities, *customer.Priority)
 	}
-	return tier*max(1, len(t.levels)) + level
+	return routeIndex*max(1, len(t.customerPriorities)) + customerIndex
 }
 
-// Homes returns the regions that a request must stay in; nil for no bound. Where route
-// and customer both have some, both bind, and there may be no region left: such a request
-// can't be served anywhere.
-func Homes(route *Route, customer *Customer) []string {
-	var of []string
+// AllowedRegions returns the regions that a request must stay in; nil for no restriction. If
+// route and customer both have regions, these are the common ones. There may be none: the
+// result is then empty but not nil, and the request can't be served.
+func AllowedRegions(route *Route, customer *Customer) []string {
+	var ofCustomer []string
 	if customer != nil {
-		of = customer.Homes
+		ofCustomer = customer.AllowedRegions
 	}
 	switch {
-	case len(route.Homes) == 0 && len(of) == 0:
+	case len(route.AllowedRegions) == 0 && len(ofCustomer) == 0:
 		return nil
-	case len(of) == 0:
-		return route.Homes
-	case len(route.Homes) == 0:
-		return of
-	}
-	both := []string{}
-	for _, region := range route.Homes {
-		if slices.Contains(of, region) {
-			both = append(both, region)
+	case len(ofCustomer) == 0:
+		return route.AllowedRegions
+	case len(route.AllowedRegions) == 0:
+		return ofCustomer
+	}
+	common := []string{}
+	for _, region := range route.AllowedRegions {
+		if slices.Contains(ofCustomer, region) {
+			common = append(common, region)
 		}
 	}
-	return both
+	return common
 }
 
-// Pick returns the service for a request. The choice follows the shares over
-// many requests and is the same each time for one id, so that a request sent a
-// second time stays with its service.
+// Pick returns the service for a request. Over many requests the choices follow the weights
+// of the shares. The choice depends only on the request's id, so that a request sent again
+// goes to the same service.
 func (r *Route) Pick(requestID string) string {
 	total := 0
 	for _, share := range r.Shares {
@@ -180,8 +181,8 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// normalHost drops a port and the letters' case.
-func normalHost(host string) string {
+// normalizeHost removes a port and converts the host to lower case.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
--- a/internal/sched/group_test.go
+++ b/internal/sched/group_test.go
@@ -7,7 +7,7 @@
 	"basilrudder/internal/verdict"
 )
 
-func TestHigherTierGoesFirst(t *testing.T) {
+func TestHigherTierIsServedFirst(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	running := f.submit(2, "ann")
 	low := f.submit(2, "ann")
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestHopelessRequestIsRefusedAtOnceWithATime(t *testing.T) {
+func TestRequestThatWouldBeLateIsRefusedWithRetryAfter(t *testing.T) {
 	f := newFixture(t, 1, 1, Default())
 	f.train(0, time.Second, 100)
 	f.submit(0, "ann")
@@ -60,6 +60,6 @@
 	last := f.submit(0, "ann")
 	d, ok := f.refused[last]
 	if !ok || d.Reason != verdict.ReasonOverloaded || d.RetryAfter <= 0 {
-		t.Errorf("third request of a second each with 2 s to go: %+v", d)
+		t.Errorf("third request of 1 s each with a deadline of 2 s was not refused with Retry-After: %+v", d)
 	}
 }
--- a/internal/upstream/generate_test.go
+++ b/internal/upstream/generate_test.go
@@ -13,7 +13,7 @@
 	"basilrudder/internal/verdict"
 )
 
-func TestGenerateRelaysTheWholeAnswerOnce(t *testing.T) {
+func TestGenerateDeliversEachTokenOnce(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
 	for _, id := range []string{"a", "b", "c"} {
@@ -21,34 +21,34 @@
 		if err := client.Generate(background, target, generate(id, 30), sink); err != nil {
 			t.Fatal(err)
 		}
-		sink.wantWhole(t, id, 30)
+		sink.checkComplete(t, id, 30)
 	}
 	if runs := len(server.Engine("e0").Runs()); runs != 3 {
 		t.Errorf("%d runs, want 3", runs)
 	}
 	if conns := server.Accepted(); conns != 1 {
-		t.Errorf("%d connections, want one used three times", conns)
+		t.Errorf("%d connections, want one, reused", conns)
 	}
 }
 
-// Nothing listens at the address. No connection was made, so no byte of the
-// request can have left and the caller may be told that it did not run.
+// Nothing listens at the address. Without a connection no byte of the request can have
+// been sent, so the verdict is "not run".
 func TestConnectRefusedIsNotRun(t *testing.T) {
 	ln := listen(t)
 	_ = ln.Close()
 	target := upstream.Target{Address: ln.Addr().String(), Server: "s0", Engine: "e0"}
 	err := upstream.New(shortConfig()).Generate(background, target, generate("a", 3), newCollector())
-	wantVerdict(t, err, verdict.NotRun, verdict.ReasonConnect)
+	checkVerdict(t, err, verdict.NotRun, verdict.ReasonConnect)
 }
 
-// failingConn fails the write of a request after some bytes.
+// failingConn fails each write after accepting some bytes, and closes the connection.
 type failingConn struct {
 	net.Conn
-	takes int
+	accepts int
 }
 
 func (c *failingConn) Write(p []byte) (int, error) {
-	n := min(len(p), c.takes)
+	n := min(len(p), c.accepts)
 	if n > 0 {
 		_, _ = c.Conn.Write(p[:n])
 	}
@@ -56,14 +56,14 @@
 	return n, &net.OpError{Op: "write", Net: "tcp", Err: errors.New("connection reset by peer")}
 }
 
-// The connection fails while the request is written. If it took no byte, the
-// upstream can't have seen the request; if it took even one, the rest may have
-// been taken by the time of the error, so the honest answer is "may have run".
-func TestWriteFailureDependsOnBytesTaken(t *testing.T) {
+// The connection fails while the request is written. If it accepted no byte, the upstream
+// can't have received the request. If it accepted even one, the rest may have been
+// accepted by the time of the error, so the verdict must be "may have run".
+func TestWriteFailureVerdictDependsOnBytesWritten(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		takes int
-		want  verdict.Verdict
+		name    string
+		accepts int
+		want    verdict.Verdict
 	}{
 		{"none", 0, verdict.NotRun},
 		{"one", 1, verdict.MayHaveRun},
@@ -72,22 +72,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			cfg := shortConfig()
 			cfg.Dial = func(context.Context, string) (net.Conn, error) {
-				near, far := net.Pipe()
-				go func() { _, _ = far.Read(make([]byte, 1000)) }()
-				return &failingConn{Conn: near, takes: c.takes}, nil
+				clientEnd, serverEnd := net.Pipe()
+				go func() { _, _ = serverEnd.Read(make([]byte, 1000)) }()
+				return &failingConn{Conn: clientEnd, accepts: c.accepts}, nil
 			}
 			err := upstream.New(cfg).Generate(background, upstream.Target{Server: "s0", Address: "a"}, generate("a", 3), newCollector())
-			wantVerdict(t, err, c.want, verdict.ReasonUpstreamLost)
+			checkVerdict(t, err, c.want, verdict.ReasonUpstreamLost)
 		})
 	}
 }
 
-// The server takes the request and its process dies before it answers. The
-// engine may have started, so "may have run"; and the request is not sent
-// again, neither on a new connection nor on one that was used before.
+// The server reads the request and its process ends before it answers. The engine may
+// have started, so the verdict is "may have run". The request must not be sent again,
+// neither on a new connection nor on a reused one.
 func TestLostAfterWriteMayHaveRunAndIsNotSentAgain(t *testing.T) {
 	whole := stream("data: {\"offset\":0,\"text\":\"x\",\"finish\":\"stop\"}\n\n")
-	server, target := scripted(t, func(conn net.Conn, request int) bool {
+	server, target := startScripted(t, func(conn net.Conn, request int) bool {
 		return request == 1 && reply(whole)(conn, request)
 	})
 	client := upstream.New(shortConfig())
@@ -96,16 +96,16 @@
 	}
 	for _, id := range []string{"on a used connection", "on a new connection"} {
 		err := client.Generate(background, target, generate(id, 1), newCollector())
-		wantVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamLost)
+		checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamLost)
 	}
 	if sent := server.requests.Load(); sent != 3 {
-		t.Errorf("%d requests arrived, want 3", sent)
+		t.Errorf("%d requests received, want 3", sent)
 	}
 }
 
-// The server restarts between two requests and so has closed the connection
-// that the pool holds. The second request must not be lost to it: the pool
-// notices the closed connection and a new one is opened.
+// The server restarts between two requests and closes the pooled connection. The second
+// request must not be lost: the pool detects the closed connection and a new one is
+// opened.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
@@ -114,15 +114,15 @@
 		if err := client.Generate(background, target, generate(id, 3), sink); err != nil {
 			t.Fatal(err)
 		}
-		sink.wantWhole(t, id, 3)
+		sink.checkComplete(t, id, 3)
 		server.Cut()
 	}
 }
 
-// A connection of the pool went silent while unused. The request is written
-// to it and nothing comes back: it may have run. The other unused connections
-// to the address are given up as well, so the next request gets through.
-func TestSilentIdleConnectionsAreGivenUp(t *testing.T) {
+// A pooled connection becomes unresponsive while unused. The next request is written to
+// it and gets no answer, so it may have run. The other unused connections to the address
+// are closed as well, so the request after that succeeds.
+func TestUnresponsiveIdleConnectionsAreClosed(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
 	done := make(chan *verdict.Error)
@@ -136,13 +136,13 @@
 	}
 	server.Silence()
 	err := client.Generate(background, target, generate("c", 3), newCollector())
-	wantVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamSilent)
+	checkVerdict(t, err, verdict.MayHaveRun, verdict.ReasonUpstreamSilent)
 	if err := client.Generate(background, target, generate("d", 3), newCollector()); err != nil {
 		t.Errorf("the next request: %v", err)
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestVerdictOfUnsuccessfulAnswers(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer string
@@ -157,9 +157,9 @@
 		{"both flags", "503 Service Unavailable\r\nX-Not-Started: true\r\nX-Started: true\r\nRetry-After: 7", verdict.Ran, verdict.ReasonUpstreamError},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, target := scripted(t, reply("HTTP/1.1 "+c.answer+"\r\nContent-Length: 2\r\n\r\nno"))
+			_, target := startScripted(t, reply("HTTP/1.1 "+c.answer+"\r\nContent-Length: 2\r\n\r\nno"))
 			err := upstream.New(shortConfig()).Generate(background, target, generate("a", 3), newCollector())
-			wantVerdict(t, err, c.want, c.reason)
+			checkVerdict(t, err, c.want, c.reason)
 			if err.RetryAfter != 7*time.Second {
 				t.Errorf("retry after %v, want 7s", err.RetryAfter)
 			}
@@ -167,35 +167,35 @@
 	}
 }
 
-func TestEngineRefusalIsNoRun(t *testing.T) {
+func TestEngineRefusalIsNotRun(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	server.Engine("e0").SetRefusing(true)
 	err := upstream.New(shortConfig()).Generate(background, target, generate("a", 3), newCollector())
-	wantVerdict(t, err, verdict.NotRun, verdict.ReasonUpstreamRefused)
+	checkVerdict(t, err, verdict.NotRun, verdict.ReasonUpstreamRefused)
 	if runs := len(server.Engine("e0").Runs()); runs != 0 {
 		t.Errorf("%d runs, want none", runs)
 	}
 }
 
-// The same request id arrives again, from an instance that did not know
-// better. The engine knows the id and refuses; the verdict is "ran", since it
-// did, and there is still one run.
-func TestDuplicateIDRan(t *testing.T) {
+// Another instance sends a request ID that the engine has already accepted. The engine
+// refuses it; the verdict is "ran", since the first request did, and there is still one
+// run.
+func TestDuplicateRequestIDIsRan(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	client := upstream.New(shortConfig())
 	if err := client.Generate(background, target, generate("a", 3), newCollector()); err != nil {
 		t.Fatal(err)
 	}
 	err := client.Generate(background, target, generate("a", 3), newCollector())
-	wantVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamError)
+	checkVerdict(t, err, verdict.Ran, verdict.ReasonUpstreamError)
 	if runs := len(server.Engine("e0").Runs()); runs != 1 {
 		t.Errorf("%d runs, want 1", runs)
 	}
 }
 
-// The caller goes away in the middle of an answer. The context ends, the
-// connection is closed at once though a read waits on it, and the engine,
-// which notices the closed connection, gives the run up after its linger time.
+// The caller disconnects in the middle of an answer. The context ends and the connection
+// is closed at once, although a read is blocked on it. The engine detects the closed
+// connection and abandons the run after its linger time.
 func TestContextEndClosesTheConnection(t *testing.T) {
 	cfg := fastEngine()
 	cfg.Engines[0].Model.Linger = 20 * time.Millisecond
@@ -207,16 +207,16 @@
 		cancel()
 	}()
 	err := upstream.New(shortConfig()).Generate(ctx, target, generate("a", 1_000_000), sink)
-	wantVerdict(t, err, verdict.Ran, verdict.ReasonCallerGone)
+	checkVerdict(t, err, verdict.Ran, verdict.ReasonCallerGone)
 	server.Engine("e0").WaitForRun(func(r enginemodel.Run) bool { return r.End == enginemodel.Abandoned })
 }
 
-func TestContextThatHasEndedIsNotRun(t *testing.T) {
+func TestCancelledContextIsNotRun(t *testing.T) {
 	server, target := startEngine(t, fastEngine())
 	ctx, cancel := context.WithCancel(background)
 	cancel()
 	err := upstream.New(shortConfig()).Generate(ctx, target, generate("a", 3), newCollector())
-	wantVerdict(t, err, verdict.NotRun, verdict.ReasonCallerGone)
+	checkVerdict(t, err, verdict.NotRun, verdict.ReasonCallerGone)
 	if runs := len(server.Engine("e0").Runs()); runs != 0 {
 		t.Errorf("%d runs, want none", runs)
 	}
@@ -232,7 +232,7 @@
 	if err := client.Cancel(background, target, "a"); err != nil {
 		t.Fatal(err)
 	}
-	wantVerdict(t, <-done, verdict.Ran, verdict.ReasonUpstreamLost)
+	checkVerdict(t, <-done, verdict.Ran, verdict.ReasonUpstreamLost)
 	server.Engine("e0").WaitForRun(func(r enginemodel.Run) bool { return r.End == enginemodel.Cancelled })
 	if err := client.Cancel(background, target, "unknown"); err != nil {
 		t.Errorf("cancel of an unknown request: %v", err)
@@ -242,10 +242,10 @@
 func TestSinkErrorEndsTheStream(t *testing.T) {
 	_, target := startEngine(t, fastEngine())
 	sink := newCollector()
-	sink.stop = errors.New("no more")
+	sink.tokenErr = errors.New("no more")
 	err := upstream.New(shortConfig()).Generate(background, target, generate("a", 50), sink)
-	wantVerdict(t, err, verdict.Ran, verdict.ReasonCallerGone)
-	if !errors.Is(err, sink.stop) || len(sink.events) != 1 {
+	checkVerdict(t, err, verdict.Ran, verdict.ReasonCallerGone)
+	if !errors.Is(err, sink.tokenErr) || len(sink.events) != 1 {
 		t.Errorf("error %v after %d tokens", err, len(sink.events))
 	}
 }
