--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -109,14 +109,15 @@
 
 // Default values of Config.
 const (
-	// DefaultReadersPerDC is 2 so that one failed reader does not leave a data centre
-	// without any. Each further reader costs a permanent watch and the reads of each change.
+	// DefaultReadersPerDC: with 1, a data centre has no reader from the failure of that one
+	// until another takes over. Each further reader costs a permanent watch and the reads
+	// of each change.
 	DefaultReadersPerDC = 2
 	// DefaultQueryInterval bounds the delay of a change after a lost offer. A shorter one
 	// costs idle traffic; a longer one must stay well below DefaultPeerTimeout.
 	DefaultQueryInterval = 2 * time.Second
-	// DefaultWatchWait sets the idle call rate at the platform. The confirmation of a
-	// reader without anything newer is up to this old, plus the call.
+	// DefaultWatchWait sets the idle call rate at the platform. A reader's confirmation by
+	// the platform counts from the start of its watch, so its age reaches twice this.
 	DefaultWatchWait = 10 * time.Second
 	// DefaultCallTimeout delays a retry after an unresponsive connection. A shorter one
 	// abandons reads of a slow platform, which are then repeated.
@@ -127,8 +128,9 @@
 	// DefaultPeerTimeout allows three queries. A shorter one makes learners read the
 	// platform after a few lost messages; a longer one delays changes at an isolated one.
 	DefaultPeerTimeout = 6 * time.Second
-	// DefaultMaxPlatformAge must exceed DefaultWatchWait + DefaultCallTimeout and the time
-	// to spread between neighbours, or learners read the platform while the readers work.
+	// DefaultMaxPlatformAge must exceed twice DefaultWatchWait plus DefaultCallTimeout and
+	// the time to spread between neighbours, or learners read the platform while the
+	// readers work. A longer one delays changes if the readers cannot reach the platform.
 	DefaultMaxPlatformAge = 45 * time.Second
 	// DefaultPauseThreshold separates scheduling delays from pauses. A shorter one drops
 	// the confirmation after mere delays; a longer one misses pauses up to its length.
@@ -140,8 +142,8 @@
 	// PieceBytes is the maximum size of a piece sent between instances. Larger pieces
 	// delay other messages on the link for longer.
 	PieceBytes = 32 << 10
-	// MaxValueBytes is the maximum size of a value or manifest. A lower limit rejects
-	// values that the platform accepts.
+	// MaxValueBytes is the maximum size of a value or manifest. A lower limit refuses
+	// revisions that contain larger ones.
 	MaxValueBytes = 1 << 20
 	// MaxRevisionBytes is the maximum total size of a revision's values. It bounds the
 	// memory for an untrusted manifest; a larger revision is refused.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -33,16 +33,17 @@
 )
 
 const (
-	// MaxValueBytes is the maximum size of a value. A longer answer is an error; a lower
-	// limit rejects values that the service accepts.
+	// MaxValueBytes is the maximum size of a value. A longer answer is an error: a lower
+	// limit makes larger values unreadable, a higher one costs memory per read.
 	MaxValueBytes = 1 << 20
-	// DefaultTimeout is the timeout of a read.
+	// DefaultTimeout is the timeout of a read. A shorter one abandons reads of a slow
+	// service, a longer one prolongs the wait on an unresponsive connection.
 	DefaultTimeout = time.Second
 
 	// maxConnections bounds the concurrent reads; further ones fail at once.
 	maxConnections = 16
-	// maxIdleTime bounds the age of idle connections. Longer ones are more often closed by
-	// the service already, which costs a second attempt.
+	// maxIdleTime is how long an unused connection is kept. Beyond the service's own limit
+	// the connection is already closed, and the next read needs a second attempt.
 	maxIdleTime = 30 * time.Second
 	// maxAttempts is two because the service may have closed a kept connection. It is no
 	// more because the service counts every call.
