--- a/internal/confsync/bench_test.go
+++ b/internal/confsync/bench_test.go
@@ -8,7 +8,7 @@
 	"basilrudder/internal/vtime"
 )
 
-// fleetShape is what the spread of a change depends on.
+// fleetShape holds the parameters that the propagation time depends on.
 type fleetShape struct {
 	instances   int
 	regionDelay time.Duration
@@ -43,7 +43,7 @@
 	net.ring(s.instances, 7, 6)
 	content := map[string]string{"a": pad("one", 64<<10), "b": pad("rest", 512<<10)}
 	net.platform.publish(5, content)
-	net.link()
+	net.updateLinks()
 	net.Run(20 * time.Second)
 	net.wantRevision(5)
 	idle := net.bytes
@@ -71,12 +71,12 @@
 	return fmt.Sprintf("%-*s", size, text)
 }
 
-// BenchmarkAnswer is the work for one question of a neighbour.
+// BenchmarkAnswer measures the work for one query of a neighbour.
 func BenchmarkAnswer(b *testing.B) {
 	net := newNetwork(b)
 	net.ring(8, 1, 4)
 	net.platform.publish(5, values(5))
-	net.link()
+	net.updateLinks()
 	net.Run(time.Second)
 	n := net.nodes[net.ids[0]]
 	now := net.Now()
--- a/internal/confsync/confsync_test.go
+++ b/internal/confsync/confsync_test.go
@@ -12,7 +12,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// values returns three values, of which one names the revision.
+// values returns three values, one of which contains the revision.
 func values(revision int) map[string]string {
 	return map[string]string{
 		"rules":     fmt.Sprintf("revision = %d", revision),
@@ -21,19 +21,19 @@
 	}
 }
 
-// settled is a fleet at revision 5.
-func settled(t *testing.T, n, dcs int) *network {
+// newSettledFleet returns a fleet with revision 5 in force everywhere.
+func newSettledFleet(t *testing.T, n, dcs int) *network {
 	net := newNetwork(t)
 	net.ring(n, dcs, 4)
 	net.platform.publish(5, values(5))
-	net.link()
+	net.updateLinks()
 	net.Run(5 * time.Second)
 	net.wantRevision(5)
 	return net
 }
 
 func TestAChangeReachesAllThroughFewReaders(t *testing.T) {
-	net := settled(t, 24, 3)
+	net := newSettledFleet(t, 24, 3)
 	calls := net.platform.calls
 	net.platform.publish(6, values(6))
 	net.Run(time.Second)
@@ -47,26 +47,24 @@
 			t.Errorf("%s fetched %d bytes", n.id, got)
 		}
 	}
-	// Each reader reads the manifest and the one value that changed, then
-	// watches on.
+	// Each reader reads the manifest and the one value that changed, then watches again.
 	if spent := net.platform.calls - calls; readers != 6 || spent > 3*readers {
 		t.Errorf("%d readers made %d calls", readers, spent)
 	}
 }
 
-func TestAStalePlatformNeverWins(t *testing.T) {
-	// The platform's replica that answers falls back to revision 4, to the
-	// readers and to a process that starts then. Callers see servers that were
-	// withdrawn in revision 5 get work again if anybody believes it. The highest
-	// revision known to a neighbour is newer by definition, so it stays.
-	net := settled(t, 8, 2)
+func TestStalePlatformDoesNotLowerRevision(t *testing.T) {
+	// A replica of the platform falls back to revision 4 and answers readers and resuming
+	// processes. If 4 took effect, servers that revision 5 withdrew would get work again.
+	// The higher revision of a neighbour is newer by definition and must stay.
+	net := newSettledFleet(t, 8, 2)
 	net.platform.publish(4, values(4))
 	for _, n := range net.nodes {
 		n.pause()
 	}
 	net.Run(5 * time.Second)
 	for _, n := range net.nodes {
-		n.wake()
+		n.resume()
 	}
 	net.Run(20 * time.Second)
 	net.wantRevision(5)
@@ -75,18 +73,18 @@
 		stale += n.reported(EventStale)
 	}
 	if stale == 0 {
-		t.Error("nobody reported the stale answer")
+		t.Error("no instance reported the stale answer")
 	}
 	net.platform.publish(6, values(6))
 	net.Run(20 * time.Second)
 	net.wantRevision(6)
 }
 
-func TestReplacementOfAllButOneWithThePlatformDown(t *testing.T) {
-	// The platform dies, then every instance but one is replaced. The new ones
-	// have nothing on disk and nobody to read from but that one neighbour: they
-	// must come up with its revision and not wait for the platform.
-	net := settled(t, 8, 2)
+func TestNewInstancesFetchFromLastPeerWhilePlatformDown(t *testing.T) {
+	// The platform fails, then every instance but one is replaced. The new ones have no
+	// stored state and a single source: they must start with that neighbour's revision
+	// instead of waiting for the platform.
+	net := newSettledFleet(t, 8, 2)
 	net.platform.down = true
 	survivor := net.ids[3]
 	for _, id := range net.ids {
@@ -96,11 +94,11 @@
 			net.start(id, old.dc, old.neighbours)
 		}
 	}
-	net.link()
+	net.updateLinks()
 	net.Run(3 * time.Second)
 	net.wantRevision(5)
 	for _, id := range net.ids {
-		if _, age := net.nodes[id].core.Confirmed(net.Now()); age > 2*DefaultAskEvery {
+		if _, age := net.nodes[id].core.Confirmed(net.Now()); age > 2*DefaultQueryInterval {
 			t.Errorf("%s: confirmed %v ago", id, age)
 		}
 	}
@@ -110,42 +108,42 @@
 	net.wantRevision(6)
 }
 
-func TestAWokenProcessIsNotConfirmedByWhatLayInItsBuffers(t *testing.T) {
-	// An instance sleeps for a minute; revision 6 withdraws a server meanwhile.
-	// Its socket buffers hold answers from before the change, which all say that
-	// 5 is the latest. Were they believed, it would send its queue to the
-	// withdrawn server. Only the answer to a question asked after waking counts.
-	net := settled(t, 8, 2)
+func TestBufferedAnswersDoNotConfirmAfterPause(t *testing.T) {
+	// An instance is paused for a minute while revision 6 withdraws a server. Its socket
+	// buffers hold answers from before the change, all with revision 5 as the latest. If
+	// they counted, it would dispatch its queue to the withdrawn server. Only answers to
+	// queries sent after the pause confirm.
+	net := newSettledFleet(t, 8, 2)
 	n := net.nodes[net.ids[2]]
-	for asked := n.core.gossip.question; n.core.gossip.question == asked; {
+	for before := n.core.gossip.lastQuery; n.core.gossip.lastQuery == before; {
 		net.Run(peerDelay / 2)
 	}
 	n.pause()
 	net.Run(time.Minute)
 	if len(n.queue) == 0 {
-		t.Fatal("no answer lay in the buffers")
+		t.Fatal("no answer was buffered")
 	}
 	net.cut = func(a, b string) bool { return a == n.id || b == n.id }
 	net.platform.publish(6, values(6))
 	n.offline = true
 	net.Run(time.Second)
-	n.wake()
+	n.resume()
 	net.Run(time.Second)
 	if revision, age := n.core.Confirmed(net.Now()); revision != 5 || age != NeverConfirmed {
 		t.Errorf("revision %d confirmed %v ago", revision, age)
 	}
 	net.cut = func(a, b string) bool { return false }
-	net.Run(2 * wakeAskEvery)
+	net.Run(2 * resumeQueryInterval)
 	if revision, age := n.core.Confirmed(net.Now()); revision != 6 || age > time.Second {
-		t.Errorf("after the links came back: revision %d confirmed %v ago", revision, age)
+		t.Errorf("after the links recovered: revision %d confirmed %v ago", revision, age)
 	}
 }
 
 func TestAWatchFromBeforeThePauseConfirmsNothing(t *testing.T) {
-	// A machine is suspended, and its clock with it. The answer to a watch from
-	// before lies in the buffer of a reader and looks as young as ever. Were it
-	// believed, the reader would dispatch by a revision that is long out of date.
-	net := settled(t, 4, 1)
+	// A machine is suspended together with its clock. A watch answer from before is in a
+	// reader's buffer and appears recent. If it confirmed the revision, the reader would
+	// dispatch by one that is long out of date.
+	net := newSettledFleet(t, 4, 1)
 	for _, id := range net.ids {
 		n := net.nodes[id]
 		if !n.core.Reader() {
@@ -165,26 +163,26 @@
 	}
 }
 
-func TestAllWakeTogetherWithThePlatformDown(t *testing.T) {
-	// The whole fleet stops at once, as when its machines are suspended, and the
-	// platform is down when it wakes. Nobody stayed awake to confirm anything; if
-	// each waited for one who did, the fleet would refuse work for ever.
-	net := settled(t, 8, 2)
+func TestFleetResumesTogetherWithPlatformDown(t *testing.T) {
+	// The whole fleet is paused at once, for example by suspended machines, and the
+	// platform is down when it resumes. No instance stayed running to confirm anything.
+	// If each waited for one that did, the fleet would refuse work forever.
+	net := newSettledFleet(t, 8, 2)
 	net.platform.down = true
 	for _, n := range net.nodes {
 		n.pause()
 	}
 	net.Run(time.Minute)
 	for _, n := range net.nodes {
-		n.wake()
+		n.resume()
 	}
-	net.Run(wakeAloneAfter / 2)
+	net.Run(resumeTrustDelay / 2)
 	for _, n := range net.nodes {
 		if _, age := n.core.Confirmed(net.Now()); age != NeverConfirmed {
 			t.Errorf("%s: confirmed %v ago, too early", n.id, age)
 		}
 	}
-	net.Run(wakeAloneAfter + time.Second)
+	net.Run(resumeTrustDelay + time.Second)
 	for _, n := range net.nodes {
 		if _, age := n.core.Confirmed(net.Now()); age > 2*time.Second {
 			t.Errorf("%s: confirmed %v ago", n.id, age)
@@ -193,16 +191,16 @@
 }
 
 func TestHealOfAPartitionBringsTheHigherRevision(t *testing.T) {
-	// The network splits and only one part reaches the platform. That part goes
-	// to revision 6 while the other keeps 5. After the heal all are at 6 within
-	// seconds and nobody has gone back.
-	net := settled(t, 12, 2)
+	// The network splits and only one part reaches the platform. That part goes to
+	// revision 6, the other keeps 5. After the partition heals, all must be at 6 within
+	// seconds, and no instance may have gone back.
+	net := newSettledFleet(t, 12, 2)
 	left := func(id string) bool { return id < net.ids[6] }
 	net.cut = func(a, b string) bool { return left(a) != left(b) }
 	for _, n := range net.nodes {
 		n.offline = left(n.id)
 	}
-	net.link()
+	net.updateLinks()
 	net.platform.publish(6, values(6))
 	net.Run(30 * time.Second)
 	for _, n := range net.nodes {
@@ -213,42 +211,43 @@
 		if n.core.Revision() != want {
 			t.Errorf("%s is at %d, want %d", n.id, n.core.Revision(), want)
 		}
-		if _, age := n.core.Confirmed(net.Now()); age > 2*DefaultAskEvery {
+		if _, age := n.core.Confirmed(net.Now()); age > 2*DefaultQueryInterval {
 			t.Errorf("%s: confirmed %v ago inside its part", n.id, age)
 		}
 	}
 	if age := net.nodes[net.ids[0]].core.PlatformAge(net.Now()); age < 20*time.Second {
-		t.Errorf("the platform's last word is %v old without the platform", age)
+		t.Errorf("last platform confirmation is only %v old without the platform", age)
 	}
 	net.cut = func(a, b string) bool { return false }
-	net.link()
+	net.updateLinks()
 	net.Run(3 * time.Second)
 	net.wantRevision(6)
 }
 
-func TestAnIsolatedInstanceGrowsOld(t *testing.T) {
-	// One instance reaches neither a neighbour nor the platform. It keeps its
-	// revision, and its age grows so that the node can stop serving in time.
-	net := settled(t, 4, 1)
+func TestConfirmationAgeGrowsWhileIsolated(t *testing.T) {
+	// One instance reaches neither a neighbour nor the platform. It keeps its revision,
+	// and the age of the confirmation must grow so that the node can stop serving in
+	// time.
+	net := newSettledFleet(t, 4, 1)
 	n := net.nodes[net.ids[1]]
 	n.offline = true
 	net.cut = func(a, b string) bool { return a == n.id || b == n.id }
-	net.link()
+	net.updateLinks()
 	net.Run(5 * time.Minute)
 	if revision, age := n.core.Confirmed(net.Now()); revision != 5 || age < 4*time.Minute {
 		t.Errorf("revision %d confirmed %v ago", revision, age)
 	}
 	if watches := n.core.Stats().Watches; watches > 60 {
-		t.Errorf("%d watches against a platform out of reach", watches)
+		t.Errorf("%d watches at an unreachable platform", watches)
 	}
 }
 
 func TestACorruptedPieceIsFetchedElsewhere(t *testing.T) {
-	// A neighbour with bad memory sends a wrong byte in every piece. The value
-	// fails its hash and comes from somebody else; nothing wrong takes effect.
-	net := settled(t, 12, 1)
+	// A neighbour with faulty memory sends a wrong byte in every piece. The value fails
+	// its hash check and must come from another source; nothing wrong may take effect.
+	net := newSettledFleet(t, 12, 1)
 	bad := ""
-	net.alter = func(from, to string, part *wire.ConfigPart) {
+	net.alterPiece = func(from, to string, part *wire.ConfigPart) {
 		if bad == "" {
 			bad = from
 		}
@@ -264,15 +263,15 @@
 		corrupted += n.core.Stats().Corrupted
 	}
 	if corrupted == 0 {
-		t.Error("no corrupted value was met")
+		t.Error("no corrupted value was reported")
 	}
 }
 
 func TestABadRevisionIsRefusedWholeAndOnce(t *testing.T) {
-	// Operators publish revision 6 with a fault. It takes effect nowhere, each
-	// reader says so once, the last good one stays confirmed, and nobody fetches
-	// it again and again. The mended 7 goes through.
-	net := settled(t, 12, 3)
+	// Revision 6 is published with a fault. It must not take effect anywhere, each reader
+	// reports it once, the previous revision stays confirmed, and 6 is not fetched again.
+	// The corrected revision 7 is installed.
+	net := newSettledFleet(t, 12, 3)
 	for _, n := range net.nodes {
 		n.check = func(revision uint64) error {
 			if revision == 6 {
@@ -314,14 +313,14 @@
 	return sum
 }
 
-func TestAReaderThatDiesInTheMiddleOfAFetch(t *testing.T) {
-	// A neighbour starts to send a large value and its machine dies. What came
-	// so far is kept, and the rest comes from another from that offset on.
-	net := settled(t, 6, 1)
+func TestFetchContinuesAfterSourceDies(t *testing.T) {
+	// A neighbour's machine fails while it sends a large value. The data received so far
+	// is kept, and the rest comes from another source from that offset on.
+	net := newSettledFleet(t, 6, 1)
 	big := values(6)
 	big["customers"] = strings.Repeat("q", 900_000)
 	sender := ""
-	net.alter = func(from, to string, part *wire.ConfigPart) {
+	net.alterPiece = func(from, to string, part *wire.ConfigPart) {
 		if sender == "" && part.Offset > 200_000 {
 			sender = from
 			net.nodes[from].gone = true
@@ -335,14 +334,14 @@
 	net.wantRevision(6)
 }
 
-func TestOneRevisionWithTwoContentsIsAnAlarm(t *testing.T) {
-	// Two sites publish different values under number 6, each to its half of the
-	// fleet. Were either half to follow the other, both might swap for ever. Each
-	// keeps what it has, says so, and 7 ends it.
-	net := settled(t, 8, 2)
+func TestConflictingContentsOfOneRevisionAreReported(t *testing.T) {
+	// Two sites publish different values under number 6, each to its half of the fleet.
+	// If either half adopted the other's, both could swap forever. Each keeps what it has
+	// and reports the conflict; revision 7 ends it.
+	net := newSettledFleet(t, 8, 2)
 	half := func(id string) bool { return id < net.ids[4] }
 	net.cut = func(a, b string) bool { return half(a) != half(b) }
-	net.link()
+	net.updateLinks()
 	for _, n := range net.nodes {
 		n.offline = half(n.id)
 	}
@@ -356,7 +355,7 @@
 	net.platform.publish(6, other)
 	net.Run(20 * time.Second)
 	net.cut = func(a, b string) bool { return false }
-	net.link()
+	net.updateLinks()
 	net.Run(10 * time.Second)
 	net.wantRevision(6)
 	conflicts := uint64(0)
@@ -367,17 +366,17 @@
 		}
 	}
 	if conflicts == 0 {
-		t.Error("nobody noticed the conflict")
+		t.Error("no instance reported the conflict")
 	}
 	net.platform.publish(7, values(7))
 	net.Run(20 * time.Second)
 	net.wantRevision(7)
 }
 
-func TestAMissingValueDelaysTheRevisionAndHammersNobody(t *testing.T) {
-	// The manifest is published before one of its values. Readers cannot
-	// complete it; they back off, and the fleet goes on with what it has.
-	net := settled(t, 6, 1)
+func TestMissingValueIsRetriedWithBackoff(t *testing.T) {
+	// The manifest is published before one of its values. Readers cannot complete the
+	// revision; they must back off, and the fleet keeps the previous one.
+	net := newSettledFleet(t, 6, 1)
 	net.platform.publish(6, values(6))
 	good := net.platform.values["rules"]
 	net.platform.values["rules"] = []byte("not yet")
@@ -392,10 +391,10 @@
 	net.wantRevision(6)
 }
 
-func TestAMendedValueIsReadAtOnce(t *testing.T) {
-	// As above, but the value follows the manifest after a second. The change
-	// must still be in force everywhere within three seconds.
-	net := settled(t, 6, 1)
+func TestCorrectedValueIsReadPromptly(t *testing.T) {
+	// As in TestMissingValueIsRetriedWithBackoff, but the value follows the manifest
+	// after a second. The change must still be in force everywhere within three seconds.
+	net := newSettledFleet(t, 6, 1)
 	net.platform.publish(6, values(6))
 	good := net.platform.values["rules"]
 	net.platform.values["rules"] = []byte("not yet")
@@ -405,11 +404,11 @@
 	net.wantRevision(6)
 }
 
-func TestAnOlderProgramThatRefusesAloneStaysInService(t *testing.T) {
-	// During an upgrade one instance still runs the older program, which does not
-	// know a key of revision 6. It keeps 5, fetches 6 once, and is confirmed by
-	// neighbours that have 6: it knows of nothing newer that it could use.
-	net := settled(t, 8, 2)
+func TestInstanceThatRefusesAloneStaysConfirmed(t *testing.T) {
+	// During an upgrade one instance still runs an older program, which rejects an
+	// unknown key in revision 6. It keeps 5, fetches 6 only once, and is confirmed by
+	// neighbours that have 6, because there is nothing newer that it could use.
+	net := newSettledFleet(t, 8, 2)
 	old := net.nodes[net.ids[4]]
 	if old.core.Reader() {
 		t.Fatal("the instance is a reader")
@@ -422,19 +421,19 @@
 	if again := old.core.Stats().BytesFromPeers - fetched; again != 0 || old.reported(EventRefused) != 1 {
 		t.Errorf("%d bytes fetched again, %d refusals", again, old.reported(EventRefused))
 	}
-	if revision, age := old.core.Confirmed(net.Now()); revision != 5 || age > 2*DefaultAskEvery {
+	if revision, age := old.core.Confirmed(net.Now()); revision != 5 || age > 2*DefaultQueryInterval {
 		t.Errorf("revision %d confirmed %v ago", revision, age)
 	}
 }
 
-func TestANeighbourThatMovedOnIsLeftAtOnce(t *testing.T) {
-	// The neighbour that is asked for a revision has gone on to the next and
-	// says so. Waiting for its pieces until the timeout would cost a second on
-	// each hop; the other neighbour is asked in the same instant.
+func TestDeclinedRequestMovesToAnotherSource(t *testing.T) {
+	// The neighbour that was asked for a revision has moved on to the next one and
+	// answers with that. Waiting for the piece timeout would cost a second per hop; the
+	// other neighbour must be asked immediately.
 	net := newNetwork(t)
 	net.ids = []string{"a"}
 	n := net.start("a", "dc-0", []string{"b", "c"})
-	n.core.Members(net.Now(), []Member{{ID: "a", DataCentre: "dc-0"}}, n.neighbours, n)
+	n.core.SetMembers(net.Now(), []Member{{ID: "a", DataCentre: "dc-0"}}, n.neighbours, n)
 	hash := strings.Repeat("a", 64)
 	for _, from := range n.neighbours {
 		n.core.OnOffer(net.Now(), from, wire.ConfigOffer{Revision: 6, ManifestSHA256: hash, Answers: 99}, n)
@@ -446,10 +445,10 @@
 	}
 }
 
-func TestALearnerWithQuietNeighboursReadsItself(t *testing.T) {
-	// Links look up but nothing comes through them any more. A learner that went
-	// on waiting would miss every change; it asks the platform itself.
-	net := settled(t, 8, 1)
+func TestUnresponsiveNeighboursMakeExtraReader(t *testing.T) {
+	// Links appear up but no messages arrive. A learner that kept waiting would miss
+	// every change; it must read the platform itself.
+	net := newSettledFleet(t, 8, 1)
 	var learner *node
 	for _, id := range net.ids {
 		if n := net.nodes[id]; !n.core.Reader() {
@@ -457,16 +456,16 @@
 		}
 	}
 	net.cut = func(a, b string) bool { return a == learner.id || b == learner.id }
-	net.Run(DefaultQuietAfter + time.Second)
+	net.Run(DefaultPeerTimeout + time.Second)
 	net.platform.publish(6, values(6))
 	net.Run(3 * time.Second)
 	net.wantRevision(6)
 }
 
-func TestAPeerCannotBringWhatItDoesNotHold(t *testing.T) {
-	// A confused neighbour offers revision 900 and never sends it. The fetch
-	// ends, and the true revision 6 still comes through.
-	net := settled(t, 6, 1)
+func TestOfferOfNonexistentRevisionDoesNotBlock(t *testing.T) {
+	// A faulty neighbour offers revision 900 and never sends it. The fetch must end, and
+	// the valid revision 6 must still be installed.
+	net := newSettledFleet(t, 6, 1)
 	n := net.nodes[net.ids[0]]
 	bogus := wire.ConfigOffer{Revision: 900, ManifestSHA256: strings.Repeat("a", 64)}
 	n.core.OnOffer(net.Now(), n.neighbours[0], bogus, n)
--- a/internal/confsync/network_test.go
+++ b/internal/confsync/network_test.go
@@ -24,7 +24,7 @@
 	platformDelay = 3 * time.Millisecond
 )
 
-// network is a small fleet of cores with one platform in virtual time.
+// network is a small fleet of cores and one platform in virtual time.
 type network struct {
 	t testing.TB
 	vtime.Loop
@@ -33,17 +33,17 @@
 	platform fakePlatform
 	// cut reports whether two instances cannot reach each other.
 	cut func(a, b string) bool
-	// alter may change a piece on its way.
-	alter func(from, to string, part *wire.ConfigPart)
+	// alterPiece may modify a piece in transit.
+	alterPiece func(from, to string, part *wire.ConfigPart)
 	// delay is the one-way latency between two instances.
 	delay func(a, b *node) time.Duration
-	// installTime is how long the check of a revision keeps a process busy.
+	// installTime is how long a process is busy with checking a revision.
 	installTime time.Duration
-	// bytes sent between instances, as CBOR.
+	// bytes is the CBOR size of all messages sent between instances.
 	bytes int
 }
 
-// node is one instance; it is the Effects of its core.
+// node is one instance and implements the Effects of its core.
 type node struct {
 	net        *network
 	id         string
@@ -69,8 +69,9 @@
 	return net
 }
 
-// ring joins n instances over dcs data centres, each with its next and its
-// third next, which is a 4-regular graph; degree 6 adds the seventh next.
+// ring connects n instances over dcs data centres, each with those 1 and 3 positions away
+// in both directions, which gives a 4-regular graph. Degree 6 adds those 7 positions
+// away.
 func (net *network) ring(n, dcs, degree int) {
 	for i := range n {
 		net.ids = append(net.ids, fmt.Sprintf("i%03d", i))
@@ -107,8 +108,8 @@
 	}
 }
 
-// link tells every instance who lives and whom it reaches.
-func (net *network) link() {
+// updateLinks passes the live members and open links to every instance.
+func (net *network) updateLinks() {
 	var live []Member
 	for _, id := range net.ids {
 		if n := net.nodes[id]; !n.gone {
@@ -124,11 +125,11 @@
 			}
 		}
 		visible := slices.DeleteFunc(slices.Clone(live), func(m Member) bool { return net.cut(id, m.ID) })
-		n.deliver(func() { n.core.Members(net.Now(), visible, up, n) })
+		n.deliver(func() { n.core.SetMembers(net.Now(), visible, up, n) })
 	}
 }
 
-// deliver runs an event, or keeps it in the buffer of a paused process.
+// deliver runs an event, or buffers it while the process is paused.
 func (n *node) deliver(run func()) {
 	switch {
 	case n.gone:
@@ -141,9 +142,8 @@
 
 func (n *node) pause() { n.paused = true }
 
-// wake lets the process run again: its timer fires first, then it reads what
-// lay in its buffers.
-func (n *node) wake() {
+// resume ends the pause: the timer fires first, then the buffered events are processed.
+func (n *node) resume() {
 	n.paused = false
 	queue := n.queue
 	n.queue = nil
@@ -183,28 +183,28 @@
 	case envelope.ConfigWant != nil:
 		n.core.OnWant(now, from, *envelope.ConfigWant, n)
 	case envelope.ConfigPart != nil:
-		if n.net.alter != nil {
-			n.net.alter(from, n.id, envelope.ConfigPart)
+		if n.net.alterPiece != nil {
+			n.net.alterPiece(from, n.id, envelope.ConfigPart)
 		}
 		n.core.OnPart(now, from, *envelope.ConfigPart, n)
 	}
 }
 
-func (n *node) Watch(number Call, revision uint64, instances int, wait time.Duration) {
+func (n *node) Watch(number CallID, revision uint64, instances int, wait time.Duration) {
 	n.net.platform.watch(n, revision, wait, func(answer *platformapi.WatchAnswer, err error) {
 		n.core.OnWatch(n.net.Now(), number, answer, err, n)
 	})
 }
 
-func (n *node) FetchManifest(number Call) {
+func (n *node) FetchManifest(number CallID) {
 	n.net.platform.read(n, "manifest", func(data []byte, err error) { n.core.OnManifest(n.net.Now(), number, data, err, n) })
 }
 
-func (n *node) FetchChunk(number Call, key string) {
+func (n *node) FetchChunk(number CallID, key string) {
 	n.net.platform.read(n, key, func(data []byte, err error) { n.core.OnChunk(n.net.Now(), number, data, err, n) })
 }
 
-func (n *node) FetchInstances(Call) {}
+func (n *node) FetchInstances(CallID) {}
 
 func (n *node) Install(revision uint64, files []inventory.File) error {
 	if err := n.check(revision); err != nil {
@@ -237,7 +237,7 @@
 	revision int
 	values   map[string][]byte
 	down     bool
-	// stale, when set, is the revision it answers with whatever it holds.
+	// stale, if set, is the revision in watch answers regardless of the stored one.
 	stale   int
 	waiting []func()
 	calls   int
@@ -245,7 +245,7 @@
 
 var errDown = errors.New("platform is down")
 
-// publish puts values under their keys and a manifest of them all in place.
+// publish stores values under their keys together with their manifest.
 func (p *fakePlatform) publish(revision int, values map[string]string) {
 	manifest := platformapi.Manifest{Revision: revision}
 	for _, key := range slices.Sorted(maps.Keys(values)) {
@@ -266,7 +266,7 @@
 	}
 }
 
-func (p *fakePlatform) told() int {
+func (p *fakePlatform) answeredRevision() int {
 	if p.stale != 0 {
 		return p.stale
 	}
@@ -282,15 +282,15 @@
 			p.net.After(platformDelay, func() { n.deliver(func() { done(answer, err) }) })
 		}
 	}
-	news := func() {
+	replyIfNewer := func() {
 		if p.down || n.offline {
 			reply(nil, errDown)
-		} else if uint64(p.told()) > revision {
-			reply(&platformapi.WatchAnswer{Revision: p.told()}, nil)
+		} else if uint64(p.answeredRevision()) > revision {
+			reply(&platformapi.WatchAnswer{Revision: p.answeredRevision()}, nil)
 		}
 	}
-	p.net.After(platformDelay, news)
-	p.waiting = append(p.waiting, news)
+	p.net.After(platformDelay, replyIfNewer)
+	p.waiting = append(p.waiting, replyIfNewer)
 	p.net.After(platformDelay+wait, func() { reply(nil, nil) })
 }
 
@@ -306,7 +306,7 @@
 	})
 }
 
-// wantRevision fails for every live instance that is not at the revision.
+// wantRevision reports an error for each running instance at a different revision.
 func (net *network) wantRevision(revision uint64) {
 	net.t.Helper()
 	for _, id := range net.ids {
--- a/internal/confsync/parts.go
+++ b/internal/confsync/parts.go
@@ -5,8 +5,9 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// OnWant serves a manifest or a value of the revision in force. What is not
-// held is answered with the revision in force, so that the asker looks on.
+// OnWant sends pieces of the manifest or of a value of the revision in force. If the data
+// is not available, it answers with the revision in force, so that the peer turns to
+// another source.
 func (c *Core) OnWant(now monotime.Instant, from string, want wire.ConfigWant, eff Effects) {
 	data, ok := c.lookup(want)
 	if !ok {
@@ -17,7 +18,7 @@
 		return
 	}
 	offset := want.Offset
-	for range piecesPerWant {
+	for range piecesPerRequest {
 		end := min(offset+PieceBytes, len(data))
 		c.stats.PartsSent++
 		c.stats.BytesToPeers += uint64(end - offset)
@@ -46,24 +47,24 @@
 	return data, ok
 }
 
-// OnPart takes a piece that was asked for.
+// OnPart handles a requested piece.
 func (c *Core) OnPart(now monotime.Instant, from string, part wire.ConfigPart, eff Effects) {
-	it := c.awaited(from, part)
+	it := c.findActiveItem(from, part)
 	if it == nil || !it.accept(part) {
 		return
 	}
-	it.sentAt = now
+	it.progressAt = now
 	c.stats.BytesFromPeers += uint64(len(part.Data))
 	switch {
 	case len(it.data) == it.size:
-		c.finish(it, eff)
-	case len(it.data) >= it.asked:
-		c.want(it, eff)
+		c.finishItem(it, eff)
+	case len(it.data) >= it.requestedTo:
+		c.requestPieces(it, eff)
 	}
 	c.advance(now, eff)
 }
 
-func (c *Core) awaited(from string, part wire.ConfigPart) *item {
+func (c *Core) findActiveItem(from string, part wire.ConfigPart) *item {
 	f := c.fetch
 	if f == nil || from == platformSource || uint64(part.Revision) != f.candidate.id.number {
 		return nil
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// accept appends a piece that continues the item; anything else is dropped, as
-// a piece asked for before a timeout may come twice.
+// accept appends a piece that continues the item. Any other piece is dropped: one
+// requested before a timeout may arrive twice.
 func (it *item) accept(part wire.ConfigPart) bool {
 	if it.size == unknownSize && part.Total >= 0 && part.Total <= MaxValueBytes {
 		it.size = part.Total
--- a/internal/confsync/publish_test.go
+++ b/internal/confsync/publish_test.go
@@ -12,7 +12,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// files are 40 values of 4 KB, of which one changes with the revision.
+// files returns 40 values of about 4 KB, one of which changes with the revision.
 func files(revision uint64) []inventory.File {
 	var out []inventory.File
 	for n := range uint64(40) {
@@ -25,14 +25,15 @@
 	return out
 }
 
-// published is a fleet of cores whose owners read the platform; some read it here.
-func published(t *testing.T, n int) *network {
+// newPublishers returns a fleet of cores whose owners read the platform. Tests choose the
+// ones that do.
+func newPublishers(t *testing.T, n int) *network {
 	net := newNetwork(t)
 	net.ring(n, 3, 4)
 	for _, node := range net.nodes {
 		node.core = New(net.Now(), Config{Self: node.id, DataCentre: node.dc, Seed: 7, PeersOnly: true})
 	}
-	net.link()
+	net.updateLinks()
 	return net
 }
 
@@ -42,9 +43,10 @@
 	}
 }
 
-// Guards against readers of one revision that count as a conflict, and against whole revisions fetched for one value.
-func TestWhatReadersPublishReachesAll(t *testing.T) {
-	net := published(t, 24)
+// Guards against conflicts between readers of the same revision, and against fetching a
+// whole revision when one value changed.
+func TestPublishedRevisionReachesAll(t *testing.T) {
+	net := newPublishers(t, 24)
 	readers := []*node{net.nodes[net.ids[0]], net.nodes[net.ids[9]]}
 	for revision := uint64(1); revision <= 5; revision++ {
 		bytes := net.bytes
@@ -64,13 +66,14 @@
 	}
 }
 
-// Guards against a revision that goes back, or is never reached, while others overtake it and messages are lost.
-func TestPublishedRevisionsOvertakeEachOther(t *testing.T) {
+// Guards against a revision that goes back or is never reached when revisions are
+// published out of order and messages are lost.
+func TestRevisionsPublishedOutOfOrderConverge(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		net := published(t, 16)
-		troubled := true
-		net.cut = func(a, b string) bool { return troubled && rng.IntN(10) == 0 }
+		net := newPublishers(t, 16)
+		lossy := true
+		net.cut = func(a, b string) bool { return lossy && rng.IntN(10) == 0 }
 		const last = 12
 		for revision := uint64(1); revision <= last; revision++ {
 			for _, i := range rng.Perm(16)[:3] {
@@ -80,7 +83,7 @@
 			}
 			net.Run(time.Duration(rng.IntN(200)) * time.Millisecond)
 		}
-		troubled = false
+		lossy = false
 		net.Run(10 * time.Second)
 		net.wantRevision(last)
 		if t.Failed() {
@@ -89,29 +92,29 @@
 	}
 }
 
-// Guards against an instance that stays behind because the offer was lost with a link.
-func TestAskingANeighbourMakesUpForALostOffer(t *testing.T) {
-	net := published(t, 4)
+// Guards against an instance that stays behind because an offer was lost with its link.
+func TestQueryRecoversFromLostOffer(t *testing.T) {
+	net := newPublishers(t, 4)
 	lost := true
 	net.cut = func(a, b string) bool { return lost && slices.Contains([]string{a, b}, net.ids[2]) }
 	net.nodes[net.ids[0]].publish(1)
 	net.Run(100 * time.Millisecond)
 	lost = false
 	behind := net.nodes[net.ids[2]]
-	if behind.core.Knows(1) {
-		t.Error("knows of a revision that nobody told")
+	if behind.core.Tracks(1) {
+		t.Error("tracks a revision that was never announced")
 	}
-	behind.core.Ask(net.Now(), net.ids[1], behind)
+	behind.core.QueryPeer(net.Now(), net.ids[1], behind)
 	net.Run(100 * time.Millisecond)
 	net.wantRevision(1)
 	if at := behind.core.PublishedAt(); net.Now().Sub(at) < 190*time.Millisecond {
-		t.Errorf("published %v ago, as is told", net.Now().Sub(at))
+		t.Errorf("published %v ago, want at least 190ms", net.Now().Sub(at))
 	}
 }
 
-// Guards against an age that a damaged offer claims.
+// Guards against accepting the age in a damaged offer.
 func TestAbsurdAgesOfARevisionAreIgnored(t *testing.T) {
-	net := published(t, 4)
+	net := newPublishers(t, 4)
 	reader, other := net.nodes[net.ids[0]], net.nodes[net.ids[1]]
 	reader.publish(1)
 	offer := *reader.core.offer(net.Now())
@@ -119,7 +122,7 @@
 		offer.PublishedMS = age
 		other.core.OnOffer(net.Now(), reader.id, wire.ConfigOffer(offer), other)
 		if cand := other.core.candidates[reader.core.current.id]; cand.publishedAt != 0 {
-			t.Errorf("age %d was believed", age)
+			t.Errorf("age %d was accepted", age)
 		}
 	}
 }
--- a/internal/gateway/configs.go
+++ b/internal/gateway/configs.go
@@ -90,7 +90,7 @@
 		return
 	}
 	c.linked = peers
-	c.core.Members(monotime.Now(), nil, peers, c)
+	c.core.SetMembers(monotime.Now(), nil, peers, c)
 }
 
 // tick runs the tasks that depend on time alone.
@@ -128,11 +128,11 @@
 	now := monotime.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version <= 0 || c.core.Knows(uint64(version)) || c.requestedAt != 0 && now.Sub(c.requestedAt) < configRequestInterval {
+	if version <= 0 || c.core.Tracks(uint64(version)) || c.requestedAt != 0 && now.Sub(c.requestedAt) < configRequestInterval {
 		return
 	}
 	c.requestedAt = now
-	c.core.Ask(now, from, c)
+	c.core.QueryPeer(now, from, c)
 }
 
 func (c *configSync) recordOffer(offer *wire.ConfigOffer, now monotime.Instant) {
--- a/internal/instance/fleet_test.go
+++ b/internal/instance/fleet_test.go
@@ -354,7 +354,7 @@
 	})
 }
 
-func (e *fleetEffects) Watch(call confsync.Call, revision uint64, instances int, wait time.Duration) {
+func (e *fleetEffects) Watch(call confsync.CallID, revision uint64, instances int, wait time.Duration) {
 	f := e.p.f
 	changed := f.servedRevision > revision || f.starts > instances
 	deadline := f.Now().Add(wait)
@@ -380,16 +380,16 @@
 	poll()
 }
 
-func (e *fleetEffects) FetchManifest(call confsync.Call) {
+func (e *fleetEffects) FetchManifest(call confsync.CallID) {
 	data := e.p.f.manifests[e.p.f.servedRevision]
 	e.callPlatform(0, func(now monotime.Instant, err error) { e.p.inst.OnManifest(now, call, data, err) })
 }
 
-func (e *fleetEffects) FetchChunk(call confsync.Call, key string) {
+func (e *fleetEffects) FetchChunk(call confsync.CallID, key string) {
 	e.callPlatform(0, func(now monotime.Instant, err error) { e.p.inst.OnChunk(now, call, e.p.f.chunks[key], err) })
 }
 
-func (e *fleetEffects) FetchInstances(call confsync.Call) {
+func (e *fleetEffects) FetchInstances(call confsync.CallID) {
 	list := e.p.f.list()
 	e.callPlatform(0, func(now monotime.Instant, err error) { e.p.inst.OnInstances(now, call, list, err) })
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -32,13 +32,13 @@
 	node.Effects
 	// Watch waits up to wait for a change at the platform. The result is passed to
 	// OnWatch.
-	Watch(call confsync.Call, revision uint64, instances int, wait time.Duration)
+	Watch(call confsync.CallID, revision uint64, instances int, wait time.Duration)
 	// FetchManifest reads the manifest. The result is passed to OnManifest.
-	FetchManifest(call confsync.Call)
+	FetchManifest(call confsync.CallID)
 	// FetchChunk reads one value. The result is passed to OnChunk.
-	FetchChunk(call confsync.Call, key string)
+	FetchChunk(call confsync.CallID, key string)
 	// FetchInstances reads the instance list. The result is passed to OnInstances.
-	FetchInstances(call confsync.Call)
+	FetchInstances(call confsync.CallID)
 	// Report reports an event of the configuration to operators.
 	Report(event confsync.Event)
 	// Installed is called when a configuration has come into force.
@@ -80,10 +80,10 @@
 		node:    node.New(cfg.Node, eff),
 		members: membership.New(cfg.Self, cfg.Seeds, cfg.Node.Seed),
 		conf: confsync.New(now, confsync.Config{
-			Self:       cfg.Self.ID,
-			DataCentre: cfg.Self.DataCentre,
-			Seed:       cfg.Node.Seed,
-			PauseAfter: pauseAfter,
+			Self:           cfg.Self.ID,
+			DataCentre:     cfg.Self.DataCentre,
+			Seed:           cfg.Node.Seed,
+			PauseThreshold: pauseAfter,
 		}),
 	}
 }
@@ -155,7 +155,7 @@
 	for _, m := range view.Live {
 		live = append(live, confsync.Member{ID: m.ID, DataCentre: m.DataCentre})
 	}
-	i.conf.Members(now, live, i.members.Neighbours(), i.confEffects(now))
+	i.conf.SetMembers(now, live, i.members.Neighbours(), i.confEffects(now))
 }
 
 // OnLinkUp handles a link to a peer that has opened.
@@ -210,22 +210,22 @@
 }
 
 // OnWatch handles the result of Effects.Watch.
-func (i *Instance) OnWatch(now monotime.Instant, call confsync.Call, answer *platformapi.WatchAnswer, err error) {
+func (i *Instance) OnWatch(now monotime.Instant, call confsync.CallID, answer *platformapi.WatchAnswer, err error) {
 	i.apply(now, func() { i.conf.OnWatch(now, call, answer, err, i.confEffects(now)) })
 }
 
 // OnManifest handles the result of Effects.FetchManifest.
-func (i *Instance) OnManifest(now monotime.Instant, call confsync.Call, data []byte, err error) {
+func (i *Instance) OnManifest(now monotime.Instant, call confsync.CallID, data []byte, err error) {
 	i.apply(now, func() { i.conf.OnManifest(now, call, data, err, i.confEffects(now)) })
 }
 
 // OnChunk handles the result of Effects.FetchChunk.
-func (i *Instance) OnChunk(now monotime.Instant, call confsync.Call, data []byte, err error) {
+func (i *Instance) OnChunk(now monotime.Instant, call confsync.CallID, data []byte, err error) {
 	i.apply(now, func() { i.conf.OnChunk(now, call, data, err, i.confEffects(now)) })
 }
 
 // OnInstances handles the result of Effects.FetchInstances.
-func (i *Instance) OnInstances(now monotime.Instant, call confsync.Call, list *platformapi.InstanceList, err error) {
+func (i *Instance) OnInstances(now monotime.Instant, call confsync.CallID, list *platformapi.InstanceList, err error) {
 	i.apply(now, func() {
 		version := 0
 		if err == nil {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestDownAndOversized(t *testing.T) {
+func TestUnavailableAndOversizedAnswers(t *testing.T) {
 	client := serve(t, func(ctx *fasthttp.RequestCtx) {
 		if string(ctx.Path()) == "/v1/values/big" {
 			ctx.SetBodyString(strings.Repeat("x", MaxValueBytes+1))
@@ -97,10 +97,10 @@
 	}
 }
 
-func TestASilentConnectionIsGivenUpAndANewOneOpened(t *testing.T) {
-	// Something between the two ends loses track of the connection: the request
-	// goes out, no answer and no reset ever comes. The read ends by its timeout,
-	// and the next one must not wait on the same connection.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
+	// A connection loses its state between the two ends: the request is sent, but neither
+	// an answer nor a reset arrives. The read must end by its timeout, and the next one
+	// must use a new connection.
 	listener := fasthttputil.NewInmemoryListener()
 	served := make(chan error, 1)
 	go func() {
@@ -123,7 +123,7 @@
 		},
 	})
 	if _, err := client.Value(t.Context(), "a"); !errors.Is(err, ErrUnavailable) {
-		t.Fatalf("silent connection: %v", err)
+		t.Fatalf("unresponsive connection: %v", err)
 	}
 	client.timeout = testTimeout
 	if got, err := client.Value(t.Context(), "a"); err != nil || string(got) != "value" {
