--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -21,31 +21,31 @@
 	tiers       map[int]bool
 }
 
-// site is where an item stands.
-type site struct {
+// location is where an item stands.
+type location struct {
 	file string
 	key  string
 }
 
-func (s site) sub(key string) site {
-	return site{file: s.file, key: s.key + "." + key}
+func (s location) child(key string) location {
+	return location{file: s.file, key: s.key + "." + key}
 }
 
-func (s site) item(list string, index int, name string) site {
-	return site{file: s.file, key: fmt.Sprintf("%s.%s[%d:%s]", s.key, list, index, name)}
+func (s location) item(list string, index int, name string) location {
+	return location{file: s.file, key: fmt.Sprintf("%s.%s[%d:%s]", s.key, list, index, name)}
 }
 
-func (s site) at(list string, index int) site {
-	return site{file: s.file, key: fmt.Sprintf("%s.%s[%d]", s.key, list, index)}
+func (s location) element(list string, index int) location {
+	return location{file: s.file, key: fmt.Sprintf("%s.%s[%d]", s.key, list, index)}
 }
 
-func top(file, list string, index int, name string) site {
-	return site{file: file, key: fmt.Sprintf("%s[%d:%s]", list, index, name)}
+func topLevelItem(file, list string, index int, name string) location {
+	return location{file: file, key: fmt.Sprintf("%s[%d:%s]", list, index, name)}
 }
 
 // check runs every check over the merged inventory; parts tell where each item
 // stands.
-func check(parts []*decoded, merged *inventory.Inventory) Problems {
+func check(parts []*decodedFile, merged *inventory.Inventory) Problems {
 	c := &checker{
 		merged:      merged,
 		dataCentres: make(map[string]bool, len(merged.DataCentres)),
@@ -55,7 +55,7 @@
 		tiers:       make(map[int]bool, len(merged.Tiers)),
 	}
 	c.collectNames()
-	c.checkPresent()
+	c.checkRequiredLists()
 	c.checkUnique(parts)
 	c.checkFloors()
 	for _, part := range parts {
@@ -66,7 +66,7 @@
 	return c.problems
 }
 
-func (c *checker) add(at site, value, expected string) {
+func (c *checker) report(at location, value, expected string) {
 	c.problems = append(c.problems, Problem{File: at.file, Key: at.key, Value: value, Expected: expected})
 }
 
@@ -92,9 +92,9 @@
 	}
 }
 
-// checkPresent refuses an inventory without one of the lists: a manifest that
+// checkRequiredLists refuses an inventory without one of the lists: a manifest that
 // forgot a file would otherwise turn every customer or server away at once.
-func (c *checker) checkPresent() {
+func (c *checker) checkRequiredLists() {
 	lists := []struct {
 		key   string
 		count int
@@ -107,7 +107,7 @@
 	}
 	for _, list := range lists {
 		if list.count == 0 {
-			c.add(site{file: wholeInventory, key: list.key}, schema.MissingValue, "at least one entry in some file")
+			c.report(location{file: wholeInventory, key: list.key}, schema.MissingValue, "at least one entry in some file")
 		}
 	}
 }
@@ -119,16 +119,16 @@
 		sum += tier.FloorShare
 	}
 	if sum > 1 {
-		at := site{file: wholeInventory, key: "tiers[].floor_share"}
-		c.add(at, strconv.FormatFloat(sum, 'g', 6, 64), "shares that add up to at most 1")
+		at := location{file: wholeInventory, key: "tiers[].floor_share"}
+		c.report(at, strconv.FormatFloat(sum, 'g', 6, 64), "shares that add up to at most 1")
 	}
 }
 
-func (c *checker) checkServers(part *decoded) {
+func (c *checker) checkServers(part *decodedFile) {
 	for i, server := range part.content.Servers {
-		at := top(part.file, "servers", i, server.Name)
+		at := topLevelItem(part.file, "servers", i, server.Name)
 		if !c.dataCentres[server.DataCentre] {
-			c.add(at.sub("data_centre"), quote(server.DataCentre), "one of the data centres "+list(c.dataCentres))
+			c.report(at.child("data_centre"), quote(server.DataCentre), "one of the data centres "+formatNames(c.dataCentres))
 		}
 		for j, engine := range server.Engines {
 			c.checkEngine(at.item("engines", j, engine.Name), server.Kind, engine)
@@ -136,74 +136,74 @@
 	}
 }
 
-func (c *checker) checkEngine(at site, kind inventory.ServerKind, engine inventory.Engine) {
+func (c *checker) checkEngine(at location, kind inventory.ServerKind, engine inventory.Engine) {
 	if kind == inventory.ServerKindApplication {
-		c.checkLists(at, "application", "services", engine.Services, "models", engine.Models)
+		c.checkEngineLists(at, "application", "services", engine.Services, "models", engine.Models)
 		return
 	}
-	c.checkLists(at, "model", "models", engine.Models, "services", engine.Services)
+	c.checkEngineLists(at, "model", "models", engine.Models, "services", engine.Services)
 	for i, model := range engine.Models {
 		if !c.models[model] {
-			c.add(at.at("models", i), quote(model), "one of the models "+list(c.models))
+			c.report(at.element("models", i), quote(model), "one of the models "+formatNames(c.models))
 		}
 	}
 }
 
-func (c *checker) checkLists(at site, kind, wantKey string, want []string, otherKey string, other []string) {
-	if len(want) == 0 {
-		c.add(at.sub(wantKey), schema.MissingValue, "at least one entry, because the server's kind is "+kind)
+func (c *checker) checkEngineLists(at location, kind, requiredKey string, required []string, otherKey string, other []string) {
+	if len(required) == 0 {
+		c.report(at.child(requiredKey), schema.MissingValue, "at least one entry, because the server's kind is "+kind)
 	}
 	if len(other) > 0 {
-		c.add(at.sub(otherKey), quote(other[0]), "no entry, because the server's kind is "+kind)
+		c.report(at.child(otherKey), quote(other[0]), "no entry, because the server's kind is "+kind)
 	}
-	seen := make(map[string]bool, len(want))
-	for i, name := range want {
+	seen := make(map[string]bool, len(required))
+	for i, name := range required {
 		if seen[name] {
-			c.add(at.at(wantKey, i), quote(name), "each name once")
+			c.report(at.element(requiredKey, i), quote(name), "each name once")
 		}
 		seen[name] = true
 	}
 }
 
-func (c *checker) checkClasses(part *decoded) {
+func (c *checker) checkClasses(part *decodedFile) {
 	for i, class := range part.content.Classes {
-		at := top(part.file, "classes", i, class.Name)
+		at := topLevelItem(part.file, "classes", i, class.Name)
 		c.checkTarget(at, class)
-		c.checkTier(at.sub("tier"), class.Tier)
+		c.checkTier(at.child("tier"), class.Tier)
 		seen := make(map[string]bool, len(class.SubscriptionTiers))
 		for j, override := range class.SubscriptionTiers {
-			c.checkTier(at.at("subscription_tiers", j).sub("tier"), override.Tier)
+			c.checkTier(at.element("subscription_tiers", j).child("tier"), override.Tier)
 			if seen[override.Subscription] {
-				c.add(at.at("subscription_tiers", j).sub("subscription"), quote(override.Subscription), "each subscription once")
+				c.report(at.element("subscription_tiers", j).child("subscription"), quote(override.Subscription), "each subscription once")
 			}
 			seen[override.Subscription] = true
 		}
 		if class.DeadlineMS > 0 && class.FirstTokenMS > class.DeadlineMS {
-			c.add(at.sub("first_token_ms"), strconv.Itoa(class.FirstTokenMS), "at most deadline_ms, "+strconv.Itoa(class.DeadlineMS))
+			c.report(at.child("first_token_ms"), strconv.Itoa(class.FirstTokenMS), "at most deadline_ms, "+strconv.Itoa(class.DeadlineMS))
 		}
 	}
 }
 
 // checkTarget accepts a class without a target: its callers name the model.
-func (c *checker) checkTarget(at site, class inventory.Class) {
+func (c *checker) checkTarget(at location, class inventory.Class) {
 	if class.Kind == inventory.ClassKindService {
 		if class.Service != "" && !c.services[class.Service] {
-			c.add(at.sub("service"), quote(class.Service), "one of the services that servers offer: "+list(c.services))
+			c.report(at.child("service"), quote(class.Service), "one of the services that servers offer: "+formatNames(c.services))
 		}
 		if class.Model != "" {
-			c.add(at.sub("model"), quote(class.Model), `no model, because the class's kind is service`)
+			c.report(at.child("model"), quote(class.Model), `no model, because the class's kind is service`)
 		}
 		return
 	}
 	if class.Model != "" && !c.models[class.Model] {
-		c.add(at.sub("model"), quote(class.Model), "one of the models "+list(c.models))
+		c.report(at.child("model"), quote(class.Model), "one of the models "+formatNames(c.models))
 	}
 	if class.Service != "" {
-		c.add(at.sub("service"), quote(class.Service), `no service, because the class's kind is model`)
+		c.report(at.child("service"), quote(class.Service), `no service, because the class's kind is model`)
 	}
 }
 
-func (c *checker) checkTier(at site, tier int) {
+func (c *checker) checkTier(at location, tier int) {
 	if c.tiers[tier] {
 		return
 	}
@@ -212,15 +212,15 @@
 		known = append(known, number)
 	}
 	sort.Ints(known)
-	c.add(at, strconv.Itoa(tier), fmt.Sprintf("one of the tiers %v", known))
+	c.report(at, strconv.Itoa(tier), fmt.Sprintf("one of the tiers %v", known))
 }
 
-func (c *checker) checkCustomers(part *decoded) {
+func (c *checker) checkCustomers(part *decodedFile) {
 	for i, customer := range part.content.Customers {
 		for j, class := range customer.Classes {
 			if !c.classes[class] {
-				at := top(part.file, "customers", i, customer.Name).at("classes", j)
-				c.add(at, quote(class), "one of the classes "+list(c.classes))
+				at := topLevelItem(part.file, "customers", i, customer.Name).element("classes", j)
+				c.report(at, quote(class), "one of the classes "+formatNames(c.classes))
 			}
 		}
 	}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -73,7 +73,7 @@
 // decoded form: a change of one value among many costs the reading of that one.
 // It is not safe for concurrent use.
 type Parser struct {
-	cache map[cacheKey]*decoded
+	cache map[cacheKey]*decodedFile
 }
 
 type cacheKey struct {
@@ -81,8 +81,8 @@
 	digest [sha256.Size]byte
 }
 
-// decoded is one file after the check against the schema; never changed later.
-type decoded struct {
+// decodedFile is one file after the check against the schema; never changed later.
+type decodedFile struct {
 	file     string
 	content  *inventory.Inventory
 	problems Problems
@@ -109,30 +109,30 @@
 	return merged, nil
 }
 
-func (p *Parser) decodeAll(files []File) []*decoded {
-	kept := make(map[cacheKey]*decoded, len(files))
-	parts := make([]*decoded, 0, len(files))
+func (p *Parser) decodeAll(files []File) []*decodedFile {
+	newCache := make(map[cacheKey]*decodedFile, len(files))
+	parts := make([]*decodedFile, 0, len(files))
 	for _, file := range files {
 		key := cacheKey{name: file.Name, digest: sha256.Sum256(file.Data)}
 		part := p.cache[key]
 		if part == nil {
 			part = decode(file)
 		}
-		kept[key] = part
+		newCache[key] = part
 		parts = append(parts, part)
 	}
-	p.cache = kept
+	p.cache = newCache
 	return parts
 }
 
-func decode(file File) *decoded {
-	part := &decoded{file: file.Name, content: &inventory.Inventory{}}
+func decode(file File) *decodedFile {
+	part := &decodedFile{file: file.Name, content: &inventory.Inventory{}}
 	part.problems = schema.Decode(schemaRef, file.Name, file.Data, part.content)
 	return part
 }
 
 // merge joins files in their order; rules may stand in one of them only.
-func merge(parts []*decoded) (*inventory.Inventory, Problems) {
+func merge(parts []*decodedFile) (*inventory.Inventory, Problems) {
 	out := &inventory.Inventory{}
 	var problems Problems
 	for _, part := range parts {
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -25,7 +25,7 @@
 	return inv
 }
 
-func TestExamplesHaveTheSizesOfToday(t *testing.T) {
+func TestExampleInventorySizes(t *testing.T) {
 	type size struct {
 		Region                                                   string
 		DataCentres, Model, Application, Customers, Tiers, Large int
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestExampleCredentialsAreThoseOfTheReadme(t *testing.T) {
+func TestExampleCredentialsMatchTheReadme(t *testing.T) {
 	row := regexp.MustCompile("(?m)^\\| `([^`]+)` \\| `([^`]+)` \\|$")
 	for _, name := range []string{"chikushi", "kivu"} {
 		cat := catalog.Compile(1, loadExample(t, name))
@@ -83,8 +83,8 @@
 	}
 }
 
-// sound is an inventory without a fault in two files.
-var sound = []File{
+// validFiles is an inventory without a fault in two files.
+var validFiles = []File{
 	{Name: "a.toml", Data: []byte(`
 [[data_centres]]
 name = "dc-1"
@@ -125,8 +125,8 @@
 	digestB = "bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
 )
 
-func TestBrokenInventories(t *testing.T) {
-	if _, problems := Parse(sound); len(problems) > 0 {
+func TestInvalidInventoriesAreRejected(t *testing.T) {
+	if _, problems := Parse(validFiles); len(problems) > 0 {
 		t.Fatal(problems)
 	}
 	server := func(fields string) string { return "[[servers]]\nname = \"s3\"\naddress = \"10.0.0.3:80\"\n" + fields }
@@ -182,7 +182,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			inv, problems := Parse(append(sound[:2:2], File{Name: "c.toml", Data: []byte(c.add)}))
+			inv, problems := Parse(append(validFiles[:2:2], File{Name: "c.toml", Data: []byte(c.add)}))
 			if inv != nil {
 				t.Error("a broken inventory was returned")
 			}
@@ -197,12 +197,12 @@
 	}
 }
 
-func TestNamesWithOneHashAreRefused(t *testing.T) {
+func TestNamesWithCollidingHashesAreRejected(t *testing.T) {
 	// Messages between instances name a class by 32 bits of hash. With two classes
 	// of one hash the requests of one would be queued by the other's targets,
 	// which no later check could tell.
 	first, second := collidingNames(t)
-	_, problems := Parse(append(sound[:2:2], File{Name: "c.toml", Data: []byte(
+	_, problems := Parse(append(validFiles[:2:2], File{Name: "c.toml", Data: []byte(
 		classText(first) + classText(second))}))
 	want := Problems{{
 		File: "c.toml", Key: "classes[1:" + second + "].name", Value: `"` + second + `"`,
@@ -232,9 +232,9 @@
 	return "", ""
 }
 
-func TestRulesMayStandInOneFileOnly(t *testing.T) {
+func TestRulesAreAllowedInOneFileOnly(t *testing.T) {
 	rules := File{Name: "c.toml", Data: []byte("[rules]\nanswer_keep_s = 5")}
-	inv, problems := Parse(append(sound[:2:2], rules))
+	inv, problems := Parse(append(validFiles[:2:2], rules))
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -242,15 +242,15 @@
 		t.Errorf("rules %+v", *inv.Rules)
 	}
 	second := File{Name: "d.toml", Data: rules.Data}
-	_, problems = Parse(append(sound[:2:2], rules, second))
+	_, problems = Parse(append(validFiles[:2:2], rules, second))
 	want := Problems{{File: "d.toml", Key: "rules", Expected: "rules in one file only"}}
 	if diff := cmp.Diff(want, problems); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestAbsentRulesHaveTheirDefaults(t *testing.T) {
-	inv, problems := Parse(sound)
+func TestMissingRulesUseDefaults(t *testing.T) {
+	inv, problems := Parse(validFiles)
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -259,20 +259,20 @@
 	}
 }
 
-func TestAnEmptyInventoryIsRefused(t *testing.T) {
+func TestEmptyInventoryIsRejected(t *testing.T) {
 	_, problems := Parse([]File{{Name: "a.toml", Data: []byte("[rules]")}})
 	if len(problems) != 5 {
 		t.Errorf("problems %v", problems)
 	}
 }
 
-func TestParserReadsAChangedFileAgain(t *testing.T) {
+func TestParserDecodesChangedFilesAgain(t *testing.T) {
 	parser := new(Parser)
-	if _, problems := parser.Parse(sound); len(problems) > 0 {
+	if _, problems := parser.Parse(validFiles); len(problems) > 0 {
 		t.Fatal(problems)
 	}
-	changed := File{Name: "b.toml", Data: []byte(strings.Replace(string(sound[1].Data), `name = "u1"`, `name = "u9"`, 1))}
-	inv, problems := parser.Parse([]File{sound[0], changed})
+	changed := File{Name: "b.toml", Data: []byte(strings.Replace(string(validFiles[1].Data), `name = "u1"`, `name = "u9"`, 1))}
+	inv, problems := parser.Parse([]File{validFiles[0], changed})
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -282,13 +282,13 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, file := range sound {
+	for _, file := range validFiles {
 		f.Add(file.Data)
 	}
 	f.Add([]byte("[[servers]]\nname = {a = 1}\n[rules]\nx = 1979-05-27T07:32:00Z"))
 	f.Add([]byte("a = [[[]]]\nb = inf"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		inv, problems := Parse(append(sound[:2:2], File{Name: "c.toml", Data: data}))
+		inv, problems := Parse(append(validFiles[:2:2], File{Name: "c.toml", Data: data}))
 		if (inv == nil) != (len(problems) > 0) {
 			t.Fatalf("inventory %v with problems %v", inv, problems)
 		}
