--- a/internal/inventory/bench_test.go
+++ b/internal/inventory/bench_test.go
@@ -21,7 +21,7 @@
 	benchServersPerFile = 300
 )
 
-// fleetFiles builds an inventory of the size the project aims at.
+// fleetFiles returns an inventory of the size that basilrudder is designed for.
 func fleetFiles(customersPerValue int) []File {
 	var files []File
 	var head bytes.Buffer
@@ -71,7 +71,7 @@
 	}
 }
 
-// BenchmarkParseOneChanged is a change of the rates in one value among many.
+// BenchmarkParseOneChanged measures a change of the rates in one value among many.
 func BenchmarkParseOneChanged(b *testing.B) {
 	for _, each := range []int{smallValue, largeValue} {
 		files := fleetFiles(each)
@@ -104,7 +104,7 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkCompile builds the catalog of the same inventory.
+// BenchmarkCompile measures building the catalog of the same inventory.
 func BenchmarkCompile(b *testing.B) {
 	inv, problems := Parse(fleetFiles(smallValue))
 	if len(problems) > 0 {
--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -9,7 +9,7 @@
 	"basilrudder/schema"
 )
 
-// checker finds what files say of each other that cannot be true together.
+// checker finds contradictions between the items of an inventory, also across files.
 type checker struct {
 	merged   *inventory.Inventory
 	problems Problems
@@ -21,7 +21,7 @@
 	tiers       map[int]bool
 }
 
-// location is where an item stands.
+// location is the file and key at which a problem is reported.
 type location struct {
 	file string
 	key  string
@@ -43,8 +43,7 @@
 	return location{file: file, key: fmt.Sprintf("%s[%d:%s]", list, index, name)}
 }
 
-// check runs every check over the merged inventory; parts tell where each item
-// stands.
+// check runs all checks of the merged inventory. The parts give the file of each item.
 func check(parts []*decodedFile, merged *inventory.Inventory) Problems {
 	c := &checker{
 		merged:      merged,
@@ -92,8 +91,8 @@
 	}
 }
 
-// checkRequiredLists refuses an inventory without one of the lists: a manifest that
-// forgot a file would otherwise turn every customer or server away at once.
+// checkRequiredLists rejects an inventory in which a required list is empty. Otherwise a
+// manifest that omits a file would remove every customer or server at once.
 func (c *checker) checkRequiredLists() {
 	lists := []struct {
 		key   string
@@ -112,7 +111,8 @@
 	}
 }
 
-// checkFloors keeps the promised shares of a group within the group.
+// checkFloors checks that the floor shares of all tiers add up to at most 1, the whole
+// capacity of a group.
 func (c *checker) checkFloors() {
 	sum := 0.0
 	for _, tier := range c.merged.Tiers {
@@ -184,7 +184,8 @@
 	}
 }
 
-// checkTarget accepts a class without a target: its callers name the model.
+// checkTarget checks the target of a class. A class without one is valid: its callers name
+// the model.
 func (c *checker) checkTarget(at location, class inventory.Class) {
 	if class.Kind == inventory.ClassKindService {
 		if class.Service != "" && !c.services[class.Service] {
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,6 +1,6 @@
-// Package inventory reads published values: it checks each file against the
-// schema, merges them and checks what they say of each other. An inventory is
-// accepted whole or not at all.
+// Package inventory parses published values: it checks each file against the schema, merges
+// the files and checks the references between them. An inventory is accepted as a whole or
+// rejected.
 package inventory
 
 import (
@@ -17,14 +17,14 @@
 	schemaRef      = "inventory.json"
 	rulesSchemaRef = "inventory.json#/$defs/Rules"
 	fileSuffix     = ".toml"
-	// wholeInventory stands in for a file name where a problem belongs to none.
+	// wholeInventory is the file name of problems that belong to no single file.
 	wholeInventory = "inventory"
 )
 
-// Problem is one fault of an inventory.
+// Problem is one error in an inventory.
 type Problem = schema.Problem
 
-// Problems is every fault of an inventory; it is an error when not empty.
+// Problems lists all errors in an inventory; it is an error if it is not empty.
 type Problems = schema.Problems
 
 // File is one published value.
@@ -35,13 +35,12 @@
 	Data []byte
 }
 
-// Parse checks and merges files. It returns the inventory, or every problem
-// found and no inventory.
+// Parse checks and merges files. It returns either the inventory or all problems found.
 func Parse(files []File) (*inventory.Inventory, Problems) {
 	return new(Parser).Parse(files)
 }
 
-// LoadDir parses every TOML file of a directory in the order of their names.
+// LoadDir parses all TOML files of a directory in the order of their names.
 func LoadDir(dir string) (*inventory.Inventory, Problems) {
 	files, problems := readDir(dir)
 	if len(problems) > 0 {
@@ -69,9 +68,8 @@
 	return files, problems
 }
 
-// Parser parses revision after revision and keeps the files of the last one in
-// decoded form: a change of one value among many costs the reading of that one.
-// It is not safe for concurrent use.
+// Parser parses successive revisions. It caches the decoded files of the last one, so that
+// only changed files are decoded again. It is not safe for concurrent use.
 type Parser struct {
 	cache map[cacheKey]*decodedFile
 }
@@ -81,21 +79,21 @@
 	digest [sha256.Size]byte
 }
 
-// decodedFile is one file after the check against the schema; never changed later.
+// decodedFile is a file after the check against the schema. It is immutable.
 type decodedFile struct {
 	file     string
 	content  *inventory.Inventory
 	problems Problems
 }
 
-// Parse is like the function Parse.
+// Parse is like the function Parse, but does not decode unchanged files again.
 func (p *Parser) Parse(files []File) (*inventory.Inventory, Problems) {
 	parts := p.decodeAll(files)
 	var problems Problems
 	for _, part := range parts {
 		problems = append(problems, part.problems...)
 	}
-	// Checks between files would report what a file that failed does not say.
+	// Checks across files would report items as missing that are in an invalid file.
 	if len(problems) > 0 {
 		problems.Sort()
 		return nil, problems
@@ -131,7 +129,8 @@
 	return part
 }
 
-// merge joins files in their order; rules may stand in one of them only.
+// merge concatenates the lists of the files in order. At most one file may contain rules;
+// without any, the defaults apply.
 func merge(parts []*decodedFile) (*inventory.Inventory, Problems) {
 	out := &inventory.Inventory{}
 	var problems Problems
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// validFiles is an inventory without a fault in two files.
+// validFiles is a valid inventory in two files.
 var validFiles = []File{
 	{Name: "a.toml", Data: []byte(`
 [[data_centres]]
@@ -184,7 +184,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			inv, problems := Parse(append(validFiles[:2:2], File{Name: "c.toml", Data: []byte(c.add)}))
 			if inv != nil {
-				t.Error("a broken inventory was returned")
+				t.Error("an invalid inventory was returned")
 			}
 			lines := make([]string, len(problems))
 			for i, problem := range problems {
@@ -198,9 +198,9 @@
 }
 
 func TestNamesWithCollidingHashesAreRejected(t *testing.T) {
-	// Messages between instances name a class by 32 bits of hash. With two classes
-	// of one hash the requests of one would be queued by the other's targets,
-	// which no later check could tell.
+	// Messages between instances identify a class by a 32-bit hash. If two classes
+	// had the same hash, requests of one would be queued by the other's targets, and
+	// no later check could detect it.
 	first, second := collidingNames(t)
 	_, problems := Parse(append(validFiles[:2:2], File{Name: "c.toml", Data: []byte(
 		classText(first) + classText(second))}))
--- a/internal/inventory/unique.go
+++ b/internal/inventory/unique.go
@@ -10,14 +10,17 @@
 	"basilrudder/schema"
 )
 
+// maxListedNames bounds the names in a message. With all names of a large inventory, a
+// problem would be unreadable.
 const maxListedNames = 12
 
-// uniqueValues finds values that occur twice and where the first one stands.
+// uniqueValues reports values that occur more than once.
 type uniqueValues struct {
 	c *checker
-	// first tells where a value stands; a site is only built for a problem.
+	// first returns the first location of each value. Locations are computed only for
+	// a problem.
 	first map[string]func() location
-	// hideValue hides the value in messages.
+	// hideValue replaces the value in messages by schema.HiddenValue.
 	hideValue bool
 }
 
@@ -69,7 +72,7 @@
 	}
 }
 
-// locate returns a function that tells where a key of an item stands.
+// locate returns a function that computes the location of a key of an item.
 func (d *decodedFile) locate(list string, index int, name, key string) func() location {
 	return func() location { return topLevelItem(d.file, list, index, name).child(key) }
 }
@@ -80,7 +83,7 @@
 	for _, part := range parts {
 		for i, server := range part.content.Servers {
 			names.add(server.Name, part.locate("servers", i, server.Name, "name"))
-			// One server entered twice would be given twice its slots.
+			// A server listed twice would count with twice its slots.
 			addresses.add(server.Address, part.locate("servers", i, server.Name, "address"))
 			c.checkEngineNames(topLevelItem(part.file, "servers", i, server.Name), server)
 		}
@@ -125,11 +128,11 @@
 	}
 }
 
-// uniqueHashes finds different names with one hash: messages between instances carry
-// the hash alone, so that one customer would be charged for another.
+// uniqueHashes reports different names with the same hash. Messages between instances
+// contain only the hash, so one customer would be charged for the requests of another.
 type uniqueHashes struct {
 	c     *checker
-	hash    func(name string) uint64
+	hash  func(name string) uint64
 	names map[uint64]string
 }
 
@@ -157,7 +160,7 @@
 	return strconv.Quote(s)
 }
 
-// formatNames shows the names of a set, sorted and shortened.
+// formatNames joins the names of a set, sorted. Beyond maxListedNames it gives their number.
 func formatNames(set map[string]bool) string {
 	names := make([]string, 0, len(set))
 	for name := range set {
