--- a/internal/callers/handler.go
+++ b/internal/callers/handler.go
@@ -24,31 +24,37 @@
 	suffixAnswer  = "/answer"
 )
 
-// maxIDLength bounds a request id, in bytes.
+// maxIDLength is the maximum length of a request id in bytes. Callers rely on it: a
+// smaller value refuses ids in use. The message for an invalid id names it.
 const maxIDLength = 200
 
-// strangerBodyBytes bounds the body of a request without an accepted credential.
-const strangerBodyBytes = 1 << 10
+// unauthenticatedBodyBytes is the maximum body size without an accepted credential. It
+// bounds the memory that unauthenticated callers can occupy on each connection.
+const unauthenticatedBodyBytes = 1 << 10
 
-// connectionRetry is when a caller refused for its connection should come back.
-const connectionRetry = time.Second
+// connectionRetryAfter is the Retry-After of a refusal for too many connections. A
+// shorter one makes the refused callers reconnect while connections are still scarce.
+const connectionRetryAfter = time.Second
 
-// notReadyRetry is when to come back to an instance without a configuration.
-const notReadyRetry = time.Second
+// notReadyRetryAfter is the Retry-After of an instance without a configuration. A longer
+// one delays callers after the configuration has arrived.
+const notReadyRetryAfter = time.Second
 
-// call is what is known of a request before it is submitted.
+// call holds what is read from a request's header before it is submitted.
 type call struct {
 	customer *catalog.Customer
 	class    *catalog.Class
 	id       string
-	// home is the address of another instance that the id is bound to.
+	// home is the address of the instance that the id is bound to; empty if the request is
+	// served here.
 	home string
 	// unbound is set for an id that no instance minted.
 	unbound bool
 }
 
-// handle routes a request. A panic is answered, since it would otherwise end
-// the process and every other request with it.
+// handle checks the connection limit and the configuration and routes the request. It
+// recovers from a panic, which would otherwise end the process and every other request
+// in it.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -68,33 +74,33 @@
 	s.route(ctx)
 }
 
-// refuseNotReady answers for an instance that has no configuration yet: a new
-// process whose platform is down, and whose peers are out of reach, can't tell
-// who calls. Callers have its address, for the directory names it by then.
+// refuseNotReady refuses a request while the instance has no configuration: a process
+// that starts while the platform is down and its peers are unreachable cannot
+// authenticate callers. They may have its address from the directory.
 func (s *Server) refuseNotReady(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.Request.Header.Peek(HeaderRequestID))
-	err := verdict.New(s.unknowing(nil, id), verdict.ReasonNotReady, "this instance has no configuration yet")
-	s.refuse(ctx, "", err.After(notReadyRetry))
+	err := verdict.New(s.earlyVerdict(nil, id), verdict.ReasonNotReady, "this instance has no configuration yet")
+	s.refuse(ctx, "", err.After(notReadyRetryAfter))
 }
 
 func (s *Server) route(ctx *fasthttp.RequestCtx) {
 	path := ctx.Request.URI().PathOriginal()
 	switch {
 	case string(path) == pathChat:
-		s.allow(ctx, fasthttp.MethodPost, s.chat)
+		s.requireMethod(ctx, fasthttp.MethodPost, s.serveChat)
 	case string(path) == pathDirectory:
-		s.allow(ctx, fasthttp.MethodGet, s.directory)
+		s.requireMethod(ctx, fasthttp.MethodGet, s.serveDirectory)
 	case bytes.HasPrefix(path, []byte(pathServices)):
-		s.service(ctx)
+		s.serveService(ctx)
 	case bytes.HasPrefix(path, []byte(pathRequests)):
-		s.allow(ctx, fasthttp.MethodGet, s.request)
+		s.requireMethod(ctx, fasthttp.MethodGet, s.serveRequest)
 	default:
 		s.refuse(ctx, "", verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "no such path"))
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-func (s *Server) allow(ctx *fasthttp.RequestCtx, method string, handler func(*fasthttp.RequestCtx)) {
+func (s *Server) requireMethod(ctx *fasthttp.RequestCtx, method string, handler func(*fasthttp.RequestCtx)) {
 	if string(ctx.Method()) == method {
 		handler(ctx)
 		return
@@ -107,15 +113,15 @@
 func (s *Server) refuseConnection(ctx *fasthttp.RequestCtx) {
 	s.counts.connectionsRefused.Add(1)
 	id := string(ctx.Request.Header.Peek(HeaderRequestID))
-	err := verdict.New(s.unknowing(nil, id), verdict.ReasonOverloaded, "too many connections to this instance")
-	s.refuse(ctx, id, err.After(connectionRetry))
+	err := verdict.New(s.earlyVerdict(nil, id), verdict.ReasonOverloaded, "too many connections to this instance")
+	s.refuse(ctx, id, err.After(connectionRetryAfter))
 	ctx.SetConnectionClose()
 }
 
-func (s *Server) directory(ctx *fasthttp.RequestCtx) {
+func (s *Server) serveDirectory(ctx *fasthttp.RequestCtx) {
 	customer := s.authenticate(&ctx.Request.Header)
 	if customer == nil {
-		s.refuse(ctx, "", unauthorized(verdict.NotRun))
+		s.refuse(ctx, "", unauthorizedError(verdict.NotRun))
 		return
 	}
 	directory := s.backend.Directory(customer)
@@ -129,14 +135,13 @@
 	ctx.SetBody(body)
 }
 
-func unauthorized(v verdict.Verdict) *verdict.Error {
+func unauthorizedError(v verdict.Verdict) *verdict.Error {
 	return verdict.New(v, verdict.ReasonUnauthorized, "the Authorization header holds no accepted bearer credential")
 }
 
-// authenticate finds the customer of the bearer credential, or nil. Without a
-// configuration there is none: it is asked for each header that arrives, before
-// anything else looks at the request and outside the handler that survives a
-// panic.
+// authenticate returns the customer of the bearer credential, or nil. It must handle a
+// missing configuration: it is called for each header received, before any other check
+// and outside the recover of handle.
 func (s *Server) authenticate(header *fasthttp.RequestHeader) *catalog.Customer {
 	const scheme = "Bearer "
 	value := header.Peek(fasthttp.HeaderAuthorization)
@@ -150,16 +155,17 @@
 	return cat.Authenticate(string(value[len(scheme):]))
 }
 
-// limitBody bounds the body before it is read. Without it, anybody could have
-// the instance hold a whole body on each of its connections.
+// limitBody limits the body's size before it is read. Without it, unauthenticated
+// callers could make the instance hold a body of the full size on each connection.
 func (s *Server) limitBody(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	if s.authenticate(header) == nil {
-		return fasthttp.RequestConfig{MaxRequestBodySize: min(strangerBodyBytes, s.cfg.BodyBytes)}
+		return fasthttp.RequestConfig{MaxRequestBodySize: min(unauthenticatedBodyBytes, s.cfg.BodyBytes)}
 	}
 	return fasthttp.RequestConfig{MaxRequestBodySize: s.cfg.BodyBytes}
 }
 
-// admit checks the header of a request that is to run: credential, id, class.
+// admit checks the id, credential and class in a request's header and locates the
+// instance that the id is bound to.
 func (s *Server) admit(ctx *fasthttp.RequestCtx, kind inventory.ClassKind) (call, *verdict.Error) {
 	var c call
 	if repeated := repeatedHeader(ctx); repeated != "" {
@@ -173,17 +179,17 @@
 	}
 	c.customer = s.authenticate(&ctx.Request.Header)
 	if c.customer == nil {
-		return c, unauthorized(s.unknowing(nil, c.id))
+		return c, unauthorizedError(s.earlyVerdict(nil, c.id))
 	}
-	if err := s.classify(ctx, &c, kind); err != nil {
-		err.Verdict = s.unknowing(c.customer, c.id)
+	if err := s.checkClass(ctx, &c, kind); err != nil {
+		err.Verdict = s.earlyVerdict(c.customer, c.id)
 		return c, err
 	}
 	return c, s.locate(ctx, &c)
 }
 
-// repeatedHeader returns the name of a header field that must be single and is
-// not: two parties might each believe another one of its values.
+// repeatedHeader returns the name of a header field that is repeated and must not be, or
+// "". Two programs might each use a different one of its values.
 func repeatedHeader(ctx *fasthttp.RequestCtx) string {
 	for _, name := range []string{fasthttp.HeaderAuthorization, HeaderRequestID, HeaderClass} {
 		if len(ctx.Request.Header.PeekAll(name)) > 1 {
@@ -208,7 +214,7 @@
 	return true
 }
 
-func (s *Server) classify(ctx *fasthttp.RequestCtx, c *call, kind inventory.ClassKind) *verdict.Error {
+func (s *Server) checkClass(ctx *fasthttp.RequestCtx, c *call, kind inventory.ClassKind) *verdict.Error {
 	name := string(ctx.Request.Header.Peek(HeaderClass))
 	if name == "" {
 		return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, "the header "+HeaderClass+" is missing")
@@ -226,7 +232,7 @@
 	return nil
 }
 
-// locate finds the instance that the id is bound to.
+// locate sets c.home if the id is bound to another instance.
 func (s *Server) locate(ctx *fasthttp.RequestCtx, c *call) *verdict.Error {
 	if c.id == "" {
 		return nil
@@ -235,23 +241,23 @@
 	switch {
 	case err != nil && err.Reason == verdict.ReasonUnboundKey:
 		c.unbound = true
-		return unboundKey(c.class)
+		return unboundKeyError(c.class)
 	case err != nil:
 		return err
 	case local:
 		return nil
 	case len(ctx.Request.Header.Peek(HeaderRelayed)) > 0:
-		return relayLoop()
+		return relayLoopError()
 	default:
 		c.home = address
 		return nil
 	}
 }
 
-// unboundKey refuses a request that may run once only under an id that any
-// instance might run: after a partition or a crash, no instance could tell
-// whether another one ran it.
-func unboundKey(class *catalog.Class) *verdict.Error {
+// unboundKeyError returns the refusal of a request whose class is not idempotent and
+// whose id is not bound to an instance, else nil. Any instance might run such an id, and
+// after a partition or a crash no instance could determine whether another one did.
+func unboundKeyError(class *catalog.Class) *verdict.Error {
 	if class == nil || class.Idempotent {
 		return nil
 	}
@@ -260,9 +266,9 @@
 			"leave out "+HeaderRequestID+", or make it of an id_prefix from "+pathDirectory+" and a nonce of your own")
 }
 
-// unknowing is the verdict of a refusal given before the instance that an id is
-// bound to was asked. An earlier attempt under the id may have run there.
-func (s *Server) unknowing(customer *catalog.Customer, id string) verdict.Verdict {
+// earlyVerdict returns the verdict of a refusal that is sent before the instance that
+// the id is bound to was queried: an earlier attempt under the id may have run there.
+func (s *Server) earlyVerdict(customer *catalog.Customer, id string) verdict.Verdict {
 	if id == "" {
 		return verdict.NotRun
 	}
