--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -300,7 +300,7 @@
 	for _, t := range targets {
 		out = append(out, peer.Target{ID: t.ID, Address: t.Address})
 	}
-	d.links.SetWanted(out)
+	d.links.SetTargets(out)
 }
 
 // Installed implements instance.Effects.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,9 +56,9 @@
 // power answers nothing, and after a loss of all of them each second until the
 // next try is one in which no instance knows the others.
 var linkTiming = peer.Timing{
-	SignOfLife: 200 * time.Millisecond,
-	Silence:    700 * time.Millisecond,
-	Handshake:  300 * time.Millisecond,
+	KeepAliveInterval: 200 * time.Millisecond,
+	PeerTimeout:    700 * time.Millisecond,
+	HandshakeTimeout:  300 * time.Millisecond,
 	BackoffMin: 100 * time.Millisecond,
 	BackoffMax: 500 * time.Millisecond,
 }
@@ -71,7 +71,7 @@
 func timingOf(linkMbps float64) peer.Timing {
 	const bytesPerMegabit = 1e6 / 8
 	out := linkTiming
-	out.BulkBytes = int(bulkShare * linkMbps * bytesPerMegabit)
+	out.BulkRate = int(bulkShare * linkMbps * bytesPerMegabit)
 	return out
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -169,7 +169,7 @@
 	for _, t := range wanted {
 		targets = append(targets, peer.Target{ID: t.ID, Address: t.Address})
 	}
-	p.links.SetWanted(targets)
+	p.links.SetTargets(targets)
 }
 
 // logRole logs what this instance does for the others, as it changes.
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -10,15 +10,15 @@
 	"basilrudder/internal/schema/wire"
 )
 
-type counting struct {
+type benchHandler struct {
 	up   chan Identity
 	got  chan int
 	echo *Links
 }
 
-func (c *counting) LinkUp(peer Identity)   { c.up <- peer }
-func (c *counting) LinkDown(string, error) {}
-func (c *counting) Envelope(from string, env *wire.Envelope) {
+func (c *benchHandler) LinkUp(peer Identity)   { c.up <- peer }
+func (c *benchHandler) LinkDown(string, error) {}
+func (c *benchHandler) Envelope(from string, env *wire.Envelope) {
 	if c.echo != nil {
 		c.echo.Send(from, env)
 		return
@@ -26,13 +26,13 @@
 	c.got <- len(env.Acquires)
 }
 
-func benchLinks(b *testing.B, id string) (*Links, *counting, string) {
+func benchLinks(b *testing.B, id string) (*Links, *benchHandler, string) {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	handler := &counting{up: make(chan Identity, 1024), got: make(chan int, 1024)}
+	handler := &benchHandler{up: make(chan Identity, 1024), got: make(chan int, 1024)}
 	links, err := New(Config{
 		Self:     Identity{ID: id, Incarnation: "1", PeerAddress: listener.Addr().String()},
 		Keys:     []Key{{"k1", "a secret of the fleet"}},
@@ -67,7 +67,7 @@
 			near, nearEvents, _ := benchLinks(b, "a")
 			far, farEvents, address := benchLinks(b, "b")
 			farEvents.echo = far
-			near.SetWanted([]Target{{ID: "b", Address: address}})
+			near.SetTargets([]Target{{ID: "b", Address: address}})
 			<-nearEvents.up
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -93,7 +93,7 @@
 		before := heap()
 		for i := range links {
 			spoke, _, _ := benchLinks(b, fmt.Sprintf("spoke-%d", i))
-			spoke.SetWanted([]Target{{ID: "hub", Address: address}})
+			spoke.SetTargets([]Target{{ID: "hub", Address: address}})
 			<-events.up
 		}
 		b.ReportMetric(float64(heap()-before)/links, "B/link")
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -15,35 +15,35 @@
 
 // Timing holds the times and bounds of links. Zero values take the defaults.
 type Timing struct {
-	// SignOfLife is the longest time a side sends nothing. Default 1 s.
-	SignOfLife time.Duration
-	// Silence is how long a link may be silent. Default 3.5 s.
-	Silence time.Duration
-	// Handshake bounds dialing and the handshake. Default 2 s.
-	Handshake time.Duration
-	// Coalesce is how long an envelope waits for others. Default 1 ms.
-	Coalesce time.Duration
-	// Idle closes a link that was opened on demand. Default 60 s.
-	Idle time.Duration
+	// KeepAliveInterval is the longest time a side sends nothing. Default 1 s.
+	KeepAliveInterval time.Duration
+	// PeerTimeout is how long a link may be silent. Default 3.5 s.
+	PeerTimeout time.Duration
+	// HandshakeTimeout bounds dialing and the handshake. Default 2 s.
+	HandshakeTimeout time.Duration
+	// CoalesceDelay is how long an envelope waits for others. Default 1 ms.
+	CoalesceDelay time.Duration
+	// IdleTimeout closes a link that was opened on demand. Default 60 s.
+	IdleTimeout time.Duration
 	// BackoffMin and BackoffMax bound the wait before dialing again. Defaults
 	// 100 ms and 5 s.
 	BackoffMin, BackoffMax time.Duration
-	// QueueBytes bounds what waits on one link, roughly. Default 4 MiB.
-	QueueBytes int
-	// BulkBytes bounds what of configurations is sent in a second, on all links together.
+	// MaxQueueBytes bounds what waits on one link, roughly. Default 4 MiB.
+	MaxQueueBytes int
+	// BulkRate bounds what of configurations is sent in a second, on all links together.
 	// Default 0, no bound.
-	BulkBytes int
+	BulkRate int
 }
 
 func (t Timing) withDefaults() Timing {
-	t.SignOfLife = cmp.Or(t.SignOfLife, time.Second)
-	t.Silence = cmp.Or(t.Silence, 3500*time.Millisecond)
-	t.Handshake = cmp.Or(t.Handshake, 2*time.Second)
-	t.Coalesce = cmp.Or(t.Coalesce, time.Millisecond)
-	t.Idle = cmp.Or(t.Idle, time.Minute)
+	t.KeepAliveInterval = cmp.Or(t.KeepAliveInterval, time.Second)
+	t.PeerTimeout = cmp.Or(t.PeerTimeout, 3500*time.Millisecond)
+	t.HandshakeTimeout = cmp.Or(t.HandshakeTimeout, 2*time.Second)
+	t.CoalesceDelay = cmp.Or(t.CoalesceDelay, time.Millisecond)
+	t.IdleTimeout = cmp.Or(t.IdleTimeout, time.Minute)
 	t.BackoffMin = cmp.Or(t.BackoffMin, 100*time.Millisecond)
 	t.BackoffMax = cmp.Or(t.BackoffMax, 5*time.Second)
-	t.QueueBytes = cmp.Or(t.QueueBytes, 4<<20)
+	t.MaxQueueBytes = cmp.Or(t.MaxQueueBytes, 4<<20)
 	return t
 }
 
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -13,13 +13,13 @@
 	framesIn  atomic.Uint64
 	framesOut atomic.Uint64
 	dials     atomic.Uint64
-	failures  atomic.Uint64
-	refused   atomic.Uint64
-	silent    atomic.Uint64
-	overfull  atomic.Uint64
+	dialFailures  atomic.Uint64
+	handshakesRefused   atomic.Uint64
+	timedOut    atomic.Uint64
+	queueFull  atomic.Uint64
 	invalid   atomic.Uint64
 	replaced  atomic.Uint64
-	open      atomic.Int64
+	openLinks      atomic.Int64
 }
 
 // Snapshot is the value of the counters at one time.
@@ -48,16 +48,16 @@
 // Snapshot returns the value now.
 func (c *Counters) Snapshot() Snapshot {
 	return Snapshot{
-		Links:             c.open.Load(),
+		Links:             c.openLinks.Load(),
 		BytesIn:           byKind(&c.in),
 		BytesOut:          byKind(&c.out),
 		FramesIn:          c.framesIn.Load(),
 		FramesOut:         c.framesOut.Load(),
 		Dials:             c.dials.Load(),
-		DialFailures:      c.failures.Load(),
-		HandshakesRefused: c.refused.Load(),
-		ClosedSilent:      c.silent.Load(),
-		ClosedOverfull:    c.overfull.Load(),
+		DialFailures:      c.dialFailures.Load(),
+		HandshakesRefused: c.handshakesRefused.Load(),
+		ClosedSilent:      c.timedOut.Load(),
+		ClosedOverfull:    c.queueFull.Load(),
 		ClosedInvalid:     c.invalid.Load(),
 		Replaced:          c.replaced.Load(),
 	}
@@ -90,7 +90,7 @@
 	maskBytes    = 4
 )
 
-func framing(payload int, masked bool) int {
+func frameOverhead(payload int, masked bool) int {
 	n := longHeader
 	switch {
 	case payload < 126:
@@ -104,18 +104,18 @@
 	return n
 }
 
-// count adds one frame to the counters of one direction. A frame of several
+// countFrame adds one frame to the counters of one direction. A frame of several
 // kinds is encoded again part by part, since its bytes cannot be told apart; of a
 // compressed one each gets its share.
-func count(counts *[kindCount]atomic.Uint64, env *wire.Envelope, payload int, masked bool) {
-	counts[KindFraming].Add(uint64(framing(payload, masked)))
-	split := parts(env)
-	if len(split) == 1 {
-		counts[split[0].kind].Add(uint64(payload))
+func countFrame(counts *[kindCount]atomic.Uint64, env *wire.Envelope, payload int, masked bool) {
+	counts[KindFraming].Add(uint64(frameOverhead(payload, masked)))
+	messages := splitMessages(env)
+	if len(messages) == 1 {
+		counts[messages[0].kind].Add(uint64(payload))
 		return
 	}
-	sizes, sum := make([]int, len(split)), 0
-	for i, p := range split {
+	sizes, sum := make([]int, len(messages)), 0
+	for i, p := range messages {
 		if data, err := Encode(&p.env); err == nil {
 			// The one-byte map header belongs to the frame.
 			sizes[i] = len(data) - 1
@@ -123,7 +123,7 @@
 		}
 	}
 	share := min(1, float64(payload)/float64(max(1, sum)))
-	for i, p := range split {
+	for i, p := range messages {
 		counts[p.kind].Add(uint64(share * float64(sizes[i])))
 	}
 }
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -15,36 +15,36 @@
 type dial struct {
 	target  Target
 	running bool
-	next    monotime.Instant
+	retryAt    monotime.Instant
 	backoff time.Duration
 	pending []outgoing // of Send, until the link opens
-	cost    int
+	pendingCost    int
 }
 
 // manage opens the links that are wanted or waited for, and closes idle ones.
 func (s *Links) manage(ctx context.Context) error {
-	timer := time.NewTimer(restInterval)
+	timer := time.NewTimer(maxCheckInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.kick:
+		case <-s.wakeup:
 		case <-timer.C:
 		}
 		now := monotime.Now()
-		due := s.startDials(ctx, now)
+		wait := s.startDials(ctx, now)
 		s.closeIdle(now)
-		timer.Reset(min(due, restInterval, s.cfg.Timing.Idle))
+		timer.Reset(min(wait, maxCheckInterval, s.cfg.Timing.IdleTimeout))
 	}
 }
 
 // startDials starts what is due and returns when something will be.
 func (s *Links) startDials(ctx context.Context, now monotime.Instant) time.Duration {
-	due := restInterval
+	wait := maxCheckInterval
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, target := range s.wanted {
+	for key, target := range s.targets {
 		d := s.dials[key]
 		if d == nil {
 			d = &dial{}
@@ -53,14 +53,14 @@
 		d.target = target
 	}
 	for key, d := range s.dials {
-		_, wanted := s.wanted[key]
+		_, isTarget := s.targets[key]
 		switch {
 		case d.running:
 		case s.links[key] != nil:
 			delete(s.dials, key)
-		case now < d.next:
-			due = min(due, d.next.Sub(now))
-		case !wanted && len(d.pending) == 0:
+		case now < d.retryAt:
+			wait = min(wait, d.retryAt.Sub(now))
+		case !isTarget && len(d.pending) == 0:
 			delete(s.dials, key)
 		default:
 			d.running = true
@@ -71,7 +71,7 @@
 			})
 		}
 	}
-	return due
+	return wait
 }
 
 // sendOnDemand queues an envelope for a peer without a link. It runs with mu
@@ -89,11 +89,11 @@
 	add := cost(env)
 	// While a failed peer is in its backoff there is no use in queueing: the
 	// sender is better off to hear at once that nothing was sent.
-	if d.backoff > 0 && !d.running || d.cost+add > s.cfg.Timing.QueueBytes {
+	if d.backoff > 0 && !d.running || d.pendingCost+add > s.cfg.Timing.MaxQueueBytes {
 		return false
 	}
 	d.pending = append(d.pending, outgoing{env: env})
-	d.cost += add
+	d.pendingCost += add
 	return true
 }
 
@@ -105,7 +105,7 @@
 		return nil
 	}
 	queue := d.pending
-	d.pending, d.cost, d.backoff, d.next = nil, 0, 0, 0
+	d.pending, d.pendingCost, d.backoff, d.retryAt = nil, 0, 0, 0
 	return queue
 }
 
@@ -115,10 +115,10 @@
 	begin := monotime.Now()
 	conn, err := s.connect(ctx, target.Address)
 	if err == nil {
-		err = s.run(conn, true, target.ID)
+		err = s.serveConn(conn, true, target.ID)
 	}
 	if err != nil {
-		s.counters.failures.Add(1)
+		s.counters.dialFailures.Add(1)
 	}
 	s.dialEnded(target.key(), d, begin, err)
 }
@@ -129,17 +129,17 @@
 	s.mu.Lock()
 	now := monotime.Now()
 	d.running = false
-	lasted := now.Sub(begin) >= s.cfg.Timing.Silence
+	lasted := now.Sub(begin) >= s.cfg.Timing.PeerTimeout
 	// A link that ends soon after it opened is no better than a failed dial.
 	if err == nil && lasted {
 		d.backoff = 0
 	} else {
 		d.backoff = min(max(s.cfg.Timing.BackoffMin, 2*d.backoff), s.cfg.Timing.BackoffMax)
 	}
-	d.next = now.Add(jittered(max(d.backoff, s.cfg.Timing.BackoffMin)))
+	d.retryAt = now.Add(jittered(max(d.backoff, s.cfg.Timing.BackoffMin)))
 	lost := err != nil && len(d.pending) > 0 && s.links[key] == nil
 	if err != nil {
-		d.pending, d.cost = nil, 0
+		d.pending, d.pendingCost = nil, 0
 	}
 	s.mu.Unlock()
 	s.wake()
@@ -151,9 +151,9 @@
 func (s *Links) connect(ctx context.Context, address string) (*websocket.Conn, error) {
 	stop := func() bool { return true }
 	dialer := websocket.Dialer{
-		HandshakeTimeout: s.cfg.Timing.Handshake,
-		NetDialContext: func(dialing context.Context, _, _ string) (net.Conn, error) {
-			conn, err := s.cfg.Dial(dialing, address)
+		HandshakeTimeout: s.cfg.Timing.HandshakeTimeout,
+		NetDialContext: func(dialCtx context.Context, _, _ string) (net.Conn, error) {
+			conn, err := s.cfg.Dial(dialCtx, address)
 			if err == nil {
 				// The library waits for the answer to the upgrade without
 				// looking at the context. Its own context, dialing, ends when
@@ -176,7 +176,7 @@
 	s.mu.Lock()
 	var idle []*link
 	for id, l := range s.links {
-		if _, wanted := s.wanted[id]; !wanted && l.dialer && l.idleFor(now) >= s.cfg.Timing.Idle {
+		if _, isTarget := s.targets[id]; !isTarget && l.dialer && l.idleFor(now) >= s.cfg.Timing.IdleTimeout {
 			idle = append(idle, l)
 		}
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -21,8 +21,8 @@
 	itemCost = 64
 	// partCost stands for that of a part of a prompt.
 	partCost = 24
-	// mergeBytes is the size above which no more messages join a frame.
-	mergeBytes = 64 << 10
+	// maxMergedBytes is the size above which no more messages join a frame.
+	maxMergedBytes = 64 << 10
 )
 
 // Kind names a part of an envelope in the counters.
@@ -67,7 +67,7 @@
 	return kindNames[k]
 }
 
-var decoding = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxElements,
 		MaxMapPairs:      maxElements,
@@ -84,12 +84,12 @@
 // Decode reads the envelope of one frame. Unknown parts are ignored, so that
 // a newer release can add some.
 func Decode(data []byte) (*wire.Envelope, error) {
-	data, err := unpack(data)
+	data, err := decompress(data)
 	if err != nil {
 		return nil, err
 	}
 	env := new(wire.Envelope)
-	if err := decoding.Unmarshal(data, env); err != nil {
+	if err := decMode.Unmarshal(data, env); err != nil {
 		return nil, errors.Wrap(err, "decode envelope")
 	}
 	return env, nil
@@ -104,18 +104,18 @@
 	return data, nil
 }
 
-// part is one part of an envelope by itself.
-type part struct {
+// message is one message of an envelope by itself.
+type message struct {
 	kind Kind
 	env  wire.Envelope
 }
 
-// parts splits an envelope by kind.
-func parts(env *wire.Envelope) []part {
-	out := make([]part, 0, 2)
+// splitMessages splits an envelope by kind.
+func splitMessages(env *wire.Envelope) []message {
+	out := make([]message, 0, 2)
 	add := func(present bool, kind Kind, one wire.Envelope) {
 		if present {
-			out = append(out, part{kind, one})
+			out = append(out, message{kind, one})
 		}
 	}
 	add(env.Hello != nil, KindHello, wire.Envelope{Hello: env.Hello})
@@ -168,9 +168,9 @@
 	return bytes
 }
 
-// joinable reports whether src may join dst: of each part that is no list a
+// canMerge reports whether src may join dst: of each part that is no list a
 // frame holds one.
-func joinable(dst, src *wire.Envelope) bool {
+func canMerge(dst, src *wire.Envelope) bool {
 	return !(dst.Hello != nil && src.Hello != nil ||
 		dst.Ping != nil && src.Ping != nil ||
 		dst.Pong != nil && src.Pong != nil ||
@@ -182,17 +182,17 @@
 		dst.LoadGive != nil && src.LoadGive != nil)
 }
 
-// join adds the parts of src to dst. The lists of src stay as they are.
-func join(dst, src *wire.Envelope) {
-	dst.Hello = either(dst.Hello, src.Hello)
-	dst.Ping = either(dst.Ping, src.Ping)
-	dst.Pong = either(dst.Pong, src.Pong)
-	dst.MemberSync = either(dst.MemberSync, src.MemberSync)
-	dst.ConfigOffer = either(dst.ConfigOffer, src.ConfigOffer)
-	dst.ConfigWant = either(dst.ConfigWant, src.ConfigWant)
-	dst.ConfigPart = either(dst.ConfigPart, src.ConfigPart)
-	dst.LoadAsk = either(dst.LoadAsk, src.LoadAsk)
-	dst.LoadGive = either(dst.LoadGive, src.LoadGive)
+// merge adds the parts of src to dst. The lists of src stay as they are.
+func merge(dst, src *wire.Envelope) {
+	dst.Hello = firstNonNil(dst.Hello, src.Hello)
+	dst.Ping = firstNonNil(dst.Ping, src.Ping)
+	dst.Pong = firstNonNil(dst.Pong, src.Pong)
+	dst.MemberSync = firstNonNil(dst.MemberSync, src.MemberSync)
+	dst.ConfigOffer = firstNonNil(dst.ConfigOffer, src.ConfigOffer)
+	dst.ConfigWant = firstNonNil(dst.ConfigWant, src.ConfigWant)
+	dst.ConfigPart = firstNonNil(dst.ConfigPart, src.ConfigPart)
+	dst.LoadAsk = firstNonNil(dst.LoadAsk, src.LoadAsk)
+	dst.LoadGive = firstNonNil(dst.LoadGive, src.LoadGive)
 	dst.Members = append(dst.Members, src.Members...)
 	dst.Acquires = append(dst.Acquires, src.Acquires...)
 	dst.Withdraws = append(dst.Withdraws, src.Withdraws...)
@@ -206,7 +206,7 @@
 	dst.News = append(dst.News, src.News...)
 }
 
-func either[T any](a, b *T) *T {
+func firstNonNil[T any](a, b *T) *T {
 	if a != nil {
 		return a
 	}
@@ -230,14 +230,14 @@
 			continue
 		}
 		add := cost(o.env)
-		if open && size+add <= mergeBytes && joinable(out[len(out)-1].env, o.env) {
-			join(out[len(out)-1].env, o.env)
+		if open && size+add <= maxMergedBytes && canMerge(out[len(out)-1].env, o.env) {
+			merge(out[len(out)-1].env, o.env)
 			size += add
 			continue
 		}
-		fresh := new(wire.Envelope)
-		join(fresh, o.env)
-		out = append(out, outgoing{env: fresh, queuedAt: o.queuedAt})
+		merged := new(wire.Envelope)
+		merge(merged, o.env)
+		out = append(out, outgoing{env: merged, queuedAt: o.queuedAt})
 		size, open = add, true
 	}
 	return out
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -12,8 +12,8 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// joined is coalesce for envelopes of one link.
-func joined(envs ...*wire.Envelope) (out []*wire.Envelope) {
+// coalesced is coalesce for envelopes of one link.
+func coalesced(envs ...*wire.Envelope) (out []*wire.Envelope) {
 	var queue []outgoing
 	for _, env := range envs {
 		queue = append(queue, outgoing{env: env})
@@ -27,15 +27,15 @@
 // A message to all peers stands in the queue between two of this link alone. It is
 // encoded for all links, so neither joins it, and the later one does not join the
 // earlier one past it.
-func TestWhatGoesToSeveralPeersStaysByItself(t *testing.T) {
-	both := outgoing{env: &wire.Envelope{News: []wire.RelayNews{{Number: 1}}}, shared: &shared{}}
+func TestBroadcastIsNotCoalesced(t *testing.T) {
+	broadcast := outgoing{env: &wire.Envelope{News: []wire.RelayNews{{Number: 1}}}, shared: &sharedEncoding{}}
 	queue := []outgoing{
-		{env: &wire.Envelope{Acquires: []wire.Acquire{{Seq: 1}}}}, both,
+		{env: &wire.Envelope{Acquires: []wire.Acquire{{Seq: 1}}}}, broadcast,
 		{env: &wire.Envelope{Acquires: []wire.Acquire{{Seq: 2}}}},
 		{env: &wire.Envelope{Acquires: []wire.Acquire{{Seq: 3}}}},
 	}
 	got := coalesce(queue)
-	if len(got) != 3 || got[1].shared != both.shared || len(got[0].env.Acquires) != 1 || len(got[2].env.Acquires) != 2 {
+	if len(got) != 3 || got[1].shared != broadcast.shared || len(got[0].env.Acquires) != 1 || len(got[2].env.Acquires) != 2 {
 		t.Errorf("%d frames: %+v", len(got), got)
 	}
 }
@@ -50,7 +50,7 @@
 		{Ping: &wire.Ping{Seq: 2}},
 		{Acquires: []wire.Acquire{{Seq: 2}}},
 	}
-	got := joined(queue...)
+	got := coalesced(queue...)
 	want := []*wire.Envelope{
 		{Acquires: []wire.Acquire{{Seq: 1}}, Withdraws: []wire.Withdraw{{Seq: 1}}, Ping: &wire.Ping{Seq: 1}},
 		{Ping: &wire.Ping{Seq: 2}, Acquires: []wire.Acquire{{Seq: 2}}},
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestEveryPartOfAnEnvelopeTravels(t *testing.T) {
+func TestEveryEnvelopeFieldIsMergedAndCounted(t *testing.T) {
 	// A part was added to the envelope and not to the functions that join and
 	// count envelopes. It arrived when it was sent alone and vanished without
 	// an error when another message happened to be queued with it.
@@ -79,25 +79,25 @@
 		} else {
 			field.Set(reflect.New(field.Type().Elem()))
 		}
-		one := joined(new(wire.Envelope), env)
+		one := coalesced(new(wire.Envelope), env)
 		if len(one) != 1 || !reflect.DeepEqual(one[0], env) {
 			t.Errorf("%s does not survive joining", typ.Field(i).Name)
 		}
-		if len(parts(env)) != 1 {
+		if len(splitMessages(env)) != 1 {
 			t.Errorf("%s is not counted", typ.Field(i).Name)
 		}
-		if field.Kind() == reflect.Pointer && len(joined(env, env)) != 2 {
+		if field.Kind() == reflect.Pointer && len(coalesced(env, env)) != 2 {
 			t.Errorf("of two %s in one frame one would be lost", typ.Field(i).Name)
 		}
 	}
 }
 
-func TestSignaturesHaveOneUse(t *testing.T) {
+func TestReflectedAndReplayedSignaturesAreRefused(t *testing.T) {
 	// Somebody without the key sends an acceptor's signature back to it, or
 	// one from an earlier handshake. Both must fail.
 	key := Key{"k1", "a secret of the fleet"}
-	dialer := hello(Identity{ID: "a"}, key, newNonce())
-	acceptor := hello(Identity{ID: "b"}, key, newNonce())
+	dialer := newHello(Identity{ID: "a"}, key, newNonce())
+	acceptor := newHello(Identity{ID: "b"}, key, newNonce())
 	mac := sign(key, roleAcceptor, dialer, acceptor)
 	if err := verify([]Key{key}, "k1", mac, roleAcceptor, dialer, acceptor); err != nil {
 		t.Error(err)
@@ -105,22 +105,22 @@
 	if err := verify([]Key{key}, "k1", mac, roleDialer, dialer, acceptor); err == nil {
 		t.Error("accepted a reflected signature")
 	}
-	again := hello(Identity{ID: "a"}, key, newNonce())
+	again := newHello(Identity{ID: "a"}, key, newNonce())
 	if err := verify([]Key{key}, "k1", mac, roleAcceptor, again, acceptor); err == nil {
 		t.Error("accepted a signature over another nonce")
 	}
 }
 
-func TestVersionsSideBySide(t *testing.T) {
+func TestVersionNegotiation(t *testing.T) {
 	// During a rolling replacement two releases talk. They use what both
 	// speak, and refuse when there is nothing.
 	self := Identity{ID: "a"}
 	newer := &wire.Hello{ID: "b", Version: Version + 3, MinVersion: Version}
-	if got, err := agree(self, newer); err != nil || got.version != Version {
+	if got, err := negotiate(self, newer); err != nil || got.version != Version {
 		t.Errorf("agree = %+v, %v", got, err)
 	}
 	tooNew := &wire.Hello{ID: "b", Version: Version + 3, MinVersion: Version + 1}
-	if _, err := agree(self, tooNew); !errors.Is(err, ErrVersion) {
+	if _, err := negotiate(self, tooNew); !errors.Is(err, ErrVersion) {
 		t.Errorf("agree = %v, want ErrVersion", err)
 	}
 }
@@ -136,9 +136,9 @@
 			f.Fatal(err)
 		}
 		f.Add(data)
-		f.Add(pack(append(data, make([]byte, packLeast)...)))
+		f.Add(compress(append(data, make([]byte, minCompressBytes)...)))
 	}
-	f.Add(pack(make([]byte, 2*packLeast)))
+	f.Add(compress(make([]byte, 2*minCompressBytes)))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		env, err := Decode(data)
 		if err != nil {
@@ -147,13 +147,13 @@
 		if _, err := Encode(env); err != nil {
 			t.Errorf("decoded what cannot be encoded: %v", err)
 		}
-		parts(env)
+		splitMessages(env)
 	})
 }
 
 // Guards against a frame that is changed by compressing it, or grows by it.
-func TestFramesAreTheSameAfterCompressing(t *testing.T) {
-	for _, n := range []int{0, 1, packLeast - 1, packLeast, 100_000} {
+func TestCompressionPreservesFrames(t *testing.T) {
+	for _, n := range []int{0, 1, minCompressBytes - 1, minCompressBytes, 100_000} {
 		for name, fill := range map[string]func(i int) byte{
 			"alike":  func(int) byte { return 'a' },
 			"random": func(i int) byte { return byte(rand.Uint32()) },
@@ -167,42 +167,42 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			packed, err := encode(env, true)
+			compressed, err := encode(env, true)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := Decode(packed)
+			got, err := Decode(compressed)
 			if err != nil || !bytes.Equal(got.ConfigPart.Data, want) {
 				t.Errorf("%d bytes %s: %v", n, name, err)
 			}
-			if len(packed) > len(plain) {
-				t.Errorf("%d bytes %s: %d compressed, %d plain", n, name, len(packed), len(plain))
+			if len(compressed) > len(plain) {
+				t.Errorf("%d bytes %s: %d compressed, %d plain", n, name, len(compressed), len(plain))
 			}
 		}
 	}
 }
 
 // Guards against a short frame that takes all memory once it is decompressed.
-func TestACompressedFrameIsBounded(t *testing.T) {
-	if _, err := Decode(pack(make([]byte, MaxFrame+1))); !errors.Is(err, errUnpacked) {
+func TestDecompressedSizeIsBounded(t *testing.T) {
+	if _, err := Decode(compress(make([]byte, MaxFrame+1))); !errors.Is(err, errDecompressedTooLong) {
 		t.Errorf("%v", err)
 	}
-	if _, err := Decode(pack(make([]byte, 100_000))[:50]); err == nil {
+	if _, err := Decode(compress(make([]byte, 100_000))[:50]); err == nil {
 		t.Error("a frame that was cut off was taken")
 	}
 }
 
 // Guards against compressed frames for a peer of an earlier release, which reads none.
-func TestPeersOfAnEarlierReleaseGetPlainFrames(t *testing.T) {
+func TestVersion1PeerGetsUncompressedFrames(t *testing.T) {
 	theirs := &wire.Hello{Version: 1, MinVersion: 1, ID: "old"}
-	agreed, err := agree(Identity{ID: "new"}, theirs)
-	if err != nil || agreed.version >= versionPacked {
+	agreed, err := negotiate(Identity{ID: "new"}, theirs)
+	if err != nil || agreed.version >= versionCompressed {
 		t.Errorf("version %d: %v", agreed.version, err)
 	}
 }
 
 // Guards against long messages that count as short ones in the bounds of a queue.
-func TestTheCostOfAMessageFollowsItsSize(t *testing.T) {
+func TestCostFollowsEncodedSize(t *testing.T) {
 	parts := make([]wire.RelayPart, 640)
 	for i := range parts {
 		parts[i] = wire.RelayPart{ID: "0123456789abcdef", Tokens: 100_000}
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -17,11 +17,11 @@
 // side use the highest that both speak; parts an old one does not know are
 // ignored by it.
 const (
-	Version    = versionPacked
+	Version    = versionCompressed
 	MinVersion = 1
 
-	// versionPacked is the first whose frames may be compressed.
-	versionPacked = 2
+	// versionCompressed is the first whose frames may be compressed.
+	versionCompressed = 2
 )
 
 const nonceBytes = 16
@@ -70,20 +70,20 @@
 	roleAcceptor role = "acceptor"
 )
 
-// frames is a connection before it is a link.
-type frames interface {
+// envelopeConn is a connection before it is a link.
+type envelopeConn interface {
 	writeEnvelope(env *wire.Envelope) error
 	readEnvelope() (*wire.Envelope, error)
 }
 
-// agreement is the outcome of a handshake.
-type agreement struct {
+// handshakeResult is the outcome of a handshake.
+type handshakeResult struct {
 	peer    Identity
 	version int
 	keyID   string // the other side signed with it
 }
 
-func hello(self Identity, key Key, nonce string) *wire.Hello {
+func newHello(self Identity, key Key, nonce string) *wire.Hello {
 	return &wire.Hello{
 		Version:       Version,
 		MinVersion:    MinVersion,
@@ -106,9 +106,9 @@
 
 // sign proves the key over all that both sides said. The other side's nonce is
 // in it, so a recorded signature is worth nothing.
-func sign(key Key, by role, dialer, acceptor *wire.Hello) string {
+func sign(key Key, signer role, dialer, acceptor *wire.Hello) string {
 	mac := hmac.New(sha256.New, []byte(key.Secret))
-	fields := []string{"basilrudder peer link", string(by), key.ID}
+	fields := []string{"basilrudder peer link", string(signer), key.ID}
 	for _, h := range []*wire.Hello{dialer, acceptor} {
 		fields = append(fields, strconv.Itoa(h.Version), strconv.Itoa(h.MinVersion),
 			h.ID, h.Incarnation, h.DataCentre, h.CallerAddress, h.PeerAddress, strconv.Itoa(h.Capacity), h.KeyID, h.Nonce)
@@ -121,59 +121,59 @@
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-func verify(keys []Key, id string, mac string, by role, dialer, acceptor *wire.Hello) error {
+func verify(keys []Key, id string, mac string, signer role, dialer, acceptor *wire.Hello) error {
 	for _, key := range keys {
-		if key.ID == id && hmac.Equal([]byte(mac), []byte(sign(key, by, dialer, acceptor))) {
+		if key.ID == id && hmac.Equal([]byte(mac), []byte(sign(key, signer, dialer, acceptor))) {
 			return nil
 		}
 	}
 	return errors.Wrapf(ErrUnauthenticated, "key %q", id)
 }
 
-// shakeAsDialer runs the handshake from the side that opened the connection:
+// handshakeAsDialer runs the handshake from the side that opened the connection:
 // hello, hello with signature, signature.
-func shakeAsDialer(conn frames, self Identity, keys []Key) (agreement, error) {
-	mine := hello(self, keys[0], newNonce())
+func handshakeAsDialer(conn envelopeConn, self Identity, keys []Key) (handshakeResult, error) {
+	mine := newHello(self, keys[0], newNonce())
 	if err := conn.writeEnvelope(&wire.Envelope{Hello: mine}); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	theirs, err := readHello(conn)
 	if err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	if err := verify(keys, theirs.KeyID, theirs.MAC, roleAcceptor, mine, theirs); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	proof := *mine
 	proof.MAC = sign(keys[0], roleDialer, mine, theirs)
 	if err := conn.writeEnvelope(&wire.Envelope{Hello: &proof}); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
-	return agree(self, theirs)
+	return negotiate(self, theirs)
 }
 
-// shakeAsAcceptor runs the handshake from the side that was connected to.
-func shakeAsAcceptor(conn frames, self Identity, keys []Key) (agreement, error) {
+// handshakeAsAcceptor runs the handshake from the side that was connected to.
+func handshakeAsAcceptor(conn envelopeConn, self Identity, keys []Key) (handshakeResult, error) {
 	theirs, err := readHello(conn)
 	if err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
-	mine := hello(self, keys[0], newNonce())
+	mine := newHello(self, keys[0], newNonce())
 	mine.MAC = sign(keys[0], roleAcceptor, theirs, mine)
 	if err := conn.writeEnvelope(&wire.Envelope{Hello: mine}); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	proof, err := readHello(conn)
 	if err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	if err := verify(keys, theirs.KeyID, proof.MAC, roleDialer, theirs, mine); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
-	return agree(self, theirs)
+	return negotiate(self, theirs)
 }
 
-func readHello(conn frames) (*wire.Hello, error) {
+func readHello(conn envelopeConn) (*wire.Hello, error) {
 	env, err := conn.readEnvelope()
 	if err != nil {
 		return nil, err
@@ -184,18 +184,18 @@
 	return env.Hello, nil
 }
 
-func agree(self Identity, theirs *wire.Hello) (agreement, error) {
+func negotiate(self Identity, theirs *wire.Hello) (handshakeResult, error) {
 	version := min(Version, theirs.Version)
 	if version < max(MinVersion, theirs.MinVersion) {
-		return agreement{}, errors.Wrapf(ErrVersion, "peer speaks %d to %d", theirs.MinVersion, theirs.Version)
+		return handshakeResult{}, errors.Wrapf(ErrVersion, "peer speaks %d to %d", theirs.MinVersion, theirs.Version)
 	}
 	if theirs.ID == self.ID {
-		return agreement{}, ErrSelf
+		return handshakeResult{}, ErrSelf
 	}
 	if theirs.ID == "" || strings.HasPrefix(theirs.ID, seedPrefix) {
-		return agreement{}, ErrHandshake
+		return handshakeResult{}, ErrHandshake
 	}
-	return agreement{
+	return handshakeResult{
 		peer: Identity{
 			ID:            theirs.ID,
 			Incarnation:   theirs.Incarnation,
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -17,39 +17,39 @@
 // link is one authenticated connection to a peer.
 type link struct {
 	conn   *websocket.Conn
-	set    *Links
+	links    *Links
 	peer   Identity
 	keyID  string
-	packs  bool // the peer understands compressed frames
+	compression  bool // the peer understands compressed frames
 	dialer bool // this side opened it
-	opened monotime.Instant
+	openedAt monotime.Instant
 
-	// partial is the size of the part that has come of a message, in bytes, and
-	// heardAt when the last bytes came, as a monotime.Instant.
-	partial, heardAt atomic.Int64
+	// partialBytes is the size of the part that has come of a message, in bytes, and
+	// receivedAt when the last bytes came, as a monotime.Instant.
+	partialBytes, receivedAt atomic.Int64
 
 	mu       sync.Mutex
 	queue    []outgoing
 	bulk     []outgoing // sent while queue is empty
-	queued   int        // cost of queue and bulk
+	queuedBytes   int        // cost of queue and bulk
 	lastUsed monotime.Instant
-	// writing is when what is being written was queued; 0 for nothing.
-	writing monotime.Instant
+	// writingSince is when what is being written was queued; 0 for nothing.
+	writingSince monotime.Instant
 	closing bool
 	reason  error
 
-	kick     chan struct{}
+	wakeup     chan struct{}
 	done     chan struct{} // closed when the link is to end
 	finished chan struct{} // closed when it has ended
 }
 
 // Reasons to close a link.
 var (
-	errSilent   = errors.New("peer was silent")
-	errOverfull = errors.New("outbound queue is full")
+	errPeerTimeout   = errors.New("peer was silent")
+	errQueueFull = errors.New("outbound queue is full")
 	errReplaced = errors.New("replaced by another link")
 	errIdle     = errors.New("idle")
-	errKey      = errors.New("key is not accepted any more")
+	errKeyRemoved      = errors.New("key is not accepted any more")
 	errStopped  = errors.New("stopped")
 )
 
@@ -74,56 +74,56 @@
 	return now.Sub(l.lastUsed)
 }
 
-// onDemandPatience is how much longer a link that was opened on demand may be
+// onDemandFactor is how much longer a link that was opened on demand may be
 // silent. An instance under load has one to most of the fleet, and a sign of life
 // each second on all of them would cost more than the heartbeats. That such a
 // link is dead shows sooner by the acquires on it, each of which is answered at
 // once; the sign of life only has it closed. Where one side takes the link for a
 // neighbour's and the other does not, the neighbour's heartbeats are answered
 // each second, so that neither side finds it silent.
-const onDemandPatience = 5
+const onDemandFactor = 5
 
-// patience is by how much the link's times are longer than those of a neighbour's.
-func (l *link) patience() time.Duration {
-	if l.set.isWanted(l.peer.ID) {
+// timeFactor is by how much the link's times are longer than those of a neighbour's.
+func (l *link) timeFactor() time.Duration {
+	if l.links.isTarget(l.peer.ID) {
 		return 1
 	}
-	return onDemandPatience
+	return onDemandFactor
 }
 
-// silence is how long nothing may come.
-func (l *link) silence() time.Duration {
-	return l.set.cfg.Timing.Silence * l.patience()
+// timeout is how long nothing may come.
+func (l *link) timeout() time.Duration {
+	return l.links.cfg.Timing.PeerTimeout * l.timeFactor()
 }
 
-// read hands envelopes to the handler until the link ends. Each side sends
+// readLoop hands envelopes to the handler until the link ends. Each side sends
 // something at least every SignOfLife, so a link from which nothing came for
 // Silence has lost one direction or the whole path, although TCP still calls
 // it open. Each byte counts, also of a message that is not complete.
-func (l *link) read() error {
+func (l *link) readLoop() error {
 	l.conn.SetReadLimit(MaxFrame)
 	l.conn.SetPingHandler(func(string) error {
-		l.set.counters.framesIn.Add(1)
-		l.set.counters.in[KindFraming].Add(uint64(framing(0, !l.dialer)))
-		return l.conn.SetReadDeadline(time.Now().Add(l.silence()))
+		l.links.counters.framesIn.Add(1)
+		l.links.counters.in[KindFraming].Add(uint64(frameOverhead(0, !l.dialer)))
+		return l.conn.SetReadDeadline(time.Now().Add(l.timeout()))
 	})
 	for {
-		l.conn.SetReadDeadline(time.Now().Add(l.silence()))
+		l.conn.SetReadDeadline(time.Now().Add(l.timeout()))
 		data, err := l.readMessage()
 		if err != nil {
 			return err
 		}
 		env, err := Decode(data)
 		if err != nil {
-			l.set.counters.invalid.Add(1)
+			l.links.counters.invalid.Add(1)
 			return err
 		}
-		l.set.counters.framesIn.Add(1)
-		count(&l.set.counters.in, env, len(data), !l.dialer)
+		l.links.counters.framesIn.Add(1)
+		countFrame(&l.links.counters.in, env, len(data), !l.dialer)
 		l.mu.Lock()
 		l.lastUsed = monotime.Now()
 		l.mu.Unlock()
-		l.set.cfg.Handler.Envelope(l.peer.ID, env)
+		l.links.cfg.Handler.Envelope(l.peer.ID, env)
 	}
 }
 
@@ -134,7 +134,7 @@
 	}
 	data, err := io.ReadAll(&partialReader{reader, l})
 	if err == nil {
-		l.partial.Store(0)
+		l.partialBytes.Store(0)
 	}
 	return data, err
 }
@@ -146,23 +146,23 @@
 }
 
 func (r *partialReader) Read(p []byte) (int, error) {
-	if err := r.link.conn.SetReadDeadline(time.Now().Add(r.link.silence())); err != nil {
+	if err := r.link.conn.SetReadDeadline(time.Now().Add(r.link.timeout())); err != nil {
 		return 0, err
 	}
 	n, err := r.Reader.Read(p)
-	r.link.partial.Add(int64(n))
-	r.link.heardAt.Store(int64(monotime.Now()))
+	r.link.partialBytes.Add(int64(n))
+	r.link.receivedAt.Store(int64(monotime.Now()))
 	return n, err
 }
 
 // serve runs the link until it ends and returns why.
 func (l *link) serve() error {
 	var writer sync.WaitGroup
-	writer.Go(l.write)
-	err := l.read()
+	writer.Go(l.writeLoop)
+	err := l.readLoop()
 	if netconn.IsTimeout(err) {
-		l.set.counters.silent.Add(1)
-		err = errSilent
+		l.links.counters.timedOut.Add(1)
+		err = errPeerTimeout
 	}
 	l.close(err)
 	// The WebSocket library takes its write buffer back when the connection's
@@ -173,24 +173,24 @@
 	return l.reason
 }
 
-// rawFrames carries the handshake.
-type rawFrames struct {
+// handshakeConn carries the handshake.
+type handshakeConn struct {
 	conn     *websocket.Conn
 	counters *Counters
 	dialer   bool
 }
 
-func (r rawFrames) writeEnvelope(env *wire.Envelope) error {
+func (r handshakeConn) writeEnvelope(env *wire.Envelope) error {
 	data, err := Encode(env)
 	if err != nil {
 		return err
 	}
 	r.counters.framesOut.Add(1)
-	count(&r.counters.out, env, len(data), r.dialer)
+	countFrame(&r.counters.out, env, len(data), r.dialer)
 	return r.conn.WriteMessage(websocket.BinaryMessage, data)
 }
 
-func (r rawFrames) readEnvelope() (*wire.Envelope, error) {
+func (r handshakeConn) readEnvelope() (*wire.Envelope, error) {
 	_, data, err := r.conn.ReadMessage()
 	if err != nil {
 		return nil, err
@@ -200,6 +200,6 @@
 		return nil, err
 	}
 	r.counters.framesIn.Add(1)
-	count(&r.counters.in, env, len(data), !r.dialer)
+	countFrame(&r.counters.in, env, len(data), !r.dialer)
 	return env, nil
 }
--- a/internal/peer/link_queue.go
+++ b/internal/peer/link_queue.go
@@ -16,10 +16,10 @@
 		l.mu.Unlock()
 		return false
 	}
-	if l.queued+add > l.set.cfg.Timing.QueueBytes {
+	if l.queuedBytes+add > l.links.cfg.Timing.MaxQueueBytes {
 		l.mu.Unlock()
-		l.set.counters.overfull.Add(1)
-		l.close(errOverfull)
+		l.links.counters.queueFull.Add(1)
+		l.close(errQueueFull)
 		return false
 	}
 	o.queuedAt = monotime.Now()
@@ -32,7 +32,7 @@
 
 // append puts an envelope into its queue; mu is held.
 func (l *link) append(o outgoing) {
-	l.queued += o.cost()
+	l.queuedBytes += o.cost()
 	if o.isBulk() {
 		l.bulk = append(l.bulk, o)
 		return
@@ -40,42 +40,42 @@
 	l.queue = append(l.queue, o)
 }
 
-// preload puts envelopes that waited for the link into its queue.
-func (l *link) preload(waited []outgoing) {
-	for _, o := range waited {
+// appendPending puts envelopes that waited for the link into its queue.
+func (l *link) appendPending(pending []outgoing) {
+	for _, o := range pending {
 		l.append(o)
 	}
-	if len(waited) > 0 {
+	if len(pending) > 0 {
 		l.wake()
 	}
 }
 
 func (l *link) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// take returns what is queued but for bulk.
-func (l *link) take() []outgoing {
+// takeQueued returns what is queued but for bulk.
+func (l *link) takeQueued() []outgoing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	queue := l.queue
 	l.queue = nil
 	for _, o := range queue {
-		l.queued -= o.cost()
+		l.queuedBytes -= o.cost()
 	}
 	return queue
 }
 
 // takeAll returns all that is queued.
 func (l *link) takeAll() []outgoing {
-	queue := l.take()
+	queue := l.takeQueued()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	queue = append(queue, l.bulk...)
-	l.bulk, l.queued = nil, 0
+	l.bulk, l.queuedBytes = nil, 0
 	return queue
 }
 
@@ -87,17 +87,17 @@
 	if len(l.queue) > 0 || len(l.bulk) == 0 {
 		return outgoing{}, 0, false
 	}
-	if wait = l.set.pace.take(l.bulk[0].cost(), now); wait > 0 {
+	if wait = l.links.bulkLimiter.reserve(l.bulk[0].cost(), now); wait > 0 {
 		return outgoing{}, wait, false
 	}
 	o, l.bulk = l.bulk[0], l.bulk[1:]
-	l.queued -= o.cost()
+	l.queuedBytes -= o.cost()
 	return o, 0, true
 }
 
-func (l *link) noteWriting(queuedAt monotime.Instant) {
+func (l *link) setWritingSince(queuedAt monotime.Instant) {
 	l.mu.Lock()
-	l.writing = queuedAt
+	l.writingSince = queuedAt
 	l.mu.Unlock()
 }
 
@@ -106,8 +106,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.writing != 0:
-		return now.Sub(l.writing)
+	case l.writingSince != 0:
+		return now.Sub(l.writingSince)
 	case len(l.queue) > 0:
 		return now.Sub(l.queue[0].queuedAt)
 	case len(l.bulk) > 0:
@@ -117,9 +117,9 @@
 	}
 }
 
-// gathered reports whether all that is queued is for several peers. Its sender has
-// gathered it already, and a further wait on each link would be a timer a message.
-func (l *link) gathered() bool {
+// onlyBroadcasts reports whether all that is queued is for several peers. Its sender has
+// onlyBroadcasts it already, and a further wait on each link would be a timer a message.
+func (l *link) onlyBroadcasts() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, o := range l.queue {
@@ -130,8 +130,8 @@
 	return true
 }
 
-// waits reports whether anything is queued but bulk.
-func (l *link) waits() bool {
+// hasQueued reports whether anything is queued but bulk.
+func (l *link) hasQueued() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue) > 0
--- a/internal/peer/link_write.go
+++ b/internal/peer/link_write.go
@@ -10,41 +10,41 @@
 	"basilrudder/internal/monotime"
 )
 
-// write sends what is queued, coalesced over a short delay, and a sign of life
+// writeLoop sends what is queued, coalesced over a short delay, and a sign of life
 // when there was nothing to send.
-func (l *link) write() {
-	timing := l.set.cfg.Timing
-	life := time.NewTicker(timing.SignOfLife)
-	defer life.Stop()
-	paced := time.NewTimer(time.Hour)
-	defer paced.Stop()
-	quiet := time.Duration(0)
+func (l *link) writeLoop() {
+	timing := l.links.cfg.Timing
+	keepAlive := time.NewTicker(timing.KeepAliveInterval)
+	defer keepAlive.Stop()
+	bulkTimer := time.NewTimer(time.Hour)
+	defer bulkTimer.Stop()
+	idleTicks := time.Duration(0)
 	for {
 		select {
 		case <-l.done:
 			return
-		case <-l.kick:
-			if !l.gathered() && !l.pause(timing.Coalesce) {
+		case <-l.wakeup:
+			if !l.onlyBroadcasts() && !l.pause(timing.CoalesceDelay) {
 				return
 			}
-			quiet = -1
-			if err := l.flush(paced); err != nil {
+			idleTicks = -1
+			if err := l.flush(bulkTimer); err != nil {
 				l.close(err)
 				return
 			}
-		case <-paced.C:
-			quiet = -1
-			if err := l.flush(paced); err != nil {
+		case <-bulkTimer.C:
+			idleTicks = -1
+			if err := l.flush(bulkTimer); err != nil {
 				l.close(err)
 				return
 			}
-		case <-life.C:
-			quiet++
-			if quiet < l.patience() {
+		case <-keepAlive.C:
+			idleTicks++
+			if idleTicks < l.timeFactor() {
 				continue
 			}
-			quiet = 0
-			if err := l.signOfLife(); err != nil {
+			idleTicks = 0
+			if err := l.sendPing(); err != nil {
 				l.close(err)
 				return
 			}
@@ -65,9 +65,9 @@
 
 // flush writes what is queued, and of bulk what there is time for. paced is set for the
 // rest.
-func (l *link) flush(paced *time.Timer) error {
+func (l *link) flush(bulkTimer *time.Timer) error {
 	for {
-		for _, o := range coalesce(l.take()) {
+		for _, o := range coalesce(l.takeQueued()) {
 			if err := l.send(o); err != nil {
 				return err
 			}
@@ -75,27 +75,27 @@
 		o, wait, ok := l.takeBulk(monotime.Now())
 		switch {
 		case wait > 0:
-			paced.Reset(wait)
+			bulkTimer.Reset(wait)
 			return nil
 		case ok:
 			if err := l.send(o); err != nil {
 				return err
 			}
-		case !l.waits():
+		case !l.hasQueued():
 			return nil
 		}
 	}
 }
 
 func (l *link) send(o outgoing) error {
-	l.noteWriting(o.queuedAt)
-	defer l.noteWriting(0)
-	data, err := o.encode(l.packs)
+	l.setWritingSince(o.queuedAt)
+	defer l.setWritingSince(0)
+	data, err := o.encode(l.compression)
 	if err != nil {
 		return err
 	}
-	l.set.counters.framesOut.Add(1)
-	count(&l.set.counters.out, o.env, len(data), l.dialer)
+	l.links.counters.framesOut.Add(1)
+	countFrame(&l.links.counters.out, o.env, len(data), l.dialer)
 	if err := l.writeMessage(data); err != nil {
 		return errors.Wrap(err, "write")
 	}
@@ -114,7 +114,7 @@
 		return err
 	}
 	for fragment := range slices.Chunk(data, fragmentBytes) {
-		l.conn.SetWriteDeadline(time.Now().Add(l.set.cfg.Timing.Silence))
+		l.conn.SetWriteDeadline(time.Now().Add(l.links.cfg.Timing.PeerTimeout))
 		if _, err := writer.Write(fragment); err != nil {
 			return err
 		}
@@ -122,12 +122,12 @@
 	return writer.Close()
 }
 
-func (l *link) signOfLife() error {
-	deadline := time.Now().Add(l.set.cfg.Timing.Silence)
+func (l *link) sendPing() error {
+	deadline := time.Now().Add(l.links.cfg.Timing.PeerTimeout)
 	if err := l.conn.WriteControl(websocket.PingMessage, nil, deadline); err != nil {
 		return errors.Wrap(err, "write sign of life")
 	}
-	l.set.counters.framesOut.Add(1)
-	l.set.counters.out[KindFraming].Add(uint64(framing(0, l.dialer)))
+	l.links.counters.framesOut.Add(1)
+	l.links.counters.out[KindFraming].Add(uint64(frameOverhead(0, l.dialer)))
 	return nil
 }
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -33,20 +33,20 @@
 const Path = "/v1/peer"
 
 const (
-	handshakesAtOnce = 1024
-	headerBytes      = 4 << 10
-	// restInterval is how long the dialing may rest when nothing is due.
-	restInterval = time.Second
+	maxHandshakes = 1024
+	maxHeaderBytes      = 4 << 10
+	// maxCheckInterval is how long the dialing may rest when nothing is due.
+	maxCheckInterval = time.Second
 )
 
 // Links is the set of links of one instance.
 type Links struct {
 	cfg      Config
 	counters Counters
-	pace     bulkPace
+	bulkLimiter     bulkLimiter
 	tasks    errgroup.Group
 	served   sync.WaitGroup
-	kick     chan struct{}
+	wakeup     chan struct{}
 
 	// events serialises the opening and closing of links with the handler's
 	// calls for them; it is taken before mu.
@@ -57,7 +57,7 @@
 	links   map[string]*link
 	conns   map[*websocket.Conn]struct{} // served, links or in their handshake
 	dials   map[string]*dial
-	wanted  map[string]Target
+	targets  map[string]Target
 	stopped bool
 }
 
@@ -78,13 +78,13 @@
 	}
 	return &Links{
 		cfg:    cfg,
-		pace:   bulkPace{rate: cfg.Timing.BulkBytes},
-		kick:   make(chan struct{}, 1),
+		bulkLimiter:   bulkLimiter{rate: cfg.Timing.BulkRate},
+		wakeup:   make(chan struct{}, 1),
 		keys:   slices.Clone(cfg.Keys),
 		links:  make(map[string]*link),
 		conns:  make(map[*websocket.Conn]struct{}),
 		dials:  make(map[string]*dial),
-		wanted: make(map[string]Target),
+		targets: make(map[string]Target),
 	}, nil
 }
 
@@ -101,11 +101,11 @@
 func (s *Links) Run(ctx context.Context) error {
 	server := &fasthttp.Server{
 		Handler:                      s.accept,
-		Concurrency:                  handshakesAtOnce,
-		ReadTimeout:                  s.cfg.Timing.Handshake,
-		WriteTimeout:                 s.cfg.Timing.Handshake,
-		IdleTimeout:                  s.cfg.Timing.Handshake,
-		ReadBufferSize:               headerBytes,
+		Concurrency:                  maxHandshakes,
+		ReadTimeout:                  s.cfg.Timing.HandshakeTimeout,
+		WriteTimeout:                 s.cfg.Timing.HandshakeTimeout,
+		IdleTimeout:                  s.cfg.Timing.HandshakeTimeout,
+		ReadBufferSize:               maxHeaderBytes,
 		MaxRequestBodySize:           1,
 		DisablePreParseMultipartForm: true,
 		NoDefaultServerHeader:        true,
@@ -147,15 +147,15 @@
 	s.mu.Unlock()
 }
 
-// SetWanted replaces the set of peers to keep links to.
-func (s *Links) SetWanted(targets []Target) {
-	wanted := make(map[string]Target, len(targets))
+// SetTargets replaces the set of peers to keep links to.
+func (s *Links) SetTargets(targets []Target) {
+	byKey := make(map[string]Target, len(targets))
 	for _, t := range targets {
-		wanted[t.key()] = t
+		byKey[t.key()] = t
 	}
 	s.mu.Lock()
-	same := maps.Equal(s.wanted, wanted)
-	s.wanted = wanted
+	same := maps.Equal(s.targets, byKey)
+	s.targets = byKey
 	s.mu.Unlock()
 	if !same {
 		s.wake()
@@ -178,7 +178,7 @@
 	}
 	s.mu.Unlock()
 	for _, l := range stale {
-		l.close(errKey)
+		l.close(errKeyRemoved)
 	}
 }
 
@@ -218,14 +218,14 @@
 // whenever it comes. It should not be longer than a few ten kilobytes. It does not block.
 func (s *Links) SendBulk(to string, env *wire.Envelope) bool {
 	l := s.link(to)
-	return l != nil && l.enqueue(outgoing{env: env, late: true})
+	return l != nil && l.enqueue(outgoing{env: env, bulk: true})
 }
 
-func (s *Links) isWanted(id string) bool {
+func (s *Links) isTarget(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, wanted := s.wanted[id]
-	return wanted
+	_, ok := s.targets[id]
+	return ok
 }
 
 // Linked reports whether a link to the peer is open.
@@ -255,8 +255,8 @@
 	defer s.mu.Unlock()
 	out := make([]Peer, 0, len(s.links))
 	for id, l := range s.links {
-		_, wanted := s.wanted[id]
-		out = append(out, Peer{Identity: l.peer, Age: now.Sub(l.opened), Wanted: wanted})
+		_, isTarget := s.targets[id]
+		out = append(out, Peer{Identity: l.peer, Age: now.Sub(l.openedAt), Wanted: isTarget})
 	}
 	slices.SortFunc(out, func(a, b Peer) int {
 		return strings.Compare(a.ID, b.ID)
@@ -266,7 +266,7 @@
 
 func (s *Links) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -13,9 +13,9 @@
 )
 
 var testTiming = Timing{
-	SignOfLife: 20 * time.Millisecond,
-	Silence:    150 * time.Millisecond,
-	Handshake:  time.Second,
+	KeepAliveInterval: 20 * time.Millisecond,
+	PeerTimeout:    150 * time.Millisecond,
+	HandshakeTimeout:  time.Second,
 	BackoffMin: 5 * time.Millisecond,
 	BackoffMax: 20 * time.Millisecond,
 }
@@ -35,24 +35,24 @@
 func (r *recorder) LinkUp(peer Identity)                     { r.up <- peer }
 func (r *recorder) LinkDown(_ string, err error)             { r.down <- err }
 
-// mutable is a connection that can go silent: what is written vanishes, what
+// droppingConn is a connection that can go silent: what is written vanishes, what
 // arrives is swallowed, and neither end is told.
-type mutable struct {
+type droppingConn struct {
 	net.Conn
-	mute *atomic.Bool
+	dropping *atomic.Bool
 }
 
-func (m mutable) Write(p []byte) (int, error) {
-	if m.mute.Load() {
+func (m droppingConn) Write(p []byte) (int, error) {
+	if m.dropping.Load() {
 		return len(p), nil
 	}
 	return m.Conn.Write(p)
 }
 
-func (m mutable) Read(p []byte) (int, error) {
+func (m droppingConn) Read(p []byte) (int, error) {
 	for {
 		n, err := m.Conn.Read(p)
-		if err != nil || !m.mute.Load() {
+		if err != nil || !m.dropping.Load() {
 			return n, err
 		}
 	}
@@ -62,7 +62,7 @@
 	*Links
 	*recorder
 	address string
-	mute    atomic.Pointer[atomic.Bool] // of the last connection dialed
+	dropping    atomic.Pointer[atomic.Bool] // of the last connection dialed
 }
 
 func start(t *testing.T, id string, change func(*Config)) *instance {
@@ -84,8 +84,8 @@
 	}
 	cfg.Dial = func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dialTCP(ctx, address)
-		in.mute.Store(new(atomic.Bool))
-		return mutable{conn, in.mute.Load()}, err
+		in.dropping.Store(new(atomic.Bool))
+		return droppingConn{conn, in.dropping.Load()}, err
 	}
 	if change != nil {
 		change(&cfg)
@@ -105,7 +105,7 @@
 	return in
 }
 
-func next[T any](t *testing.T, what string, ch <-chan T) T {
+func receive[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-ch:
@@ -151,17 +151,17 @@
 
 func TestLinkCarriesBothWays(t *testing.T) {
 	a, b := start(t, "a", nil), start(t, "b", nil)
-	a.SetWanted([]Target{{ID: "b", Address: b.address}})
-	if got := next(t, "link at a", a.up); got.ID != "b" || got.PeerAddress != b.address {
+	a.SetTargets([]Target{{ID: "b", Address: b.address}})
+	if got := receive(t, "link at a", a.up); got.ID != "b" || got.PeerAddress != b.address {
 		t.Errorf("a is linked to %+v", got)
 	}
-	next(t, "link at b", b.up)
+	receive(t, "link at b", b.up)
 	a.Send("b", ping(1))
 	b.Send("a", &wire.Envelope{Grants: []wire.Grant{{Seq: 7, Group: "g", Server: "s", Engine: "e", LeaseMS: 1}}})
-	if got := next(t, "ping", b.envelopes); got.from != "a" || got.env.Ping.Seq != 1 {
+	if got := receive(t, "ping", b.envelopes); got.from != "a" || got.env.Ping.Seq != 1 {
 		t.Errorf("b got %+v", got)
 	}
-	if got := next(t, "grant", a.envelopes); got.env.Grants[0].Seq != 7 {
+	if got := receive(t, "grant", a.envelopes); got.env.Grants[0].Seq != 7 {
 		t.Errorf("a got %+v", got)
 	}
 	snap := a.Counters().Snapshot()
@@ -175,8 +175,8 @@
 	// is refused before anything it says reaches the handler.
 	b := start(t, "b", nil)
 	a := start(t, "a", func(cfg *Config) { cfg.Keys = []Key{{"k1", "another secret entirely"}} })
-	a.SetWanted([]Target{{ID: "b", Address: b.address}})
-	b.SetWanted([]Target{{ID: "a", Address: a.address}})
+	a.SetTargets([]Target{{ID: "b", Address: b.address}})
+	b.SetTargets([]Target{{ID: "a", Address: a.address}})
 	eventually(t, "refusals at both", func() bool {
 		return min(a.Counters().Snapshot().HandshakesRefused, b.Counters().Snapshot().HandshakesRefused) >= 3
 	})
@@ -191,8 +191,8 @@
 	// those that the old key opened are opened anew when it is removed.
 	k1, k2 := Key{"k1", "a secret of the fleet"}, Key{"k2", "its successor"}
 	a, b := start(t, "a", nil), start(t, "b", nil)
-	a.SetWanted([]Target{{ID: "b", Address: b.address}})
-	next(t, "link", a.up)
+	a.SetTargets([]Target{{ID: "b", Address: b.address}})
+	receive(t, "link", a.up)
 	a.SetKeys([]Key{k1, k2})
 	b.SetKeys([]Key{k1, k2})
 	a.SetKeys([]Key{k2, k1})
@@ -202,84 +202,84 @@
 	}
 	b.SetKeys([]Key{k2, k1})
 	a.SetKeys([]Key{k2})
-	next(t, "end of the link opened with the old key", a.down)
-	next(t, "new link", a.up)
+	receive(t, "end of the link opened with the old key", a.down)
+	receive(t, "new link", a.up)
 	b.SetKeys([]Key{k2})
 	deliver(t, a, b, "b", 2)
 }
 
-func TestSilentLinkIsReplaced(t *testing.T) {
+func TestUnresponsiveLinkIsReplaced(t *testing.T) {
 	// Something between two instances forgets their connection: what either
 	// writes vanishes and neither gets an error, while a new connection works.
 	// Both sides miss the sign of life, and a new link takes over.
 	a, b := start(t, "a", nil), start(t, "b", nil)
-	a.SetWanted([]Target{{ID: "b", Address: b.address}})
-	next(t, "link at a", a.up)
-	next(t, "link at b", b.up)
-	a.mute.Load().Store(true)
-	next(t, "end at a", a.down)
-	next(t, "end at b", b.down)
-	next(t, "new link at a", a.up)
-	next(t, "new link at b", b.up)
+	a.SetTargets([]Target{{ID: "b", Address: b.address}})
+	receive(t, "link at a", a.up)
+	receive(t, "link at b", b.up)
+	a.dropping.Load().Store(true)
+	receive(t, "end at a", a.down)
+	receive(t, "end at b", b.down)
+	receive(t, "new link at a", a.up)
+	receive(t, "new link at b", b.up)
 	deliver(t, a, b, "b", 1)
 	deliver(t, b, a, "a", 2)
 }
 
-func TestSimultaneousLinks(t *testing.T) {
+func TestSimultaneousDialsKeepOneLink(t *testing.T) {
 	// Both instances dial each other at the same time. Each sees two links and
 	// both keep the same one; otherwise each would close the one that the
 	// other kept, for ever.
 	a, b := start(t, "a", nil), start(t, "b", nil)
-	a.SetWanted([]Target{{ID: "b", Address: b.address}})
-	b.SetWanted([]Target{{ID: "a", Address: a.address}})
+	a.SetTargets([]Target{{ID: "b", Address: b.address}})
+	b.SetTargets([]Target{{ID: "a", Address: a.address}})
 	deliver(t, a, b, "b", 1)
 	deliver(t, b, a, "a", 2)
 	eventually(t, "the same link at both", func() bool {
-		ours, theirs := a.Links.link("b"), b.Links.link("a")
-		return ours != nil && theirs != nil && ours.dialer != theirs.dialer
+		atA, atB := a.Links.link("b"), b.Links.link("a")
+		return atA != nil && atB != nil && atA.dialer != atB.dialer
 	})
 }
 
-func TestSlowPeerLosesItsLink(t *testing.T) {
+func TestFullQueueClosesLink(t *testing.T) {
 	// A peer stops reading, as a stopped process does. The sender's queue
 	// fills up, Send says no without waiting, and the link is closed so that
 	// both sides know that messages were lost.
 	block := make(chan struct{})
-	b := start(t, "b", func(cfg *Config) { cfg.Handler = blocking{cfg.Handler, block} })
-	a := start(t, "a", func(cfg *Config) { cfg.Timing.QueueBytes = 1 << 20 })
-	a.SetWanted([]Target{{ID: "b", Address: b.address}})
-	next(t, "link", a.up)
+	b := start(t, "b", func(cfg *Config) { cfg.Handler = blockingHandler{cfg.Handler, block} })
+	a := start(t, "a", func(cfg *Config) { cfg.Timing.MaxQueueBytes = 1 << 20 })
+	a.SetTargets([]Target{{ID: "b", Address: b.address}})
+	receive(t, "link", a.up)
 	data := make([]byte, 64<<10)
 	for i := 0; a.Send("b", &wire.Envelope{ConfigPart: &wire.ConfigPart{Revision: i, Data: data}}); i++ {
 	}
-	if err := next(t, "end of the link", a.down); !errors.Is(err, errOverfull) {
+	if err := receive(t, "end of the link", a.down); !errors.Is(err, errQueueFull) {
 		t.Errorf("link ended with %v", err)
 	}
 	close(block)
 }
 
-type blocking struct {
+type blockingHandler struct {
 	Handler
 	block chan struct{}
 }
 
-func (b blocking) Envelope(string, *wire.Envelope) { <-b.block }
+func (b blockingHandler) Envelope(string, *wire.Envelope) { <-b.block }
 
 func TestLinkOnDemand(t *testing.T) {
 	// An envelope for a peer that is no neighbour opens a link, and the link
 	// is closed when it was not used for a while.
 	b := start(t, "b", nil)
 	a := start(t, "a", func(cfg *Config) {
-		cfg.Timing.Idle = 200 * time.Millisecond
+		cfg.Timing.IdleTimeout = 200 * time.Millisecond
 		cfg.Resolve = func(id string) (string, bool) { return b.address, id == "b" }
 	})
 	if !a.Send("b", ping(1)) {
 		t.Fatal("not taken")
 	}
-	if got := next(t, "ping", b.envelopes); got.env.Ping.Seq != 1 {
+	if got := receive(t, "ping", b.envelopes); got.env.Ping.Seq != 1 {
 		t.Errorf("b got %+v", got.env)
 	}
-	if err := next(t, "end of the idle link", a.down); !errors.Is(err, errIdle) {
+	if err := receive(t, "end of the idle link", a.down); !errors.Is(err, errIdle) {
 		t.Errorf("link ended with %v", err)
 	}
 	if a.Send("nobody", ping(2)) {
@@ -300,7 +300,7 @@
 		cfg.Resolve = func(string) (string, bool) { return closed.Addr().String(), true }
 	})
 	a.Send("b", ping(1))
-	next(t, "loss", a.down)
+	receive(t, "loss", a.down)
 	if a.Send("b", ping(2)) {
 		t.Error("took an envelope during the backoff")
 	}
@@ -311,18 +311,18 @@
 	// open. The link of the new incarnation takes over at once, and nothing of
 	// the old one comes after it. The side that accepted the old link must end
 	// it by itself: with silence allowed for an hour, nothing else would.
-	patient := func(cfg *Config) { cfg.Timing.Silence = time.Hour }
-	b := start(t, "b", patient)
+	longTimeout := func(cfg *Config) { cfg.Timing.PeerTimeout = time.Hour }
+	b := start(t, "b", longTimeout)
 	for i := 1; i <= 3; i++ {
 		old := start(t, "a", func(cfg *Config) {
-			patient(cfg)
+			longTimeout(cfg)
 			cfg.Self.Incarnation = fmt.Sprint(i)
 		})
-		old.SetWanted([]Target{{ID: "b", Address: b.address}})
-		for got := next(t, "link at b", b.up); got.Incarnation != fmt.Sprint(i); {
-			got = next(t, "link at b", b.up)
+		old.SetTargets([]Target{{ID: "b", Address: b.address}})
+		for got := receive(t, "link at b", b.up); got.Incarnation != fmt.Sprint(i); {
+			got = receive(t, "link at b", b.up)
 		}
-		old.SetWanted(nil)
+		old.SetTargets(nil)
 	}
 }
 
@@ -331,29 +331,29 @@
 // open for as long as the handler runs, and the handler waited for the peer's
 // next message, up to the time that counts as silence.
 func TestAcceptedLinkIsClosedAtOnce(t *testing.T) {
-	patient := func(cfg *Config) { cfg.Timing.Silence = time.Hour }
-	acceptor := start(t, "a", patient)
-	dialer := start(t, "b", patient)
-	dialer.SetWanted([]Target{{ID: "a", Address: acceptor.address}})
-	next(t, "link", dialer.up)
-	next(t, "link", acceptor.up)
+	longTimeout := func(cfg *Config) { cfg.Timing.PeerTimeout = time.Hour }
+	acceptor := start(t, "a", longTimeout)
+	dialer := start(t, "b", longTimeout)
+	dialer.SetTargets([]Target{{ID: "a", Address: acceptor.address}})
+	receive(t, "link", dialer.up)
+	receive(t, "link", acceptor.up)
 	acceptor.stop()
-	next(t, "end of the link", acceptor.down)
-	next(t, "end of the link", dialer.down)
+	receive(t, "end of the link", acceptor.down)
+	receive(t, "end of the link", dialer.down)
 }
 
 // An instance under load has a link to most of the fleet. A sign of life each
 // second on all of them would cost more than the heartbeats, so those opened on
 // demand have a longer time, on both sides, than those to neighbours.
-func TestLinksOnDemandMaySayLess(t *testing.T) {
+func TestOnDemandLinkHasLongerTimeout(t *testing.T) {
 	links, err := New(Config{Keys: []Key{{ID: "k", Secret: "a-secret-for-tests"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &link{set: links, peer: Identity{ID: "b"}}
-	onDemand := l.silence()
-	links.SetWanted([]Target{{ID: "b", Address: "127.0.0.1:1"}})
-	if wanted := l.silence(); wanted != links.cfg.Timing.Silence || onDemand != onDemandPatience*wanted {
+	l := &link{links: links, peer: Identity{ID: "b"}}
+	onDemand := l.timeout()
+	links.SetTargets([]Target{{ID: "b", Address: "127.0.0.1:1"}})
+	if wanted := l.timeout(); wanted != links.cfg.Timing.PeerTimeout || onDemand != onDemandFactor*wanted {
 		t.Errorf("silence of %v on demand and %v to a neighbour", onDemand, wanted)
 	}
 }
--- a/internal/peer/outgoing.go
+++ b/internal/peer/outgoing.go
@@ -12,38 +12,38 @@
 	env *wire.Envelope
 	// shared is what the links of a Broadcast have in common; nil for an envelope
 	// of one link.
-	shared *shared
-	// late says that other envelopes are to pass this one.
-	late bool
+	shared *sharedEncoding
+	// bulk says that other envelopes are to pass this one.
+	bulk bool
 	// queuedAt is when it was queued.
 	queuedAt monotime.Instant
 }
 
-// shared is an envelope for several peers, which is encoded once for each form of frames.
-type shared struct {
+// sharedEncoding is an envelope for several peers, which is encoded once for each form of frames.
+type sharedEncoding struct {
 	cost          int
-	plain, packed encoded
+	plain, compressed lazyEncoding
 }
 
-// encoded is a frame that is made when it is first needed.
-type encoded struct {
+// lazyEncoding is a frame that is made when it is first needed.
+type lazyEncoding struct {
 	once sync.Once
 	data []byte
 	err  error
 }
 
-func (e *encoded) make(env *wire.Envelope, packs bool) ([]byte, error) {
-	e.once.Do(func() { e.data, e.err = encode(env, packs) })
+func (e *lazyEncoding) get(env *wire.Envelope, compression bool) ([]byte, error) {
+	e.once.Do(func() { e.data, e.err = encode(env, compression) })
 	return e.data, e.err
 }
 
 // encode writes the envelope of a frame, compressed where the peer understands that.
-func encode(env *wire.Envelope, packs bool) ([]byte, error) {
+func encode(env *wire.Envelope, compression bool) ([]byte, error) {
 	data, err := Encode(env)
-	if err != nil || !packs {
+	if err != nil || !compression {
 		return data, err
 	}
-	return pack(data), nil
+	return compress(data), nil
 }
 
 func (o outgoing) cost() int {
@@ -53,16 +53,16 @@
 	return cost(o.env)
 }
 
-func (o outgoing) isBulk() bool { return o.late || o.env.ConfigPart != nil }
+func (o outgoing) isBulk() bool { return o.bulk || o.env.ConfigPart != nil }
 
-func (o outgoing) encode(packs bool) ([]byte, error) {
+func (o outgoing) encode(compression bool) ([]byte, error) {
 	switch {
 	case o.shared == nil:
-		return encode(o.env, packs)
-	case packs:
-		return o.shared.packed.make(o.env, packs)
+		return encode(o.env, compression)
+	case compression:
+		return o.shared.compressed.get(o.env, compression)
 	default:
-		return o.shared.plain.make(o.env, packs)
+		return o.shared.plain.get(o.env, compression)
 	}
 }
 
@@ -70,7 +70,7 @@
 // over. It is encoded once, and sent without waiting for more. It does not block and
 // may be called from the handler. The envelope must not be changed afterwards.
 func (s *Links) Broadcast(to []string, env *wire.Envelope) {
-	o := outgoing{env: env, shared: &shared{cost: cost(env)}}
+	o := outgoing{env: env, shared: &sharedEncoding{cost: cost(env)}}
 	for _, id := range to {
 		if l := s.link(id); l != nil {
 			l.enqueue(o)
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -11,9 +11,9 @@
 	"basilrudder/internal/monotime"
 )
 
-// simultaneousRatio times Timing.SignOfLife is the age below which two links
+// simultaneousIntervals times Timing.SignOfLife is the age below which two links
 // count as opened at the same time.
-const simultaneousRatio = 2
+const simultaneousIntervals = 2
 
 var upgrader = websocket.FastHTTPUpgrader{
 	// Peers prove a key; browsers and their origins play no part.
@@ -26,38 +26,38 @@
 		return
 	}
 	err := upgrader.Upgrade(ctx, func(conn *websocket.Conn) {
-		s.run(conn, false, "")
+		s.serveConn(conn, false, "")
 	})
 	if err != nil {
-		s.counters.refused.Add(1)
+		s.counters.handshakesRefused.Add(1)
 	}
 }
 
-// run shakes hands on a connection and serves it as a link until it ends. It
+// serveConn shakes hands on a connection and serves it as a link until it ends. It
 // returns nil once the link was open.
-func (s *Links) run(conn *websocket.Conn, dialer bool, expect string) error {
+func (s *Links) serveConn(conn *websocket.Conn, dialer bool, expectedID string) error {
 	defer conn.Close()
-	if !s.begin(conn) {
+	if !s.trackConn(conn) {
 		return errStopped
 	}
-	defer s.end(conn)
-	agreed, err := s.shake(conn, dialer)
-	if err == nil && expect != "" && agreed.peer.ID != expect {
-		err = errors.Errorf("address of %s answers as %s", expect, agreed.peer.ID)
+	defer s.untrackConn(conn)
+	result, err := s.handshake(conn, dialer)
+	if err == nil && expectedID != "" && result.peer.ID != expectedID {
+		err = errors.Errorf("address of %s answers as %s", expectedID, result.peer.ID)
 	}
 	if err != nil {
-		s.counters.refused.Add(1)
+		s.counters.handshakesRefused.Add(1)
 		s.cfg.Log.Warn("peer handshake failed", zap.Error(err), zap.Bool("dialer", dialer))
 		return err
 	}
 	now := monotime.Now()
 	l := &link{
-		conn: conn, set: s, peer: agreed.peer, keyID: agreed.keyID, dialer: dialer,
-		packs:  agreed.version >= versionPacked,
-		opened: now, lastUsed: now,
-		kick: make(chan struct{}, 1), done: make(chan struct{}), finished: make(chan struct{}),
+		conn: conn, links: s, peer: result.peer, keyID: result.keyID, dialer: dialer,
+		compression:  result.version >= versionCompressed,
+		openedAt: now, lastUsed: now,
+		wakeup: make(chan struct{}, 1), done: make(chan struct{}), finished: make(chan struct{}),
 	}
-	l.heardAt.Store(int64(now))
+	l.receivedAt.Store(int64(now))
 	if !s.register(l) {
 		return nil
 	}
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// begin counts a connection that Run has to wait for, unless Run is over.
-func (s *Links) begin(conn *websocket.Conn) bool {
+// trackConn counts a connection that Run has to wait for, unless Run is over.
+func (s *Links) trackConn(conn *websocket.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopped {
@@ -79,25 +79,25 @@
 	return true
 }
 
-func (s *Links) end(conn *websocket.Conn) {
+func (s *Links) untrackConn(conn *websocket.Conn) {
 	s.mu.Lock()
 	delete(s.conns, conn)
 	s.mu.Unlock()
 	s.served.Done()
 }
 
-func (s *Links) shake(conn *websocket.Conn, dialer bool) (agreement, error) {
+func (s *Links) handshake(conn *websocket.Conn, dialer bool) (handshakeResult, error) {
 	s.mu.Lock()
 	keys := s.keys
 	s.mu.Unlock()
 	conn.SetReadLimit(maxHelloFrame)
-	conn.NetConn().SetDeadline(time.Now().Add(s.cfg.Timing.Handshake))
+	conn.NetConn().SetDeadline(time.Now().Add(s.cfg.Timing.HandshakeTimeout))
 	defer conn.NetConn().SetDeadline(time.Time{})
-	raw := rawFrames{conn, &s.counters, dialer}
+	raw := handshakeConn{conn, &s.counters, dialer}
 	if dialer {
-		return shakeAsDialer(raw, s.cfg.Self, keys)
+		return handshakeAsDialer(raw, s.cfg.Self, keys)
 	}
-	return shakeAsAcceptor(raw, s.cfg.Self, keys)
+	return handshakeAsAcceptor(raw, s.cfg.Self, keys)
 }
 
 // register makes l the link to its peer and reports whether it was taken.
@@ -106,15 +106,15 @@
 	defer s.events.Unlock()
 	s.mu.Lock()
 	old := s.links[l.peer.ID]
-	if s.stopped || old != nil && !s.prefer(l, old) {
+	if s.stopped || old != nil && !s.prefers(l, old) {
 		s.mu.Unlock()
 		return false
 	}
-	l.preload(s.takePending(l.peer.ID))
+	l.appendPending(s.takePending(l.peer.ID))
 	if old != nil {
 		old.close(errReplaced)
 		if old.peer.Incarnation == l.peer.Incarnation {
-			l.preload(old.takeAll())
+			l.appendPending(old.takeAll())
 		}
 	}
 	s.links[l.peer.ID] = l
@@ -126,24 +126,24 @@
 		s.counters.replaced.Add(1)
 		s.cfg.Handler.LinkDown(l.peer.ID, errReplaced)
 	} else {
-		s.counters.open.Add(1)
+		s.counters.openLinks.Add(1)
 	}
 	s.cfg.Handler.LinkUp(l.peer)
 	return true
 }
 
-// prefer decides between two links to one peer. When both sides dialed at the
+// prefers decides between two links to one peer. When both sides dialed at the
 // same time, both keep the one that the lower id opened. Otherwise the newer
 // one wins: its dialer has found the older one broken, of which this side may
 // know nothing yet.
-func (s *Links) prefer(fresh, old *link) bool {
-	if fresh.peer.Incarnation != old.peer.Incarnation || fresh.dialer == old.dialer {
+func (s *Links) prefers(candidate, old *link) bool {
+	if candidate.peer.Incarnation != old.peer.Incarnation || candidate.dialer == old.dialer {
 		return true
 	}
-	if fresh.opened.Sub(old.opened) >= simultaneousRatio*s.cfg.Timing.SignOfLife {
+	if candidate.openedAt.Sub(old.openedAt) >= simultaneousIntervals*s.cfg.Timing.KeepAliveInterval {
 		return true
 	}
-	return fresh.dialer == (s.cfg.Self.ID < fresh.peer.ID)
+	return candidate.dialer == (s.cfg.Self.ID < candidate.peer.ID)
 }
 
 func (s *Links) unregister(l *link, reason error) {
@@ -157,7 +157,7 @@
 	s.mu.Unlock()
 	s.logEnd(l, reason)
 	if current {
-		s.counters.open.Add(-1)
+		s.counters.openLinks.Add(-1)
 		s.cfg.Handler.LinkDown(l.peer.ID, reason)
 		s.wake()
 	}
@@ -167,11 +167,11 @@
 func (s *Links) logEnd(l *link, reason error) {
 	now := monotime.Now()
 	l.mu.Lock()
-	queued := l.queued
+	queued := l.queuedBytes
 	l.mu.Unlock()
 	s.cfg.Log.Info("link_ended", zap.String("peer", l.peer.ID), zap.String("cause", reason.Error()), zap.Bool("dialer", l.dialer),
-		zap.Duration("lasted_ms", now.Sub(l.opened)),
+		zap.Duration("lasted_ms", now.Sub(l.openedAt)),
 		zap.Int("queued_bytes", queued), zap.Duration("queue_delay_ms", l.delay(now)),
-		zap.Int64("partial_bytes", l.partial.Load()),
-		zap.Duration("heard_ms", now.Sub(monotime.Instant(l.heardAt.Load()))))
+		zap.Int64("partial_bytes", l.partialBytes.Load()),
+		zap.Duration("heard_ms", now.Sub(monotime.Instant(l.receivedAt.Load()))))
 }
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -38,7 +38,7 @@
 // A daemon may spend 6 KB a second on control. Every request costs its owner and
 // its holder these messages, so their size decides how many requests that
 // carries; docs/design/who-decides.md adds them up.
-func TestMessagesOfARequestAreSmall(t *testing.T) {
+func TestRequestMessageSizes(t *testing.T) {
 	for _, m := range []struct {
 		name  string
 		bound int
@@ -66,7 +66,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		size := len(data) + framing(len(data), true)
+		size := len(data) + frameOverhead(len(data), true)
 		t.Logf("%-14s %4d bytes, with the header of its frame %4d", m.name, len(data), size)
 		if size > m.bound {
 			t.Errorf("%s takes %d bytes, more than %d", m.name, size, m.bound)
--- a/internal/peer/slow_test.go
+++ b/internal/peer/slow_test.go
@@ -26,7 +26,7 @@
 	return out
 }
 
-const slowLink = 10e6 / 8 // bytes a second
+const slowLinkRate = 10e6 / 8 // bytes a second
 
 // startSlow links two instances over slow links in virtual time and returns them with a
 // function that ends both.
@@ -38,8 +38,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var tasks errgroup.Group
 	network := narrownet.New()
-	begin := func(id string) *instance {
-		host := network.Host(id, slowLink)
+	startInstance := func(id string) *instance {
+		host := network.Host(id, slowLinkRate)
 		in := &instance{
 			recorder: &recorder{make(chan received, 4096), make(chan Identity, 4096), make(chan error, 4096)},
 			address:  id + ":1",
@@ -57,11 +57,11 @@
 		tasks.Go(func() error { return links.Run(ctx) })
 		return in
 	}
-	a, b = begin("a"), begin("b")
-	a.SetWanted([]Target{{ID: "b", Address: b.address}})
+	a, b = startInstance("a"), startInstance("b")
+	a.SetTargets([]Target{{ID: "b", Address: b.address}})
 	<-a.up
 	<-b.up
-	b.SetWanted([]Target{{ID: "a", Address: a.address}})
+	b.SetTargets([]Target{{ID: "a", Address: a.address}})
 	return a, b, func() {
 		cancel()
 		if err := tasks.Wait(); err != nil {
@@ -72,10 +72,10 @@
 }
 
 // Guards against a link that is closed as silent while a long message comes in.
-func TestALongMessageIsNoSilence(t *testing.T) {
+func TestLongMessageDoesNotTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b, stop := startSlow(t, Timing{SignOfLife: 200 * time.Millisecond, Silence: 700 * time.Millisecond})
-		long := &wire.Envelope{ConfigPart: &wire.ConfigPart{Data: incompressible(slowLink)}}
+		a, b, stop := startSlow(t, Timing{KeepAliveInterval: 200 * time.Millisecond, PeerTimeout: 700 * time.Millisecond})
+		long := &wire.Envelope{ConfigPart: &wire.ConfigPart{Data: incompressible(slowLinkRate)}}
 		for _, side := range []struct {
 			from, to *instance
 			id       string
@@ -95,12 +95,12 @@
 }
 
 // Guards against urgent messages that wait behind pieces of a configuration.
-func TestUrgentMessagesPassPieces(t *testing.T) {
+func TestUrgentMessagesPassConfigurationPieces(t *testing.T) {
 	const pieces, pieceBytes = 64, 32 << 10
-	const whole = pieces * pieceBytes * time.Second / slowLink
-	for _, rate := range []int{0, slowLink / 2} {
+	const whole = pieces * pieceBytes * time.Second / slowLinkRate
+	for _, rate := range []int{0, slowLinkRate / 2} {
 		synctest.Test(t, func(t *testing.T) {
-			timing := Timing{SignOfLife: 200 * time.Millisecond, Silence: 700 * time.Millisecond, BulkBytes: rate}
+			timing := Timing{KeepAliveInterval: 200 * time.Millisecond, PeerTimeout: 700 * time.Millisecond, BulkRate: rate}
 			a, b, stop := startSlow(t, timing)
 			for n := range pieces {
 				a.Send("b", &wire.Envelope{ConfigPart: &wire.ConfigPart{Offset: n, Data: incompressible(pieceBytes)}})
@@ -121,8 +121,8 @@
 					n++
 				}
 			}
-			if most := whole / 10; took == 0 || took > most {
-				t.Errorf("urgent after %v, at most %v wanted; all pieces take %v", took, most, whole)
+			if limit := whole / 10; took == 0 || took > limit {
+				t.Errorf("urgent after %v, at most %v wanted; all pieces take %v", took, limit, whole)
 			}
 			stop()
 		})
@@ -130,18 +130,18 @@
 }
 
 // Guards against bulk that takes more of a link than it may.
-func TestBulkKeepsToItsPace(t *testing.T) {
-	pace := bulkPace{rate: 1 << 20}
+func TestBulkRateLimit(t *testing.T) {
+	limiter := bulkLimiter{rate: 1 << 20}
 	now, sent := monotime.Instant(time.Hour), 0
 	until := now.Add(time.Second)
 	for now < until {
-		if wait := pace.take(32<<10, now); wait > 0 {
+		if wait := limiter.reserve(32<<10, now); wait > 0 {
 			now = now.Add(wait)
 			continue
 		}
 		sent += 32 << 10
 	}
-	if least, most := 1<<20, 1<<20+bulkBurst+32<<10; sent < least || sent > most {
-		t.Errorf("%d bytes in a second, between %d and %d wanted", sent, least, most)
+	if minimum, maximum := 1<<20, 1<<20+bulkBurst+32<<10; sent < minimum || sent > maximum {
+		t.Errorf("%d bytes in a second, between %d and %d wanted", sent, minimum, maximum)
 	}
 }
