--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -57,10 +57,10 @@
 // next try is one in which no instance knows the others.
 var linkTiming = peer.Timing{
 	KeepAliveInterval: 200 * time.Millisecond,
-	PeerTimeout:    700 * time.Millisecond,
+	PeerTimeout:       700 * time.Millisecond,
 	HandshakeTimeout:  300 * time.Millisecond,
-	BackoffMin: 100 * time.Millisecond,
-	BackoffMax: 500 * time.Millisecond,
+	BackoffMin:        100 * time.Millisecond,
+	BackoffMax:        500 * time.Millisecond,
 }
 
 // bulkShare is the share of an instance's link that configurations may take.
--- a/internal/peer/bench_test.go
+++ b/internal/peer/bench_test.go
@@ -59,8 +59,8 @@
 	Seq: 123456, Group: "a1b2c.0", Class: 1 << 31, Customer: 1 << 62, Tier: 1, PromptTokens: 800, Prefix: 1 << 62, BudgetMS: 1500,
 }}}
 
-// BenchmarkEnvelope sends acquires there and back, one or many at a time; many
-// share frames.
+// BenchmarkEnvelope measures round trips of acquires, one or 100 at a time; the latter share
+// frames.
 func BenchmarkEnvelope(b *testing.B) {
 	for _, atOnce := range []int{1, 100} {
 		b.Run(fmt.Sprintf("%d at once", atOnce), func(b *testing.B) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// BenchmarkLinkMemory opens links to one instance and reports what one costs,
-// with both ends and the dialing instance.
+// BenchmarkLinkMemory opens links to one instance and reports the memory per link, including
+// both ends and the dialing instance.
 func BenchmarkLinkMemory(b *testing.B) {
 	const links = 50
 	for b.Loop() {
--- a/internal/peer/bulk_limiter.go
+++ b/internal/peer/bulk_limiter.go
@@ -7,21 +7,23 @@
 	"basilrudder/internal/monotime"
 )
 
-// bulkBurst is how much bulk may be sent at once after a rest, in bytes.
+// bulkBurst is the number of bytes of bulk that may be sent at once after an idle period. A
+// larger burst fills the system's send buffer, which delays urgent envelopes; a smaller one
+// costs more timers.
 const bulkBurst = 64 << 10
 
-// bulkLimiter spreads bulk over time on all links together, so that a buffer of the system
-// holds little of it when something urgent is sent.
+// bulkLimiter limits the rate of bulk on all links together, so the system's send buffers
+// hold little of it when an urgent envelope is sent.
 type bulkLimiter struct {
-	rate int // bytes a second; 0 for no bound
+	rate int // bytes per second; 0 for no limit
 
 	mu sync.Mutex
-	// usedUntil is the instant up to which the rate is used up.
+	// usedUntil is the time up to which the rate is used.
 	usedUntil monotime.Instant
 }
 
-// reserve reports how long to wait before so many bytes may be sent; 0 says that they are
-// counted as sent.
+// reserve returns the delay until the given number of bytes may be sent; 0 means that they
+// are counted as sent.
 func (p *bulkLimiter) reserve(bytes int, now monotime.Instant) time.Duration {
 	if p.rate == 0 {
 		return 0
@@ -36,6 +38,7 @@
 	return 0
 }
 
+// transmitTime returns the time that the given number of bytes takes at the limited rate.
 func (p *bulkLimiter) transmitTime(bytes int) time.Duration {
 	return time.Duration(float64(bytes) / float64(p.rate) * float64(time.Second))
 }
--- a/internal/peer/compress.go
+++ b/internal/peer/compress.go
@@ -10,24 +10,26 @@
 )
 
 const (
-	// compressedMark is the first byte of a compressed frame. No envelope begins with it.
+	// compressedMark is the first byte of a compressed frame. No encoded envelope begins
+	// with it; with another value a plain frame could be taken for a compressed one.
 	compressedMark = 0
-	// minCompressBytes is the size in bytes from which frames are compressed.
+	// minCompressBytes is the minimum size in bytes of frames that are compressed. A lower one
+	// spends CPU time on short frames for few bytes saved.
 	minCompressBytes = 1 << 10
 )
 
-// errDecompressedTooLong says that a compressed frame holds more than a frame may.
-var errDecompressedTooLong = errors.New("a compressed frame is too long")
+// errDecompressedTooLong reports a compressed frame that exceeds MaxFrame once decompressed.
+var errDecompressedTooLong = errors.New("compressed frame exceeds the maximum frame size")
 
 var flateWriters = sync.Pool{New: func() any {
-	// The level is valid, so there is no error.
+	// NewWriter fails only for an invalid level.
 	w, _ := flate.NewWriter(nil, flate.BestSpeed)
 	return w
 }}
 
 var flateReaders = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 
-// compress compresses a frame where that makes it shorter.
+// compress compresses a frame if that makes it shorter, and otherwise returns data.
 func compress(data []byte) []byte {
 	if len(data) < minCompressBytes {
 		return data
@@ -37,7 +39,7 @@
 	out := bytes.NewBuffer(make([]byte, 0, len(data)))
 	out.WriteByte(compressedMark)
 	w.Reset(out)
-	// A bytes.Buffer takes every write.
+	// Writing to a bytes.Buffer never fails.
 	_, _ = w.Write(data)
 	_ = w.Close()
 	if out.Len() >= len(data) {
@@ -46,7 +48,7 @@
 	return out.Bytes()
 }
 
-// decompress returns the envelope of a frame.
+// decompress returns the encoded envelope of a plain or compressed frame.
 func decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != compressedMark {
 		return data, nil
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -11,27 +11,37 @@
 	"basilrudder/internal/schema/wire"
 )
 
+// seedPrefix begins the key of a target without an ID. Peers whose ID begins with it are
+// refused.
 const seedPrefix = "@"
 
-// Timing holds the times and bounds of links. Zero values take the defaults.
+// Timing configures the timeouts and limits of links. Zero values select the defaults.
 type Timing struct {
-	// KeepAliveInterval is the longest time a side sends nothing. Default 1 s.
+	// KeepAliveInterval is the interval of pings on a link that has nothing else to send.
+	// Default 1 s.
 	KeepAliveInterval time.Duration
-	// PeerTimeout is how long a link may be silent. Default 3.5 s.
+	// PeerTimeout closes a link on which nothing was received, or a write did not finish,
+	// for this long. Links opened on demand have a longer read timeout. It should be several
+	// keep-alive intervals, or a single late ping closes the link. Default 3.5 s.
 	PeerTimeout time.Duration
-	// HandshakeTimeout bounds dialing and the handshake. Default 2 s.
+	// HandshakeTimeout limits dialing, and then the handshake. Until it expires, no other
+	// dial to the peer starts. Default 2 s.
 	HandshakeTimeout time.Duration
-	// CoalesceDelay is how long an envelope waits for others. Default 1 ms.
+	// CoalesceDelay is how long a queued envelope waits for others to share its frame. A
+	// shorter delay sends more frames, a longer one delays messages. Default 1 ms.
 	CoalesceDelay time.Duration
-	// IdleTimeout closes a link that was opened on demand. Default 60 s.
+	// IdleTimeout closes a link opened on demand after this time without envelopes. A
+	// shorter time reopens links more often, a longer one keeps more open. Default 60 s.
 	IdleTimeout time.Duration
-	// BackoffMin and BackoffMax bound the wait before dialing again. Defaults
-	// 100 ms and 5 s.
+	// BackoffMin and BackoffMax bound the delay before a peer is dialed again.
+	// Defaults 100 ms and 5 s.
 	BackoffMin, BackoffMax time.Duration
-	// MaxQueueBytes bounds what waits on one link, roughly. Default 4 MiB.
+	// MaxQueueBytes limits the estimated size of the messages queued on one link. A
+	// lower limit closes links during short delays of a peer, a higher one takes more memory
+	// for each peer that does not read. Default 4 MiB.
 	MaxQueueBytes int
-	// BulkRate bounds what of configurations is sent in a second, on all links together.
-	// Default 0, no bound.
+	// BulkRate limits bulk messages, in bytes per second over all links together.
+	// Default 0, no limit.
 	BulkRate int
 }
 
@@ -47,21 +57,21 @@
 	return t
 }
 
-// Handler receives what happens on links. Calls of one link come one at a time
-// and in order: LinkUp, then envelopes, then LinkDown.
+// Handler receives the events of links. Calls for one link are sequential and ordered:
+// LinkUp, then Envelope, then LinkDown.
 type Handler interface {
-	// Envelope takes a received envelope.
+	// Envelope handles a received envelope.
 	Envelope(from string, env *wire.Envelope)
-	// LinkUp tells of an open link.
+	// LinkUp reports that a link is open.
 	LinkUp(peer Identity)
-	// LinkDown tells that a link ended, or that one could not be opened on
-	// demand. Envelopes that Send took may be lost.
+	// LinkDown reports that a link ended, or that one could not be opened on demand.
+	// Envelopes accepted by Send may be lost.
 	LinkDown(id string, err error)
 }
 
-// Target is a peer to keep a link to.
+// Target is a peer to which a link is kept open.
 type Target struct {
-	// ID of the instance; empty when only the address is known.
+	// ID of the instance; empty when only the address is available.
 	ID string
 	// Address is host and port.
 	Address string
@@ -74,22 +84,23 @@
 	return t.ID
 }
 
-// Config of Links.
+// Config configures Links.
 type Config struct {
-	// Self is told to peers.
+	// Self is sent to peers in the handshake.
 	Self Identity
-	// Keys accepted; the first one signs. There must be one.
+	// Keys are accepted from peers; the first one signs. At least one is required.
 	Keys []Key
-	// Listener accepts links.
+	// Listener accepts the connections of peers.
 	Listener net.Listener
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Resolve finds the address of a peer for a link on demand.
+	// Resolve returns the address of a peer for a link on demand; nil disables such
+	// links.
 	Resolve func(id string) (address string, ok bool)
 	// Handler receives events.
 	Handler Handler
-	// Timing, zero for defaults.
+	// Timing; zero values select the defaults.
 	Timing Timing
-	// Log, nil for none.
+	// Log; nil disables logging.
 	Log *zap.Logger
 }
--- a/internal/peer/counters.go
+++ b/internal/peer/counters.go
@@ -7,45 +7,45 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Counters counts what passes over the links. It is an expvar.Var.
+// Counters counts the traffic and the events of all links. It implements expvar.Var.
 type Counters struct {
-	in, out   [kindCount]atomic.Uint64
-	framesIn  atomic.Uint64
-	framesOut atomic.Uint64
-	dials     atomic.Uint64
-	dialFailures  atomic.Uint64
-	handshakesRefused   atomic.Uint64
-	timedOut    atomic.Uint64
-	queueFull  atomic.Uint64
-	invalid   atomic.Uint64
-	replaced  atomic.Uint64
-	openLinks      atomic.Int64
+	in, out           [kindCount]atomic.Uint64
+	framesIn          atomic.Uint64
+	framesOut         atomic.Uint64
+	dials             atomic.Uint64
+	dialFailures      atomic.Uint64
+	handshakesRefused atomic.Uint64
+	timedOut          atomic.Uint64
+	queueFull         atomic.Uint64
+	invalid           atomic.Uint64
+	replaced          atomic.Uint64
+	openLinks         atomic.Int64
 }
 
-// Snapshot is the value of the counters at one time.
+// Snapshot holds the values of the counters at one time.
 type Snapshot struct {
-	// Links open now.
+	// Links is the number of open links.
 	Links int64 `json:"links"`
-	// BytesIn and BytesOut by kind of message.
+	// BytesIn and BytesOut count bytes by kind of message.
 	BytesIn  map[string]uint64 `json:"bytes_in"`
 	BytesOut map[string]uint64 `json:"bytes_out"`
-	// FramesIn and FramesOut count WebSocket frames, sign-of-life pings too.
+	// FramesIn and FramesOut count frames, including keep-alive pings.
 	FramesIn  uint64 `json:"frames_in"`
 	FramesOut uint64 `json:"frames_out"`
 	// Dials and DialFailures count attempts to open a link.
 	Dials        uint64 `json:"dials"`
 	DialFailures uint64 `json:"dial_failures"`
-	// HandshakesRefused counts peers that could not prove the key.
+	// HandshakesRefused counts failed upgrades and handshakes, such as with a wrong key.
 	HandshakesRefused uint64 `json:"handshakes_refused"`
-	// ClosedSilent, ClosedOverfull, ClosedInvalid and Replaced count links by
-	// the reason they were closed for.
+	// ClosedSilent, ClosedOverfull, ClosedInvalid and Replaced count closed links
+	// by reason: no data within the timeout, full queue, invalid frame, newer link.
 	ClosedSilent   uint64 `json:"closed_silent"`
 	ClosedOverfull uint64 `json:"closed_overfull"`
 	ClosedInvalid  uint64 `json:"closed_invalid"`
 	Replaced       uint64 `json:"replaced"`
 }
 
-// Snapshot returns the value now.
+// Snapshot returns the current values.
 func (c *Counters) Snapshot() Snapshot {
 	return Snapshot{
 		Links:             c.openLinks.Load(),
@@ -63,7 +63,7 @@
 	}
 }
 
-// String returns the snapshot as JSON, as expvar.Var wants.
+// String returns the snapshot as JSON, as expvar.Var requires.
 func (c *Counters) String() string {
 	data, err := json.Marshal(c.Snapshot())
 	if err != nil {
@@ -82,7 +82,8 @@
 	return out
 }
 
-// Overhead of a WebSocket frame in bytes.
+// Sizes of WebSocket frame headers in bytes, for payloads below 126 bytes, below 64 KiB and
+// above, and of the mask of a client's frames.
 const (
 	shortHeader  = 2
 	mediumHeader = 4
@@ -90,6 +91,7 @@
 	maskBytes    = 4
 )
 
+// frameOverhead returns the size of the WebSocket header of a frame.
 func frameOverhead(payload int, masked bool) int {
 	n := longHeader
 	switch {
@@ -104,9 +106,9 @@
 	return n
 }
 
-// countFrame adds one frame to the counters of one direction. A frame of several
-// kinds is encoded again part by part, since its bytes cannot be told apart; of a
-// compressed one each gets its share.
+// countFrame adds one frame to the counters of one direction. A frame with messages of
+// several kinds is encoded again kind by kind to attribute its bytes; the size of a
+// compressed frame is divided in proportion.
 func countFrame(counts *[kindCount]atomic.Uint64, env *wire.Envelope, payload int, masked bool) {
 	counts[KindFraming].Add(uint64(frameOverhead(payload, masked)))
 	messages := splitMessages(env)
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -11,17 +11,17 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// dial is the attempt, or the wait for the next one, to open a link.
+// dial is the state of the attempts to open a link to one target.
 type dial struct {
-	target  Target
-	running bool
-	retryAt    monotime.Instant
-	backoff time.Duration
-	pending []outgoing // of Send, until the link opens
-	pendingCost    int
+	target      Target
+	running     bool
+	retryAt     monotime.Instant
+	backoff     time.Duration
+	pending     []outgoing // queued by Send until the link opens
+	pendingCost int
 }
 
-// manage opens the links that are wanted or waited for, and closes idle ones.
+// manage opens links to targets and to peers with pending envelopes, and closes idle ones.
 func (s *Links) manage(ctx context.Context) error {
 	timer := time.NewTimer(maxCheckInterval)
 	defer timer.Stop()
@@ -39,7 +39,7 @@
 	}
 }
 
-// startDials starts what is due and returns when something will be.
+// startDials starts the dials that are due and returns the delay until the next one.
 func (s *Links) startDials(ctx context.Context, now monotime.Instant) time.Duration {
 	wait := maxCheckInterval
 	s.mu.Lock()
@@ -74,8 +74,7 @@
 	return wait
 }
 
-// sendOnDemand queues an envelope for a peer without a link. It runs with mu
-// held.
+// sendOnDemand queues an envelope for a peer without a link. s.mu is held.
 func (s *Links) sendOnDemand(to string, env *wire.Envelope) bool {
 	d := s.dials[to]
 	if d == nil {
@@ -87,8 +86,8 @@
 		s.dials[to] = d
 	}
 	add := cost(env)
-	// While a failed peer is in its backoff there is no use in queueing: the
-	// sender is better off to hear at once that nothing was sent.
+	// A peer in its backoff is not dialed soon, so the sender gets the failure at once
+	// instead of a queued envelope.
 	if d.backoff > 0 && !d.running || d.pendingCost+add > s.cfg.Timing.MaxQueueBytes {
 		return false
 	}
@@ -97,8 +96,8 @@
 	return true
 }
 
-// takePending hands the envelopes that waited for a link over to it. It runs
-// with mu held.
+// takePending returns and clears the envelopes that were pending for a new link.
+// s.mu is held.
 func (s *Links) takePending(id string) []outgoing {
 	d := s.dials[id]
 	if d == nil {
@@ -130,7 +129,8 @@
 	now := monotime.Now()
 	d.running = false
 	lasted := now.Sub(begin) >= s.cfg.Timing.PeerTimeout
-	// A link that ends soon after it opened is no better than a failed dial.
+	// A link that ends soon after it opened counts as a failed dial; otherwise such a
+	// peer would be dialed without backoff.
 	if err == nil && lasted {
 		d.backoff = 0
 	} else {
@@ -155,9 +155,9 @@
 		NetDialContext: func(dialCtx context.Context, _, _ string) (net.Conn, error) {
 			conn, err := s.cfg.Dial(dialCtx, address)
 			if err == nil {
-				// The library waits for the answer to the upgrade without
-				// looking at the context. Its own context, dialing, ends when
-				// it returns and must not close the connection.
+				// The library ignores the context while it waits for the upgrade response,
+				// so ctx closes the connection. dialCtx is canceled when the library
+				// returns and must not close it.
 				stop = context.AfterFunc(ctx, func() { conn.Close() })
 			}
 			return conn, err
@@ -171,7 +171,8 @@
 	return conn, err
 }
 
-// closeIdle closes links that this side opened on demand and no one used.
+// closeIdle closes links that this side opened on demand and that were unused for
+// IdleTimeout.
 func (s *Links) closeIdle(now monotime.Instant) {
 	s.mu.Lock()
 	var idle []*link
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -7,28 +7,37 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Bounds of one frame.
+// Limits of one frame, and estimates of encoded sizes.
 const (
-	// MaxFrame is the largest frame in bytes.
+	// MaxFrame is the maximum size of a frame in bytes, also after decompression. A larger
+	// one ends the link, so a lower limit loses the longest messages; a higher one lets a
+	// single frame take more memory.
 	MaxFrame = 2 << 20
-	// maxHelloFrame is the largest frame before the other side is known.
+	// maxHelloFrame is the maximum size of a frame before the peer is authenticated. A
+	// higher limit lets peers without a key take more memory; a lower one may reject a
+	// hello.
 	maxHelloFrame = 4 << 10
 
+	// maxElements and maxNesting limit the lists, maps and nesting of a CBOR envelope.
+	// Lower limits reject long messages, higher ones let a short frame cost more memory
+	// and stack.
 	maxElements = 1 << 14
 	maxNesting  = 8
-	// itemCost stands for the encoded size of a small message in the bound of
-	// the queue.
+	// itemCost is the estimated encoded size of a small message in bytes, for the limit of
+	// the queue. If it is too low, a queue holds more than MaxQueueBytes; if too high,
+	// links are closed with a queue that is not full.
 	itemCost = 64
-	// partCost stands for that of a part of a prompt.
+	// partCost is the same for a part of a prompt.
 	partCost = 24
-	// maxMergedBytes is the size above which no more messages join a frame.
+	// maxMergedBytes is the size above which no more messages are merged into a frame. Without
+	// it merged frames could exceed MaxFrame.
 	maxMergedBytes = 64 << 10
 )
 
-// Kind names a part of an envelope in the counters.
+// Kind is the kind of a message in an envelope, for the counters.
 type Kind uint8
 
-// Kinds.
+// Kinds of messages.
 const (
 	KindHello Kind = iota
 	KindPing
@@ -50,7 +59,7 @@
 	KindLoadAsk
 	KindLoadGive
 	KindNews
-	// KindFraming is the overhead of WebSocket, its pings included.
+	// KindFraming is the overhead of WebSocket, including its pings.
 	KindFraming
 	kindCount
 )
@@ -81,8 +90,8 @@
 	return mode
 }()
 
-// Decode reads the envelope of one frame. Unknown parts are ignored, so that
-// a newer release can add some.
+// Decode decodes the envelope of one frame, decompressing it if necessary. Unknown fields
+// are ignored, so a newer release can add some.
 func Decode(data []byte) (*wire.Envelope, error) {
 	data, err := decompress(data)
 	if err != nil {
@@ -95,7 +104,7 @@
 	return env, nil
 }
 
-// Encode writes the envelope of one frame.
+// Encode encodes the envelope of one frame without compression.
 func Encode(env *wire.Envelope) ([]byte, error) {
 	data, err := cbor.Marshal(env)
 	if err != nil {
@@ -104,13 +113,13 @@
 	return data, nil
 }
 
-// message is one message of an envelope by itself.
+// message is an envelope with the messages of one kind.
 type message struct {
 	kind Kind
 	env  wire.Envelope
 }
 
-// splitMessages splits an envelope by kind.
+// splitMessages splits an envelope by kind of message.
 func splitMessages(env *wire.Envelope) []message {
 	out := make([]message, 0, 2)
 	add := func(present bool, kind Kind, one wire.Envelope) {
@@ -168,8 +177,8 @@
 	return bytes
 }
 
-// canMerge reports whether src may join dst: of each part that is no list a
-// frame holds one.
+// canMerge reports whether src can be merged into dst: a frame holds at most one of each
+// message that is not in a list.
 func canMerge(dst, src *wire.Envelope) bool {
 	return !(dst.Hello != nil && src.Hello != nil ||
 		dst.Ping != nil && src.Ping != nil ||
@@ -182,7 +191,7 @@
 		dst.LoadGive != nil && src.LoadGive != nil)
 }
 
-// merge adds the parts of src to dst. The lists of src stay as they are.
+// merge adds the messages of src to dst. It does not modify the lists of src.
 func merge(dst, src *wire.Envelope) {
 	dst.Hello = firstNonNil(dst.Hello, src.Hello)
 	dst.Ping = firstNonNil(dst.Ping, src.Ping)
@@ -213,10 +222,9 @@
 	return b
 }
 
-// coalesce joins queued envelopes into as few frames as it may. Neighbouring
-// envelopes join only, so that a later message never overtakes an earlier one
-// by more than the order of the parts within a frame. What goes to several peers
-// is encoded for all of them and stays by itself.
+// coalesce merges queued envelopes into as few frames as possible. Only adjacent envelopes
+// are merged, so messages are reordered only within a frame, in the order in which
+// receivers handle kinds. Broadcasts are encoded once for all peers and not merged.
 func coalesce(queue []outgoing) []outgoing {
 	if len(queue) < 2 {
 		return queue
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -12,7 +12,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// coalesced is coalesce for envelopes of one link.
+// coalesced runs coalesce on envelopes that are no broadcasts.
 func coalesced(envs ...*wire.Envelope) (out []*wire.Envelope) {
 	var queue []outgoing
 	for _, env := range envs {
@@ -24,8 +24,8 @@
 	return out
 }
 
-// A message to all peers stands in the queue between two of this link alone. It is
-// encoded for all links, so neither joins it, and the later one does not join the
+// A broadcast is queued between envelopes of this link alone. It is encoded once for all
+// links, so no envelope may be merged into it, nor may a later envelope be merged into an
 // earlier one past it.
 func TestBroadcastIsNotCoalesced(t *testing.T) {
 	broadcast := outgoing{env: &wire.Envelope{News: []wire.RelayNews{{Number: 1}}}, shared: &sharedEncoding{}}
@@ -41,8 +41,8 @@
 }
 
 func TestCoalesceKeepsOrder(t *testing.T) {
-	// A ping that follows a table comparison must not travel in an earlier
-	// frame than it, and two pings must not become one.
+	// A message must not be sent in an earlier frame than the ones queued before it, such as
+	// a ping before the table comparison that it follows. Two pings must not be merged.
 	queue := []*wire.Envelope{
 		{Acquires: []wire.Acquire{{Seq: 1}}},
 		{Withdraws: []wire.Withdraw{{Seq: 1}}},
@@ -64,12 +64,12 @@
 }
 
 func TestEveryEnvelopeFieldIsMergedAndCounted(t *testing.T) {
-	// A part was added to the envelope and not to the functions that join and
-	// count envelopes. It arrived when it was sent alone and vanished without
-	// an error when another message happened to be queued with it.
+	// Guards against a field of the envelope that the functions merging and counting
+	// envelopes omit: it arrives when sent alone, and is lost without an error when it is
+	// coalesced with another message.
 	typ := reflect.TypeFor[wire.Envelope]()
 	if typ.NumField() != int(KindFraming) {
-		t.Errorf("an envelope has %d parts, there are %d kinds", typ.NumField(), KindFraming)
+		t.Errorf("an envelope has %d fields, there are %d kinds", typ.NumField(), KindFraming)
 	}
 	for i := range typ.NumField() {
 		env := new(wire.Envelope)
@@ -81,20 +81,20 @@
 		}
 		one := coalesced(new(wire.Envelope), env)
 		if len(one) != 1 || !reflect.DeepEqual(one[0], env) {
-			t.Errorf("%s does not survive joining", typ.Field(i).Name)
+			t.Errorf("%s is lost by merging", typ.Field(i).Name)
 		}
 		if len(splitMessages(env)) != 1 {
 			t.Errorf("%s is not counted", typ.Field(i).Name)
 		}
 		if field.Kind() == reflect.Pointer && len(coalesced(env, env)) != 2 {
-			t.Errorf("of two %s in one frame one would be lost", typ.Field(i).Name)
+			t.Errorf("two %s are merged into one frame, which holds only one", typ.Field(i).Name)
 		}
 	}
 }
 
 func TestReflectedAndReplayedSignaturesAreRefused(t *testing.T) {
-	// Somebody without the key sends an acceptor's signature back to it, or
-	// one from an earlier handshake. Both must fail.
+	// A peer without the key reflects a signature of the acceptor, or replays one from an
+	// earlier handshake. Both must be refused.
 	key := Key{"k1", "a secret of the fleet"}
 	dialer := newHello(Identity{ID: "a"}, key, newNonce())
 	acceptor := newHello(Identity{ID: "b"}, key, newNonce())
@@ -112,8 +112,8 @@
 }
 
 func TestVersionNegotiation(t *testing.T) {
-	// During a rolling replacement two releases talk. They use what both
-	// speak, and refuse when there is nothing.
+	// During a rolling upgrade two releases communicate. They use the highest common
+	// version, and refuse the link if there is none.
 	self := Identity{ID: "a"}
 	newer := &wire.Hello{ID: "b", Version: Version + 3, MinVersion: Version}
 	if got, err := negotiate(self, newer); err != nil || got.version != Version {
@@ -145,13 +145,13 @@
 			return
 		}
 		if _, err := Encode(env); err != nil {
-			t.Errorf("decoded what cannot be encoded: %v", err)
+			t.Errorf("decoded envelope cannot be encoded: %v", err)
 		}
 		splitMessages(env)
 	})
 }
 
-// Guards against a frame that is changed by compressing it, or grows by it.
+// Guards against compression that changes a frame or makes it longer.
 func TestCompressionPreservesFrames(t *testing.T) {
 	for _, n := range []int{0, 1, minCompressBytes - 1, minCompressBytes, 100_000} {
 		for name, fill := range map[string]func(i int) byte{
@@ -182,17 +182,18 @@
 	}
 }
 
-// Guards against a short frame that takes all memory once it is decompressed.
+// Guards against a short frame that exhausts memory when it is decompressed.
 func TestDecompressedSizeIsBounded(t *testing.T) {
 	if _, err := Decode(compress(make([]byte, MaxFrame+1))); !errors.Is(err, errDecompressedTooLong) {
 		t.Errorf("%v", err)
 	}
 	if _, err := Decode(compress(make([]byte, 100_000))[:50]); err == nil {
-		t.Error("a frame that was cut off was taken")
+		t.Error("accepted a truncated frame")
 	}
 }
 
-// Guards against compressed frames for a peer of an earlier release, which reads none.
+// Guards against compressed frames for a peer of protocol version 1, which cannot decode
+// them.
 func TestVersion1PeerGetsUncompressedFrames(t *testing.T) {
 	theirs := &wire.Hello{Version: 1, MinVersion: 1, ID: "old"}
 	agreed, err := negotiate(Identity{ID: "new"}, theirs)
@@ -201,7 +202,7 @@
 	}
 }
 
-// Guards against long messages that count as short ones in the bounds of a queue.
+// Guards against long messages that are counted as short ones in the limit of a queue.
 func TestCostFollowsEncodedSize(t *testing.T) {
 	parts := make([]wire.RelayPart, 640)
 	for i := range parts {
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -13,56 +13,55 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Protocol versions that this release speaks. Two releases that run side by
-// side use the highest that both speak; parts an old one does not know are
-// ignored by it.
+// Protocol versions that this release supports. Peers use the highest version that both
+// support; an older release ignores fields that were added later.
 const (
 	Version    = versionCompressed
 	MinVersion = 1
 
-	// versionCompressed is the first whose frames may be compressed.
+	// versionCompressed is the first version with compressed frames.
 	versionCompressed = 2
 )
 
+// nonceBytes is the size of a nonce. Shorter nonces may repeat, and a recorded signature
+// could then be replayed.
 const nonceBytes = 16
 
 // Errors of the handshake.
 var (
-	// ErrUnauthenticated means that the other side did not prove an accepted key.
+	// ErrUnauthenticated reports that the peer did not prove an accepted key.
 	ErrUnauthenticated = errors.New("peer did not prove an accepted key")
-	// ErrVersion means that no protocol version is common to both.
+	// ErrVersion reports that the peers have no protocol version in common.
 	ErrVersion = errors.New("no common protocol version")
-	// ErrHandshake means that a message of the handshake was missing.
+	// ErrHandshake reports that a message of the handshake is missing or has an invalid ID.
 	ErrHandshake = errors.New("handshake message missing")
-	// ErrSelf means that the link leads to this instance itself or to another
-	// process that uses its id.
-	ErrSelf = errors.New("peer has this instance's id")
+	// ErrSelf reports that the peer is this instance or another process with its ID.
+	ErrSelf = errors.New("peer has this instance's ID")
 )
 
 // Key is a shared secret that instances prove to each other.
 type Key struct {
-	// ID names the key in the handshake.
+	// ID identifies the key in the handshake.
 	ID string
 	// Secret is shared by all instances.
 	Secret string
 }
 
-// Identity is what an instance tells of itself when a link opens.
+// Identity describes an instance to its peers in the handshake.
 type Identity struct {
 	// ID of the instance.
 	ID string
 	// Incarnation of the process.
 	Incarnation string
-	// DataCentre the instance stands in.
+	// DataCentre in which the instance is located.
 	DataCentre string
 	// CallerAddress and PeerAddress are host and port.
 	CallerAddress, PeerAddress string
-	// Capacity is the processor share in thousandths of a core; 0 when it is not told.
+	// Capacity is the CPU share in thousandths of a core; 0 when it is not reported.
 	Capacity int
 }
 
-// role separates the two signatures of a handshake, so that one side's cannot
-// be sent back to it as the other's.
+// role is part of each signature, so a peer cannot reflect one side's signature as its own.
 type role string
 
 const (
@@ -70,7 +69,7 @@
 	roleAcceptor role = "acceptor"
 )
 
-// envelopeConn is a connection before it is a link.
+// envelopeConn is a connection during the handshake.
 type envelopeConn interface {
 	writeEnvelope(env *wire.Envelope) error
 	readEnvelope() (*wire.Envelope, error)
@@ -80,7 +79,7 @@
 type handshakeResult struct {
 	peer    Identity
 	version int
-	keyID   string // the other side signed with it
+	keyID   string // key of the peer's signature
 }
 
 func newHello(self Identity, key Key, nonce string) *wire.Hello {
@@ -104,8 +103,9 @@
 	return hex.EncodeToString(b)
 }
 
-// sign proves the key over all that both sides said. The other side's nonce is
-// in it, so a recorded signature is worth nothing.
+// sign returns the HMAC of both hellos. It covers the nonces of both sides, so a recorded
+// signature cannot be replayed. Each field is prefixed with its length, so different
+// fields never give the same input.
 func sign(key Key, signer role, dialer, acceptor *wire.Hello) string {
 	mac := hmac.New(sha256.New, []byte(key.Secret))
 	fields := []string{"basilrudder peer link", string(signer), key.ID}
@@ -130,8 +130,8 @@
 	return errors.Wrapf(ErrUnauthenticated, "key %q", id)
 }
 
-// handshakeAsDialer runs the handshake from the side that opened the connection:
-// hello, hello with signature, signature.
+// handshakeAsDialer runs the handshake on the side that opened the connection. The messages
+// are: hello, hello with signature, signature.
 func handshakeAsDialer(conn envelopeConn, self Identity, keys []Key) (handshakeResult, error) {
 	mine := newHello(self, keys[0], newNonce())
 	if err := conn.writeEnvelope(&wire.Envelope{Hello: mine}); err != nil {
@@ -152,7 +152,7 @@
 	return negotiate(self, theirs)
 }
 
-// handshakeAsAcceptor runs the handshake from the side that was connected to.
+// handshakeAsAcceptor runs the handshake on the side that accepted the connection.
 func handshakeAsAcceptor(conn envelopeConn, self Identity, keys []Key) (handshakeResult, error) {
 	theirs, err := readHello(conn)
 	if err != nil {
@@ -184,10 +184,11 @@
 	return env.Hello, nil
 }
 
+// negotiate selects the protocol version and validates the peer's ID.
 func negotiate(self Identity, theirs *wire.Hello) (handshakeResult, error) {
 	version := min(Version, theirs.Version)
 	if version < max(MinVersion, theirs.MinVersion) {
-		return handshakeResult{}, errors.Wrapf(ErrVersion, "peer speaks %d to %d", theirs.MinVersion, theirs.Version)
+		return handshakeResult{}, errors.Wrapf(ErrVersion, "peer supports versions %d to %d", theirs.MinVersion, theirs.Version)
 	}
 	if theirs.ID == self.ID {
 		return handshakeResult{}, ErrSelf
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -16,44 +16,44 @@
 
 // link is one authenticated connection to a peer.
 type link struct {
-	conn   *websocket.Conn
-	links    *Links
-	peer   Identity
-	keyID  string
-	compression  bool // the peer understands compressed frames
-	dialer bool // this side opened it
-	openedAt monotime.Instant
-
-	// partialBytes is the size of the part that has come of a message, in bytes, and
-	// receivedAt when the last bytes came, as a monotime.Instant.
+	conn        *websocket.Conn
+	links       *Links
+	peer        Identity
+	keyID       string
+	compression bool // the peer accepts compressed frames
+	dialer      bool // this side opened the connection
+	openedAt    monotime.Instant
+
+	// partialBytes is the number of bytes received of an incomplete message, and
+	// receivedAt the time of the last received bytes, as a monotime.Instant.
 	partialBytes, receivedAt atomic.Int64
 
-	mu       sync.Mutex
-	queue    []outgoing
-	bulk     []outgoing // sent while queue is empty
-	queuedBytes   int        // cost of queue and bulk
-	lastUsed monotime.Instant
-	// writingSince is when what is being written was queued; 0 for nothing.
+	mu          sync.Mutex
+	queue       []outgoing
+	bulk        []outgoing // sent only while queue is empty
+	queuedBytes int        // estimated size of queue and bulk
+	lastUsed    monotime.Instant
+	// writingSince is the time when the envelope being written was queued; 0 for none.
 	writingSince monotime.Instant
-	closing bool
-	reason  error
+	closing      bool
+	reason       error
 
-	wakeup     chan struct{}
-	done     chan struct{} // closed when the link is to end
-	finished chan struct{} // closed when it has ended
+	wakeup   chan struct{}
+	done     chan struct{} // closed to end the link
+	finished chan struct{} // closed when the link has ended
 }
 
 // Reasons to close a link.
 var (
-	errPeerTimeout   = errors.New("peer was silent")
-	errQueueFull = errors.New("outbound queue is full")
-	errReplaced = errors.New("replaced by another link")
-	errIdle     = errors.New("idle")
-	errKeyRemoved      = errors.New("key is not accepted any more")
-	errStopped  = errors.New("stopped")
+	errPeerTimeout = errors.New("no data received from the peer within the timeout")
+	errQueueFull   = errors.New("outbound queue is full")
+	errReplaced    = errors.New("replaced by another link")
+	errIdle        = errors.New("idle")
+	errKeyRemoved  = errors.New("key of the peer is no longer accepted")
+	errStopped     = errors.New("stopped")
 )
 
-// close ends the link; the first reason counts.
+// close ends the link. The reason of the first call is kept.
 func (l *link) close(reason error) {
 	l.mu.Lock()
 	first := !l.closing
@@ -74,16 +74,15 @@
 	return now.Sub(l.lastUsed)
 }
 
-// onDemandFactor is how much longer a link that was opened on demand may be
-// silent. An instance under load has one to most of the fleet, and a sign of life
-// each second on all of them would cost more than the heartbeats. That such a
-// link is dead shows sooner by the acquires on it, each of which is answered at
-// once; the sign of life only has it closed. Where one side takes the link for a
-// neighbour's and the other does not, the neighbour's heartbeats are answered
-// each second, so that neither side finds it silent.
+// onDemandFactor multiplies the keep-alive interval and the read timeout of links opened on
+// demand. An instance under load has one to most of the fleet; a ping each second on all of
+// them would cost more than the heartbeats. A higher factor closes broken links later, but
+// acquires, which are answered at once, reveal these sooner. If a link goes to a target on
+// one side only, the heartbeats on it are answered each second, so neither side reaches its
+// timeout.
 const onDemandFactor = 5
 
-// timeFactor is by how much the link's times are longer than those of a neighbour's.
+// timeFactor returns the factor of the link's keep-alive interval and read timeout.
 func (l *link) timeFactor() time.Duration {
 	if l.links.isTarget(l.peer.ID) {
 		return 1
@@ -91,15 +90,15 @@
 	return onDemandFactor
 }
 
-// timeout is how long nothing may come.
+// timeout returns the maximum time without received bytes.
 func (l *link) timeout() time.Duration {
 	return l.links.cfg.Timing.PeerTimeout * l.timeFactor()
 }
 
-// readLoop hands envelopes to the handler until the link ends. Each side sends
-// something at least every SignOfLife, so a link from which nothing came for
-// Silence has lost one direction or the whole path, although TCP still calls
-// it open. Each byte counts, also of a message that is not complete.
+// readLoop passes envelopes to the handler until the link ends. Each side sends at least a
+// ping every KeepAliveInterval times timeFactor. If nothing is received within the timeout,
+// one direction or the whole path is lost, although TCP still reports the connection as
+// open. Each received byte extends the deadline, also within an incomplete message.
 func (l *link) readLoop() error {
 	l.conn.SetReadLimit(MaxFrame)
 	l.conn.SetPingHandler(func(string) error {
@@ -139,7 +138,7 @@
 	return data, err
 }
 
-// partialReader reads a message for as long as bytes of it come.
+// partialReader reads a message and extends the read deadline before each read.
 type partialReader struct {
 	io.Reader
 	link *link
@@ -155,7 +154,7 @@
 	return n, err
 }
 
-// serve runs the link until it ends and returns why.
+// serve runs the link until it ends and returns the reason.
 func (l *link) serve() error {
 	var writer sync.WaitGroup
 	writer.Go(l.writeLoop)
@@ -165,15 +164,15 @@
 		err = errPeerTimeout
 	}
 	l.close(err)
-	// The WebSocket library takes its write buffer back when the connection's
-	// handler returns, so the writer must have ended by then.
+	// The WebSocket library reuses the write buffer when the connection's handler returns,
+	// so the writer must have ended by then.
 	writer.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reason
 }
 
-// handshakeConn carries the handshake.
+// handshakeConn is an envelopeConn over a WebSocket connection.
 type handshakeConn struct {
 	conn     *websocket.Conn
 	counters *Counters
--- a/internal/peer/link_queue.go
+++ b/internal/peer/link_queue.go
@@ -6,9 +6,9 @@
 	"basilrudder/internal/monotime"
 )
 
-// enqueue adds an envelope without waiting. An over-full queue means that the
-// peer reads more slowly than is sent; the link is closed, so that both sides
-// know that messages were lost, where dropping some would leave them to guess.
+// enqueue queues an envelope without blocking. A full queue means that the peer reads more
+// slowly than this side sends. The link is then closed, which reports the loss to both
+// sides; dropping single messages would not.
 func (l *link) enqueue(o outgoing) bool {
 	add := o.cost()
 	l.mu.Lock()
@@ -30,7 +30,7 @@
 	return true
 }
 
-// append puts an envelope into its queue; mu is held.
+// append adds an envelope to the urgent or the bulk queue; mu is held.
 func (l *link) append(o outgoing) {
 	l.queuedBytes += o.cost()
 	if o.isBulk() {
@@ -40,7 +40,7 @@
 	l.queue = append(l.queue, o)
 }
 
-// appendPending puts envelopes that waited for the link into its queue.
+// appendPending queues envelopes that were pending when the link opened.
 func (l *link) appendPending(pending []outgoing) {
 	for _, o := range pending {
 		l.append(o)
@@ -57,7 +57,7 @@
 	}
 }
 
-// takeQueued returns what is queued but for bulk.
+// takeQueued removes and returns the queued envelopes except bulk.
 func (l *link) takeQueued() []outgoing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +69,7 @@
 	return queue
 }
 
-// takeAll returns all that is queued.
+// takeAll removes and returns all queued envelopes.
 func (l *link) takeAll() []outgoing {
 	queue := l.takeQueued()
 	l.mu.Lock()
@@ -79,8 +79,9 @@
 	return queue
 }
 
-// takeBulk returns the next of bulk. When something else is queued, or the pace does not
-// allow it yet, there is none; wait is how long until it does, or 0.
+// takeBulk removes and returns the next bulk envelope. ok is false while other envelopes
+// are queued, there is no bulk, or the rate limit is reached; in the last case wait is the
+// delay until the limit allows the envelope.
 func (l *link) takeBulk(now monotime.Instant) (o outgoing, wait time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +102,7 @@
 	l.mu.Unlock()
 }
 
-// delay returns how long ago the oldest message was queued that is not written yet.
+// delay returns the age of the oldest envelope that is not yet written.
 func (l *link) delay(now monotime.Instant) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,8 +118,9 @@
 	}
 }
 
-// onlyBroadcasts reports whether all that is queued is for several peers. Its sender has
-// onlyBroadcasts it already, and a further wait on each link would be a timer a message.
+// onlyBroadcasts reports whether all queued envelopes except bulk are broadcasts. Their
+// sender has batched them already; a further delay would cost a timer per message on each
+// link.
 func (l *link) onlyBroadcasts() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,7 +132,7 @@
 	return true
 }
 
-// hasQueued reports whether anything is queued but bulk.
+// hasQueued reports whether any envelope except bulk is queued.
 func (l *link) hasQueued() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/peer/link_write.go
+++ b/internal/peer/link_write.go
@@ -10,8 +10,8 @@
 	"basilrudder/internal/monotime"
 )
 
-// writeLoop sends what is queued, coalesced over a short delay, and a sign of life
-// when there was nothing to send.
+// writeLoop sends queued envelopes, coalesced over a short delay, and pings while there is
+// nothing else to send.
 func (l *link) writeLoop() {
 	timing := l.links.cfg.Timing
 	keepAlive := time.NewTicker(timing.KeepAliveInterval)
@@ -63,8 +63,8 @@
 	}
 }
 
-// flush writes what is queued, and of bulk what there is time for. paced is set for the
-// rest.
+// flush writes the queued envelopes, then bulk as far as the rate limit allows. It sets
+// bulkTimer for the rest.
 func (l *link) flush(bulkTimer *time.Timer) error {
 	for {
 		for _, o := range coalesce(l.takeQueued()) {
@@ -102,12 +102,13 @@
 	return nil
 }
 
-// fragmentBytes is the most that is written under one deadline.
+// fragmentBytes is the maximum number of bytes written under one deadline. With larger
+// fragments a slow but working link could exceed the deadline; smaller ones cost more calls.
 const fragmentBytes = 16 << 10
 
-// writeMessage writes a message in fragments. A peer that is stopped or cut off does not
-// read, and the deadline of a fragment ends the wait that TCP would draw out for minutes;
-// a peer behind a slow link takes one fragment after the other.
+// writeMessage writes a message in fragments, each with its own deadline. The deadline ends
+// a write to a stopped or disconnected peer, for which TCP would retry for minutes. A peer
+// behind a slow link stays connected as it reads fragment after fragment.
 func (l *link) writeMessage(data []byte) error {
 	writer, err := l.conn.NextWriter(websocket.BinaryMessage)
 	if err != nil {
@@ -125,7 +126,7 @@
 func (l *link) sendPing() error {
 	deadline := time.Now().Add(l.links.cfg.Timing.PeerTimeout)
 	if err := l.conn.WriteControl(websocket.PingMessage, nil, deadline); err != nil {
-		return errors.Wrap(err, "write sign of life")
+		return errors.Wrap(err, "write ping")
 	}
 	l.links.counters.framesOut.Add(1)
 	l.links.counters.out[KindFraming].Add(uint64(frameOverhead(0, l.dialer)))
--- a/internal/peer/links.go
+++ b/internal/peer/links.go
@@ -1,12 +1,12 @@
-// Package peer keeps the links between instances: WebSocket connections with
-// CBOR envelopes. Links are authenticated both ways, carry a sign of life both
-// ways, and are replaced when they fall silent. Sending never blocks.
+// Package peer maintains the links between instances: WebSocket connections that carry
+// CBOR envelopes. Links are mutually authenticated, send keep-alive pings in both
+// directions, and are reopened after a timeout. Sending never blocks.
 //
-// A frame may hold several parts. A receiver handles them in this order, which
-// keeps cause before effect when envelopes were coalesced: Members, MemberSync,
-// Ping, Pong, ConfigOffer, ConfigWant, ConfigPart, Progress, Releases, Acquires,
-// Withdraws, Grants, Refuses, Queued, PermitAsks, PermitGives, LoadAsk, LoadGive,
-// News.
+// A frame is one WebSocket message with one envelope. It may hold several messages. A
+// receiver handles them in this order, which keeps cause before effect when envelopes were
+// coalesced: Members, MemberSync, Ping, Pong, ConfigOffer, ConfigWant, ConfigPart, Progress,
+// Releases, Acquires, Withdraws, Grants, Refuses, Queued, PermitAsks, PermitGives, LoadAsk,
+// LoadGive, News.
 package peer
 
 import (
@@ -29,42 +29,46 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Path of the links on the peers' listener.
+// Path is the HTTP path of links on the listener for peers.
 const Path = "/v1/peer"
 
 const (
+	// maxHandshakes is the maximum number of concurrent HTTP upgrades; more are refused. A
+	// lower limit refuses peers when a large fleet reconnects at once.
 	maxHandshakes = 1024
-	maxHeaderBytes      = 4 << 10
-	// maxCheckInterval is how long the dialing may rest when nothing is due.
+	// maxHeaderBytes limits the HTTP header of an upgrade; a longer one is refused.
+	maxHeaderBytes = 4 << 10
+	// maxCheckInterval is the longest interval between two checks of dials and idle links.
+	// Idle links are closed up to this much late.
 	maxCheckInterval = time.Second
 )
 
-// Links is the set of links of one instance.
+// Links manages the links of one instance.
 type Links struct {
-	cfg      Config
-	counters Counters
-	bulkLimiter     bulkLimiter
-	tasks    errgroup.Group
-	served   sync.WaitGroup
-	wakeup     chan struct{}
+	cfg         Config
+	counters    Counters
+	bulkLimiter bulkLimiter
+	tasks       errgroup.Group
+	served      sync.WaitGroup
+	wakeup      chan struct{}
 
-	// events serialises the opening and closing of links with the handler's
-	// calls for them; it is taken before mu.
+	// events serialises opening and closing links with the handler's calls for them.
+	// It is locked before mu.
 	events sync.Mutex
 
 	mu      sync.Mutex
 	keys    []Key
 	links   map[string]*link
-	conns   map[*websocket.Conn]struct{} // served, links or in their handshake
+	conns   map[*websocket.Conn]struct{} // links and connections in their handshake
 	dials   map[string]*dial
-	targets  map[string]Target
+	targets map[string]Target
 	stopped bool
 }
 
-// New returns Links that do nothing until Run.
+// New returns Links that are inactive until Run.
 func New(cfg Config) (*Links, error) {
 	if len(cfg.Keys) == 0 {
-		return nil, errors.New("peer links need a key")
+		return nil, errors.New("peer links require at least one key")
 	}
 	cfg.Timing = cfg.Timing.withDefaults()
 	if cfg.Dial == nil {
@@ -77,14 +81,14 @@
 		cfg.Log = zap.NewNop()
 	}
 	return &Links{
-		cfg:    cfg,
-		bulkLimiter:   bulkLimiter{rate: cfg.Timing.BulkRate},
-		wakeup:   make(chan struct{}, 1),
-		keys:   slices.Clone(cfg.Keys),
-		links:  make(map[string]*link),
-		conns:  make(map[*websocket.Conn]struct{}),
-		dials:  make(map[string]*dial),
-		targets: make(map[string]Target),
+		cfg:         cfg,
+		bulkLimiter: bulkLimiter{rate: cfg.Timing.BulkRate},
+		wakeup:      make(chan struct{}, 1),
+		keys:        slices.Clone(cfg.Keys),
+		links:       make(map[string]*link),
+		conns:       make(map[*websocket.Conn]struct{}),
+		dials:       make(map[string]*dial),
+		targets:     make(map[string]Target),
 	}, nil
 }
 
@@ -97,7 +101,7 @@
 	return &s.counters
 }
 
-// Run accepts and opens links until the context ends, then closes all of them.
+// Run accepts and opens links until ctx is canceled, then closes all of them.
 func (s *Links) Run(ctx context.Context) error {
 	server := &fasthttp.Server{
 		Handler:                      s.accept,
@@ -110,8 +114,8 @@
 		DisablePreParseMultipartForm: true,
 		NoDefaultServerHeader:        true,
 		CloseOnShutdown:              true,
-		// Without it closing an accepted connection does nothing until its
-		// handler returns, and the handler waits for the connection to close.
+		// Without this, closing an accepted connection has no effect until its handler
+		// returns, while the handler waits for the connection to close.
 		KeepHijackedConns: true,
 		Logger:            zap.NewStdLog(s.cfg.Log),
 	}
@@ -120,7 +124,7 @@
 	group.Go(func() error { return s.manage(running) })
 	group.Go(func() error {
 		<-running.Done()
-		// With the listener open a peer would dial again while links close.
+		// While the listener is open, peers dial again as their links close.
 		s.cfg.Listener.Close()
 		s.stop()
 		return server.Shutdown()
@@ -140,14 +144,14 @@
 	for _, l := range s.links {
 		l.close(errStopped)
 	}
-	// Connections in their handshake would hold up the end for its timeout.
+	// Connections in their handshake would delay the end by up to its timeout.
 	for conn := range s.conns {
 		conn.NetConn().Close()
 	}
 	s.mu.Unlock()
 }
 
-// SetTargets replaces the set of peers to keep links to.
+// SetTargets replaces the set of peers to which links are kept open.
 func (s *Links) SetTargets(targets []Target) {
 	byKey := make(map[string]Target, len(targets))
 	for _, t := range targets {
@@ -163,7 +167,7 @@
 }
 
 // SetKeys replaces the accepted keys; the first one signs. Links whose peer
-// signed with a key that is gone are closed and opened anew.
+// signed with a removed key are closed and opened again.
 func (s *Links) SetKeys(keys []Key) {
 	if len(keys) == 0 {
 		return
@@ -182,8 +186,7 @@
 	}
 }
 
-// QueueDelay returns how long ago the oldest message was queued that is not written yet,
-// on any link.
+// QueueDelay returns the age of the oldest envelope on any link that is not yet written.
 func (s *Links) QueueDelay() time.Duration {
 	now := monotime.Now()
 	s.mu.Lock()
@@ -195,10 +198,9 @@
 	return longest
 }
 
-// Send queues an envelope for a peer and reports whether it was taken. It
-// opens a link when there is none and Resolve knows the address. It does not
-// block and may be called from the handler. The envelope must not be changed
-// afterwards.
+// Send queues an envelope for a peer and reports whether it was accepted. If there is
+// no link, it opens one, provided that Resolve returns the address. It does not block and
+// may be called from the handler. The envelope must not be modified afterwards.
 func (s *Links) Send(to string, env *wire.Envelope) bool {
 	s.mu.Lock()
 	l := s.links[to]
@@ -214,8 +216,9 @@
 	return l.enqueue(outgoing{env: env})
 }
 
-// SendBulk queues an envelope for a peer with a link, as bulk: what it holds must count
-// whenever it comes. It should not be longer than a few ten kilobytes. It does not block.
+// SendBulk queues an envelope for a peer with a link as bulk: later envelopes may pass it,
+// so its content must be valid whenever it arrives. It should not be larger than a few tens
+// of kilobytes, as urgent envelopes wait while one is written. It does not block.
 func (s *Links) SendBulk(to string, env *wire.Envelope) bool {
 	l := s.link(to)
 	return l != nil && l.enqueue(outgoing{env: env, bulk: true})
@@ -242,13 +245,13 @@
 // Peer describes one open link.
 type Peer struct {
 	Identity
-	// Age of the link.
+	// Age of the link since it opened.
 	Age time.Duration
-	// Wanted says whether this side keeps the link open.
+	// Wanted reports whether the peer is a target of this side.
 	Wanted bool
 }
 
-// Peers lists the open links by id.
+// Peers returns the open links, sorted by ID.
 func (s *Links) Peers() []Peer {
 	now := monotime.Now()
 	s.mu.Lock()
@@ -271,6 +274,7 @@
 	}
 }
 
+// jittered returns a random duration from d/2 to 3d/2, so peers do not dial all at once.
 func jittered(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -14,10 +14,10 @@
 
 var testTiming = Timing{
 	KeepAliveInterval: 20 * time.Millisecond,
-	PeerTimeout:    150 * time.Millisecond,
+	PeerTimeout:       150 * time.Millisecond,
 	HandshakeTimeout:  time.Second,
-	BackoffMin: 5 * time.Millisecond,
-	BackoffMax: 20 * time.Millisecond,
+	BackoffMin:        5 * time.Millisecond,
+	BackoffMax:        20 * time.Millisecond,
 }
 
 type received struct {
@@ -35,8 +35,8 @@
 func (r *recorder) LinkUp(peer Identity)                     { r.up <- peer }
 func (r *recorder) LinkDown(_ string, err error)             { r.down <- err }
 
-// droppingConn is a connection that can go silent: what is written vanishes, what
-// arrives is swallowed, and neither end is told.
+// droppingConn is a connection that can drop all data in both directions without an error at
+// either end.
 type droppingConn struct {
 	net.Conn
 	dropping *atomic.Bool
@@ -61,8 +61,8 @@
 type instance struct {
 	*Links
 	*recorder
-	address string
-	dropping    atomic.Pointer[atomic.Bool] // of the last connection dialed
+	address  string
+	dropping atomic.Pointer[atomic.Bool] // of the last connection dialed
 }
 
 func start(t *testing.T, id string, change func(*Config)) *instance {
@@ -123,15 +123,15 @@
 		select {
 		case <-poll:
 		case <-deadline:
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
 func ping(seq int) *wire.Envelope { return &wire.Envelope{Ping: &wire.Ping{Seq: seq}} }
 
-// deliver sends until the envelope arrives; an envelope may be lost with a
-// link that is being replaced.
+// deliver sends an envelope until it is received; one may be lost when its link is
+// replaced.
 func deliver(t *testing.T, from, to *instance, id string, seq int) {
 	t.Helper()
 	deadline := time.After(20 * time.Second)
@@ -171,8 +171,8 @@
 }
 
 func TestWrongKeyIsRefused(t *testing.T) {
-	// A process that does not hold the key connects, in either direction. It
-	// is refused before anything it says reaches the handler.
+	// A process without the key connects, in either direction. It must be refused before
+	// anything it sends reaches the handler.
 	b := start(t, "b", nil)
 	a := start(t, "a", func(cfg *Config) { cfg.Keys = []Key{{"k1", "another secret entirely"}} })
 	a.SetTargets([]Target{{ID: "b", Address: b.address}})
@@ -186,9 +186,9 @@
 }
 
 func TestKeyRotation(t *testing.T) {
-	// Operators add a key, make it the first, and remove the old one, while
-	// instances take each step at different times. Links hold throughout, and
-	// those that the old key opened are opened anew when it is removed.
+	// Operators add a key, make it the first, and remove the old one; instances apply each
+	// step at different times. Links must stay open, except that those opened with the old
+	// key are closed and opened again when it is removed.
 	k1, k2 := Key{"k1", "a secret of the fleet"}, Key{"k2", "its successor"}
 	a, b := start(t, "a", nil), start(t, "b", nil)
 	a.SetTargets([]Target{{ID: "b", Address: b.address}})
@@ -209,9 +209,9 @@
 }
 
 func TestUnresponsiveLinkIsReplaced(t *testing.T) {
-	// Something between two instances forgets their connection: what either
-	// writes vanishes and neither gets an error, while a new connection works.
-	// Both sides miss the sign of life, and a new link takes over.
+	// The network drops all data of a connection without an error at either end, while a
+	// new connection works. Both sides miss the keep-alive pings, and a new link replaces
+	// the old one.
 	a, b := start(t, "a", nil), start(t, "b", nil)
 	a.SetTargets([]Target{{ID: "b", Address: b.address}})
 	receive(t, "link at a", a.up)
@@ -226,9 +226,8 @@
 }
 
 func TestSimultaneousDialsKeepOneLink(t *testing.T) {
-	// Both instances dial each other at the same time. Each sees two links and
-	// both keep the same one; otherwise each would close the one that the
-	// other kept, for ever.
+	// Both instances dial each other simultaneously. Both must keep the same of the two
+	// links; otherwise each would close the one that the other keeps, forever.
 	a, b := start(t, "a", nil), start(t, "b", nil)
 	a.SetTargets([]Target{{ID: "b", Address: b.address}})
 	b.SetTargets([]Target{{ID: "a", Address: a.address}})
@@ -241,9 +240,9 @@
 }
 
 func TestFullQueueClosesLink(t *testing.T) {
-	// A peer stops reading, as a stopped process does. The sender's queue
-	// fills up, Send says no without waiting, and the link is closed so that
-	// both sides know that messages were lost.
+	// A peer stops reading, as a stopped process does. When the sender's queue is full, Send
+	// must return false without blocking, and the link must be closed to report the loss
+	// of messages to both sides.
 	block := make(chan struct{})
 	b := start(t, "b", func(cfg *Config) { cfg.Handler = blockingHandler{cfg.Handler, block} })
 	a := start(t, "a", func(cfg *Config) { cfg.Timing.MaxQueueBytes = 1 << 20 })
@@ -266,15 +265,15 @@
 func (b blockingHandler) Envelope(string, *wire.Envelope) { <-b.block }
 
 func TestLinkOnDemand(t *testing.T) {
-	// An envelope for a peer that is no neighbour opens a link, and the link
-	// is closed when it was not used for a while.
+	// An envelope for a peer that is no target opens a link, and the link is closed after
+	// IdleTimeout without use.
 	b := start(t, "b", nil)
 	a := start(t, "a", func(cfg *Config) {
 		cfg.Timing.IdleTimeout = 200 * time.Millisecond
 		cfg.Resolve = func(id string) (string, bool) { return b.address, id == "b" }
 	})
 	if !a.Send("b", ping(1)) {
-		t.Fatal("not taken")
+		t.Fatal("envelope was not accepted")
 	}
 	if got := receive(t, "ping", b.envelopes); got.env.Ping.Seq != 1 {
 		t.Errorf("b got %+v", got.env)
@@ -283,13 +282,13 @@
 		t.Errorf("link ended with %v", err)
 	}
 	if a.Send("nobody", ping(2)) {
-		t.Error("took an envelope for a peer without address")
+		t.Error("accepted an envelope for a peer without an address")
 	}
 }
 
 func TestUnreachablePeerOnDemand(t *testing.T) {
-	// Nothing listens at the address. The sender hears that its envelope was
-	// lost, and while the peer is backed off that nothing is taken for it.
+	// Nothing listens at the address. The loss of the envelope must be reported, and during
+	// the backoff Send must refuse envelopes for the peer.
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -302,15 +301,15 @@
 	a.Send("b", ping(1))
 	receive(t, "loss", a.down)
 	if a.Send("b", ping(2)) {
-		t.Error("took an envelope during the backoff")
+		t.Error("accepted an envelope during the backoff")
 	}
 }
 
 func TestRestartedPeerReplacesItsLink(t *testing.T) {
-	// A process restarts under its id while the old connection still looks
-	// open. The link of the new incarnation takes over at once, and nothing of
-	// the old one comes after it. The side that accepted the old link must end
-	// it by itself: with silence allowed for an hour, nothing else would.
+	// A process restarts under its ID while the old connection still appears open. The link
+	// of the new incarnation must replace the old one at once, and nothing from the old one
+	// may follow. The side that accepted the old link must end it itself: with a timeout of
+	// an hour, nothing else does.
 	longTimeout := func(cfg *Config) { cfg.Timing.PeerTimeout = time.Hour }
 	b := start(t, "b", longTimeout)
 	for i := 1; i <= 3; i++ {
@@ -326,10 +325,9 @@
 	}
 }
 
-// What the fleet sees: an instance that stops takes its links down at once. Its
-// peer had opened the link; the HTTP library keeps a connection it handed over
-// open for as long as the handler runs, and the handler waited for the peer's
-// next message, up to the time that counts as silence.
+// Guards against an instance that stops and keeps an accepted link open until PeerTimeout.
+// By default the HTTP library keeps a hijacked connection open until its handler returns,
+// while the handler waits for the peer's next message.
 func TestAcceptedLinkIsClosedAtOnce(t *testing.T) {
 	longTimeout := func(cfg *Config) { cfg.Timing.PeerTimeout = time.Hour }
 	acceptor := start(t, "a", longTimeout)
@@ -342,9 +340,9 @@
 	receive(t, "end of the link", dialer.down)
 }
 
-// An instance under load has a link to most of the fleet. A sign of life each
-// second on all of them would cost more than the heartbeats, so those opened on
-// demand have a longer time, on both sides, than those to neighbours.
+// An instance under load has a link to most of the fleet. A ping each second on all of them
+// would cost more than the heartbeats, so links opened on demand have longer intervals and
+// timeouts, on both sides, than links to targets.
 func TestOnDemandLinkHasLongerTimeout(t *testing.T) {
 	links, err := New(Config{Keys: []Key{{ID: "k", Secret: "a-secret-for-tests"}}})
 	if err != nil {
@@ -354,6 +352,6 @@
 	onDemand := l.timeout()
 	links.SetTargets([]Target{{ID: "b", Address: "127.0.0.1:1"}})
 	if wanted := l.timeout(); wanted != links.cfg.Timing.PeerTimeout || onDemand != onDemandFactor*wanted {
-		t.Errorf("silence of %v on demand and %v to a neighbour", onDemand, wanted)
+		t.Errorf("timeout of %v on demand and %v for a target", onDemand, wanted)
 	}
 }
--- a/internal/peer/outgoing.go
+++ b/internal/peer/outgoing.go
@@ -10,22 +10,23 @@
 // outgoing is an envelope in the queue of a link.
 type outgoing struct {
 	env *wire.Envelope
-	// shared is what the links of a Broadcast have in common; nil for an envelope
-	// of one link.
+	// shared holds the encodings of a Broadcast for all its links; nil for an envelope of
+	// one link.
 	shared *sharedEncoding
-	// bulk says that other envelopes are to pass this one.
+	// bulk marks an envelope that others may pass.
 	bulk bool
-	// queuedAt is when it was queued.
+	// queuedAt is the time when the envelope was queued.
 	queuedAt monotime.Instant
 }
 
-// sharedEncoding is an envelope for several peers, which is encoded once for each form of frames.
+// sharedEncoding holds an envelope for several peers, encoded at most once plain and once
+// compressed.
 type sharedEncoding struct {
-	cost          int
+	cost              int
 	plain, compressed lazyEncoding
 }
 
-// lazyEncoding is a frame that is made when it is first needed.
+// lazyEncoding is a frame that is encoded on first use.
 type lazyEncoding struct {
 	once sync.Once
 	data []byte
@@ -37,7 +38,8 @@
 	return e.data, e.err
 }
 
-// encode writes the envelope of a frame, compressed where the peer understands that.
+// encode encodes an envelope as a frame, compressed if the peer accepts that and it is
+// shorter.
 func encode(env *wire.Envelope, compression bool) ([]byte, error) {
 	data, err := Encode(env)
 	if err != nil || !compression {
@@ -66,9 +68,10 @@
 	}
 }
 
-// Broadcast queues an envelope for several peers with a link; the others are passed
-// over. It is encoded once, and sent without waiting for more. It does not block and
-// may be called from the handler. The envelope must not be changed afterwards.
+// Broadcast queues an envelope for several peers and skips those without a link. The
+// envelope is encoded once and sent without the coalescing delay, unless other envelopes
+// are queued on the link. Broadcast does not block and may be called from the handler. The
+// envelope must not be modified afterwards.
 func (s *Links) Broadcast(to []string, env *wire.Envelope) {
 	o := outgoing{env: env, shared: &sharedEncoding{cost: cost(env)}}
 	for _, id := range to {
@@ -78,9 +81,9 @@
 	}
 }
 
-// Drop closes the link to a peer if this side opened it. The other side, which may
-// need it, opens one then; a link that both could drop would be closed and opened
-// again for good.
+// Drop closes the link to a peer if this side opened it. The other side opens a
+// new one if it needs it. If both sides could drop one link, it would be closed and opened
+// again forever.
 func (s *Links) Drop(id string) {
 	if l := s.link(id); l != nil && l.dialer {
 		l.close(errIdle)
--- a/internal/peer/registry.go
+++ b/internal/peer/registry.go
@@ -11,12 +11,13 @@
 	"basilrudder/internal/monotime"
 )
 
-// simultaneousIntervals times Timing.SignOfLife is the age below which two links
-// count as opened at the same time.
+// simultaneousIntervals times Timing.KeepAliveInterval is the difference in age below which
+// two links count as opened simultaneously. If it is too low, the sides may keep different
+// links and close both; if too high, a new link loses to a broken one.
 const simultaneousIntervals = 2
 
 var upgrader = websocket.FastHTTPUpgrader{
-	// Peers prove a key; browsers and their origins play no part.
+	// Peers authenticate with a key; the origin header of browsers is irrelevant.
 	CheckOrigin: func(*fasthttp.RequestCtx) bool { return true },
 }
 
@@ -33,8 +34,8 @@
 	}
 }
 
-// serveConn shakes hands on a connection and serves it as a link until it ends. It
-// returns nil once the link was open.
+// serveConn runs the handshake on a connection and serves it as a link until it ends. It
+// returns an error only if the handshake failed or Run has ended.
 func (s *Links) serveConn(conn *websocket.Conn, dialer bool, expectedID string) error {
 	defer conn.Close()
 	if !s.trackConn(conn) {
@@ -43,7 +44,7 @@
 	defer s.untrackConn(conn)
 	result, err := s.handshake(conn, dialer)
 	if err == nil && expectedID != "" && result.peer.ID != expectedID {
-		err = errors.Errorf("address of %s answers as %s", expectedID, result.peer.ID)
+		err = errors.Errorf("address of %s belongs to %s", expectedID, result.peer.ID)
 	}
 	if err != nil {
 		s.counters.handshakesRefused.Add(1)
@@ -53,8 +54,8 @@
 	now := monotime.Now()
 	l := &link{
 		conn: conn, links: s, peer: result.peer, keyID: result.keyID, dialer: dialer,
-		compression:  result.version >= versionCompressed,
-		openedAt: now, lastUsed: now,
+		compression: result.version >= versionCompressed,
+		openedAt:    now, lastUsed: now,
 		wakeup: make(chan struct{}, 1), done: make(chan struct{}), finished: make(chan struct{}),
 	}
 	l.receivedAt.Store(int64(now))
@@ -67,7 +68,8 @@
 	return nil
 }
 
-// trackConn counts a connection that Run has to wait for, unless Run is over.
+// trackConn registers a connection for which Run waits at its end. It reports false once Run
+// is stopping.
 func (s *Links) trackConn(conn *websocket.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +102,8 @@
 	return handshakeAsAcceptor(raw, s.cfg.Self, keys)
 }
 
-// register makes l the link to its peer and reports whether it was taken.
+// register makes l the link to its peer, unless an existing one is preferred, and reports
+// whether it did.
 func (s *Links) register(l *link) bool {
 	s.events.Lock()
 	defer s.events.Unlock()
@@ -120,8 +123,8 @@
 	s.links[l.peer.ID] = l
 	s.mu.Unlock()
 	if old != nil {
-		// Nothing of the old link may reach the handler once the new one is
-		// up: it may come from an earlier incarnation.
+		// No envelope of the old link may reach the handler after LinkUp of the new one, as
+		// it may be from an earlier incarnation.
 		<-old.finished
 		s.counters.replaced.Add(1)
 		s.cfg.Handler.LinkDown(l.peer.ID, errReplaced)
@@ -132,10 +135,10 @@
 	return true
 }
 
-// prefers decides between two links to one peer. When both sides dialed at the
-// same time, both keep the one that the lower id opened. Otherwise the newer
-// one wins: its dialer has found the older one broken, of which this side may
-// know nothing yet.
+// prefers reports whether candidate replaces the old link to the same peer. If both sides
+// dialed simultaneously, both keep the link opened by the lower ID. Otherwise the newer one
+// replaces the older: its dialer has detected that the older is broken, which this side may
+// not have detected yet.
 func (s *Links) prefers(candidate, old *link) bool {
 	if candidate.peer.Incarnation != old.peer.Incarnation || candidate.dialer == old.dialer {
 		return true
@@ -163,7 +166,7 @@
 	}
 }
 
-// logEnd logs what the link was busy with when it ended.
+// logEnd logs the end of a link, with its queue and its last received data.
 func (s *Links) logEnd(l *link, reason error) {
 	now := monotime.Now()
 	l.mu.Lock()
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -6,7 +6,7 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Values of usual length, so that the encoding is neither flattered nor padded.
+// Values of typical length, as the encoded size depends on them.
 const (
 	sampleSeq      = 1_500_000_000
 	sampleGroup    = "zqwn9.0"
@@ -35,9 +35,9 @@
 	return &wire.Envelope{Progress: []wire.Progress{{Group: sampleGroup, Items: sampleItems(n, adopted)}}}
 }
 
-// A daemon may spend 6 KB a second on control. Every request costs its owner and
-// its holder these messages, so their size decides how many requests that
-// carries; docs/design/who-decides.md adds them up.
+// A daemon may use 6 KB/s for control messages. Each request costs its owner and its holder
+// these messages, so their sizes limit the request rate within this budget; see
+// docs/design/who-decides.md.
 func TestRequestMessageSizes(t *testing.T) {
 	for _, m := range []struct {
 		name  string
@@ -67,9 +67,9 @@
 			t.Fatal(err)
 		}
 		size := len(data) + frameOverhead(len(data), true)
-		t.Logf("%-14s %4d bytes, with the header of its frame %4d", m.name, len(data), size)
+		t.Logf("%-14s %4d bytes, %4d with the frame header", m.name, len(data), size)
 		if size > m.bound {
-			t.Errorf("%s takes %d bytes, more than %d", m.name, size, m.bound)
+			t.Errorf("%s has %d bytes, limit %d", m.name, size, m.bound)
 		}
 	}
 }
--- a/internal/peer/slow_test.go
+++ b/internal/peer/slow_test.go
@@ -15,8 +15,8 @@
 	"basilrudder/internal/standin/narrownet"
 )
 
-// The HTTP library starts a clock for the Date header with its first answer, and never
-// ends it. It has to start outside of virtual time.
+// The HTTP library starts a goroutine for the Date header with its first response and never
+// stops it. It must be started outside of virtual time.
 var _ = new(fasthttp.ResponseHeader).Header()
 
 func incompressible(n int) []byte {
@@ -26,13 +26,12 @@
 	return out
 }
 
-const slowLinkRate = 10e6 / 8 // bytes a second
+const slowLinkRate = 10e6 / 8 // bytes per second
 
-// startSlow links two instances over slow links in virtual time and returns them with a
-// function that ends both.
+// startSlow connects two instances over slow links in virtual time. stop ends both.
 func startSlow(t *testing.T, timing Timing) (a, b *instance, stop func()) {
 	t.Helper()
-	for monotime.Now() <= 0 { // virtual time begins before the process did
+	for monotime.Now() <= 0 { // virtual time begins before the start of the process
 		time.Sleep(365 * 24 * time.Hour)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -71,7 +70,7 @@
 	}
 }
 
-// Guards against a link that is closed as silent while a long message comes in.
+// Guards against a link that times out while it receives a long message over a slow network.
 func TestLongMessageDoesNotTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b, stop := startSlow(t, Timing{KeepAliveInterval: 200 * time.Millisecond, PeerTimeout: 700 * time.Millisecond})
@@ -84,7 +83,7 @@
 			select {
 			case got := <-side.to.envelopes:
 				if n := len(got.env.ConfigPart.Data); n != len(long.ConfigPart.Data) {
-					t.Errorf("%d bytes came", n)
+					t.Errorf("received %d bytes", n)
 				}
 			case err := <-side.to.down:
 				t.Errorf("link to %s lost: %v", side.id, err)
@@ -94,7 +93,7 @@
 	})
 }
 
-// Guards against urgent messages that wait behind pieces of a configuration.
+// Guards against urgent messages that are delayed by queued pieces of a configuration.
 func TestUrgentMessagesPassConfigurationPieces(t *testing.T) {
 	const pieces, pieceBytes = 64, 32 << 10
 	const whole = pieces * pieceBytes * time.Second / slowLinkRate
@@ -116,20 +115,20 @@
 				}
 				if piece := got.env.ConfigPart; piece != nil {
 					if piece.Offset != n {
-						t.Fatalf("piece %d came as number %d", piece.Offset, n)
+						t.Fatalf("received piece %d at position %d", piece.Offset, n)
 					}
 					n++
 				}
 			}
 			if limit := whole / 10; took == 0 || took > limit {
-				t.Errorf("urgent after %v, at most %v wanted; all pieces take %v", took, limit, whole)
+				t.Errorf("urgent message took %v, limit %v; all pieces take %v", took, limit, whole)
 			}
 			stop()
 		})
 	}
 }
 
-// Guards against bulk that takes more of a link than it may.
+// Guards against bulk that exceeds its rate limit.
 func TestBulkRateLimit(t *testing.T) {
 	limiter := bulkLimiter{rate: 1 << 20}
 	now, sent := monotime.Instant(time.Hour), 0
@@ -142,6 +141,6 @@
 		sent += 32 << 10
 	}
 	if minimum, maximum := 1<<20, 1<<20+bulkBurst+32<<10; sent < minimum || sent > maximum {
-		t.Errorf("%d bytes in a second, between %d and %d wanted", sent, minimum, maximum)
+		t.Errorf("%d bytes in a second, want %d to %d", sent, minimum, maximum)
 	}
 }
