--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -44,14 +44,14 @@
 	mu       sync.Mutex
 	started  monotime.Instant // the first tick
 	rec      *orders.Reconciler
-	loads    *orders.Loads
+	loads    *orders.LoadPermits
 	revision uint64
 	version  uint64
 	behind   bool
 }
 
 func newOrderer(self string, n *node.Node, clients *upstream.Client, tasks *sync.WaitGroup, log *zap.Logger) *orderer {
-	loads := orders.NewLoads(self, orders.DefaultLease)
+	loads := orders.NewLoadPermits(self, orders.DefaultLease)
 	return &orderer{
 		node:    n,
 		clients: clients,
@@ -131,7 +131,7 @@
 func (o *orderer) call(ctx context.Context, action orders.Action) (engineapi.OrderAnswer, *verdict.Error) {
 	target := targetOf(action.Engine)
 	if action.Kind == orders.Observe {
-		return o.clients.Holds(ctx, target)
+		return o.clients.Holdings(ctx, target)
 	}
 	cat := o.node.Catalog()
 	if !o.node.MayOrder(monotime.Now()) || cat.Revision != uint64(action.Order.Fence) {
@@ -176,7 +176,7 @@
 	// Behind says that engines have seen a newer revision than this instance.
 	Behind bool `json:"behind"`
 	// Loads from the weight store.
-	Loads orders.LoadStats `json:"loads"`
+	Loads orders.LoadPermitStats `json:"loads"`
 }
 
 func (o *orderer) status(now monotime.Instant) OrderStatus {
--- a/internal/sched/health.go
+++ b/internal/sched/health.go
@@ -7,34 +7,40 @@
 	"basilrudder/internal/monotime"
 )
 
-// health decides how much work an engine gets after failures. A failed attempt
-// halves the trust; a second one in a row ejects the engine for a time that
-// doubles. After that time one request probes it, and each success doubles the
-// slots it may hold. Without the ramp, an engine that answers again would get a
-// full load of requests at once and fail them all if it is still ill.
+// health limits the work of an engine after failures. A failed attempt limits the engine
+// to one slot. A second one in a row ejects it, for a time that doubles with each
+// ejection. After that time one request probes the engine, and each success doubles the
+// number of slots. Without this ramp, an engine that answers again would get a full load
+// at once and fail all of it if it has not recovered.
 type health struct {
-	// failures in a row.
+	// failures is the number of consecutive failures.
 	failures int
-	// ejections in a row, without full recovery between them.
+	// ejections is the number of ejections without full recovery between them.
 	ejections int
-	// until is the end of the current ejection.
-	until monotime.Instant
-	// ramp bounds the slots held while trust comes back; 0 for no bound.
+	// ejectedUntil is the end of the current ejection.
+	ejectedUntil monotime.Instant
+	// ramp bounds the slots held during recovery; 0 for no bound.
 	ramp int
 }
 
 const (
+	// failuresToEject is the number of consecutive failures that eject an engine. At 1, a
+	// single bad request would eject a healthy engine.
 	failuresToEject = 2
-	firstEjection   = 500 * time.Millisecond
-	longestEjection = 15 * time.Second
-	// refusedPause is how long an engine that refused a request rests.
+	// firstEjection doubles up to maxEjection. A shorter time spends more requests as
+	// probes of a failed engine; a longer one keeps a recovered engine out of use.
+	firstEjection = 500 * time.Millisecond
+	maxEjection   = 15 * time.Second
+	// refusedPause is how long an engine that refused a request gets no new one. Without
+	// a pause, the next request would be refused as well.
 	refusedPause = 50 * time.Millisecond
-	// rampDone is the bound on slots at which an engine is trusted again.
-	rampDone = 256
+	// rampEnd is the number of slots at which an engine counts as recovered. It should
+	// exceed the slots of an engine, or the ramp ends in a jump to full load.
+	rampEnd = 256
 )
 
 func (h *health) limit(now monotime.Instant) int {
-	if now < h.until {
+	if now < h.ejectedUntil {
 		return 0
 	}
 	if h.ramp > 0 {
@@ -49,16 +55,16 @@
 	if h.failures < failuresToEject {
 		return
 	}
-	if now < h.until {
+	if now < h.ejectedUntil {
 		return
 	}
-	away := min(firstEjection<<min(h.ejections, 10), longestEjection)
+	duration := min(firstEjection<<min(h.ejections, 10), maxEjection)
 	h.ejections++
-	h.until = now.Add(away)
+	h.ejectedUntil = now.Add(duration)
 }
 
 func (h *health) refused(now monotime.Instant) {
-	h.until = max(h.until, now.Add(refusedPause))
+	h.ejectedUntil = max(h.ejectedUntil, now.Add(refusedPause))
 }
 
 func (h *health) succeeded() {
@@ -67,7 +73,7 @@
 		return
 	}
 	h.ramp *= 2
-	if h.ramp >= rampDone {
+	if h.ramp >= rampEnd {
 		h.ramp = 0
 		h.ejections = 0
 	}
@@ -78,13 +84,13 @@
 	return h.failures > 0
 }
 
-// upkeep compares engines with their peers and lets limits follow.
+// upkeep compares engines with their peers and updates their limits.
 func (g *Group) upkeep(now monotime.Instant) {
 	g.upkeepAt = now
-	for _, l := range g.laneList {
-		g.compareEngines(l, now)
-		for t := range l.tiers {
-			g.forgetIdle(&l.tiers[t])
+	for _, p := range g.pools {
+		g.detectStragglers(p, now)
+		for t := range p.tiers {
+			g.removeIdleAccounts(&p.tiers[t])
 		}
 	}
 	g.endTakeover(now)
@@ -93,14 +99,14 @@
 	}
 }
 
-// compareEngines finds stragglers: engines slower than the median of their
-// peers. The comparison is relative, since all engines slow down together
-// when they are full, and that is no reason to send any of them less.
-func (g *Group) compareEngines(l *lane, now monotime.Instant) {
+// detectStragglers finds engines slower than the median of their peers. The comparison is
+// relative: all engines slow down together under full load, and that is no reason to send
+// less to any of them.
+func (g *Group) detectStragglers(p *pool, now monotime.Instant) {
 	paces := g.paces[:0]
 	gaps := 0.0
 	count := 0
-	for _, e := range l.engines {
+	for _, e := range p.engines {
 		if !e.takesWork() {
 			continue
 		}
@@ -112,41 +118,42 @@
 	}
 	g.paces = paces
 	if count > 0 {
-		l.gapMean = gaps / float64(count)
+		p.gapMean = gaps / float64(count)
 	}
 	if len(paces) < 2 {
 		return
 	}
 	slices.Sort(paces)
 	median := paces[(len(paces)-1)/2]
-	for _, e := range l.engines {
-		e.slow = max(1, e.pace.or(median)/median)
-		e.doubt(now)
+	for _, e := range p.engines {
+		e.slowdown = max(1, e.pace.meanOr(median)/median)
+		e.markStalePace(now)
 	}
 }
 
-// doubt marks a straggler that was not measured for a while. One request of a
-// lower tier then tries it. Without the doubt it would stay without work for
-// good; without the bound of one, an engine that is still slow would get a full
-// load before its first answer shows it.
-func (e *engine) doubt(now monotime.Instant) {
-	if e.slow >= slowFrom && now.Sub(e.paceAt) >= paceMemory {
-		e.doubtful = true
+// markStalePace marks a straggler that has not been measured recently. One request of a
+// lower tier then probes it. Without this mark it would never get work again; without the
+// limit to one request, an engine that is still slow would get a full load before its
+// first answer shows it.
+func (e *engine) markStalePace(now monotime.Instant) {
+	if e.slowdown >= stragglerSlowdown && now.Sub(e.paceAt) >= maxPaceAge {
+		e.paceStale = true
 	}
 }
 
-// sampled forgets what was known of a doubtful engine: a new sample tells more.
-func (e *engine) sampled() {
-	if !e.doubtful {
+// resetStalePace discards the statistics of an engine whose pace is stale: the new sample
+// replaces them.
+func (e *engine) resetStalePace() {
+	if !e.paceStale {
 		return
 	}
-	e.doubtful = false
+	e.paceStale = false
 	e.pace = ewma{}
 	e.gap = ewma{}
 }
 
-// onTrial reports whether the engine should get one request, of a lower tier,
-// to show what it does.
-func (e *engine) onTrial() bool {
-	return e.doubtful || e.health.probing()
+// needsProbe reports whether the engine should get a single request of a lower tier to
+// measure it.
+func (e *engine) needsProbe() bool {
+	return e.paceStale || e.health.probing()
 }
--- a/internal/sched/takeover.go
+++ b/internal/sched/takeover.go
@@ -2,29 +2,28 @@
 
 import "basilrudder/internal/monotime"
 
-// A new owner of a group starts with empty books, and all waiting requests are
-// asked for again at that moment. Without care it fills the slots that the old
-// owner kept free, and those that are in use but not told of yet, with lower
-// work, and the top tier waits behind it for seconds. Two things prevent that:
-// for a few hundred milliseconds, in which holders that know of the change tell
-// what they hold, only the tiers with headroom get slots; and for one lease, in
-// which holders that learn of it later renew, slots that an engine reports as in
-// use count as used.
+// A new owner of a group starts with no record of the slots in use, and all waiting
+// requests are submitted to it again at once. Unrestricted, it fills the slots that the
+// old owner kept free, and those in use but not reported yet, with lower-tier work, and
+// the top tier waits behind it for seconds. Two rules prevent that. For a few hundred
+// milliseconds, in which holders that have received the change report their slots, only
+// tiers with headroom get slots. For one further lease, in which the remaining holders
+// renew, slots that an engine reports as running count as used.
 
-// Warm starts the take-over of a group that other holders may be using. Until
-// the instant only the tiers with headroom get slots.
-func (g *Group) Warm(until monotime.Instant) {
-	g.warmUntil = until
-	g.settledAt = until.Add(g.lease)
+// BeginTakeover starts the takeover of a group that holders may already be using. Until
+// the given instant only tiers with headroom get slots.
+func (g *Group) BeginTakeover(until monotime.Instant) {
+	g.restrictedUntil = until
+	g.takeoverEnd = until.Add(g.lease)
 }
 
-func (g *Group) warming(now monotime.Instant) bool {
-	return g.policy.Headroom && now < g.warmUntil
+func (g *Group) restricted(now monotime.Instant) bool {
+	return g.policy.Headroom && now < g.restrictedUntil
 }
 
-// lowestWithHeadroom is the lowest tier that has headroom; the top tier counts
-// in any case.
-func (g *Group) lowestWithHeadroom() int {
+// lowestTierWithHeadroom returns the lowest tier that has headroom, or the top tier if
+// none has.
+func (g *Group) lowestTierWithHeadroom() int {
 	lowest := 0
 	for t, share := range g.headroom {
 		if share > 0 {
@@ -34,42 +33,42 @@
 	return lowest
 }
 
-// countUntold compares a load report with the books. The reading is old, so
-// slots that came free since it was taken are no longer in use; without that a
-// burst that ends keeps the engine closed until the next report.
-func (g *Group) countUntold(e *engine, now monotime.Instant) {
-	if now >= g.settledAt {
+// countUnclaimed derives the slots that are in use but claimed by no holder from the
+// engine's load report. Slots freed since the report was taken are subtracted; otherwise
+// the engine would stay closed after a burst until its next report.
+func (g *Group) countUnclaimed(e *engine, now monotime.Instant) {
+	if now >= g.takeoverEnd {
 		return
 	}
-	since := 0
+	freed := 0
 	for _, at := range e.freedAt {
 		if at > e.reportedAt {
-			since++
+			freed++
 		}
 	}
-	e.untold = max(0, e.reported-e.inflight-since)
+	e.unclaimed = max(0, e.reportedLoad-e.inflight-freed)
 	g.refreshEngine(e, now)
 }
 
-// noteFreeSlot notes when a slot came free, while a take-over lasts.
-func (g *Group) noteFreeSlot(e *engine, now monotime.Instant) {
-	if now < g.settledAt {
+// recordFreedSlot records when a slot was freed during a takeover.
+func (g *Group) recordFreedSlot(e *engine, now monotime.Instant) {
+	if now < g.takeoverEnd {
 		e.freedAt = append(e.freedAt, now)
 	}
 }
 
-// told notes that a holder told of a slot at the engine.
-func (e *engine) told() {
-	e.untold = max(0, e.untold-1)
+// claimed records that a holder reported a slot at the engine.
+func (e *engine) claimed() {
+	e.unclaimed = max(0, e.unclaimed-1)
 }
 
-// endTakeover ends the take-over: every holder has renewed by now.
+// endTakeover ends the takeover once every holder must have renewed.
 func (g *Group) endTakeover(now monotime.Instant) {
-	if now < g.settledAt {
+	if now < g.takeoverEnd {
 		return
 	}
 	for _, e := range g.engines {
-		e.untold = 0
+		e.unclaimed = 0
 		e.freedAt = nil
 	}
 }
