--- a/internal/node/expire.go
+++ b/internal/node/expire.go
@@ -9,12 +9,12 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// renewalsPerLease is how often a holder renews within one lease, so that two
-// lost messages in a row cost no slot.
+// renewalsPerLease is the number of renewals that a holder sends within one lease. With 3,
+// two lost messages in a row cost no slot.
 const renewalsPerLease = 3
 
-// expireRequests refuses waiting requests whose deadline has passed, asks again
-// where an owner fell silent, and starts resumptions that are due.
+// expireRequests starts resumptions that are due and refuses waiting requests whose
+// deadline or queue wait limit has passed.
 func (n *Node) expireRequests(now monotime.Instant) {
 	for r := n.order.head; r != nil; r = r.next {
 		if r.state == stateResuming && !now.Before(r.resumeAt) {
@@ -22,30 +22,31 @@
 		}
 	}
 	isLate := func(r *request) bool { return r.late(now) }
-	n.eachWaiting(isLate, func(r *request) {
+	n.forEachWaiting(isLate, func(r *request) {
 		n.withdraw(now, r)
 		n.refuse(now, r, deadlineError())
 	})
 }
 
-// renewLeases tells owners which slots are still in use, and the tokens since.
+// renewLeases reports to the owners which slots are still in use, and the tokens relayed
+// since the last report.
 func (n *Node) renewLeases(now monotime.Instant) {
 	cat := n.catalog.Load()
 	if cat == nil {
 		return
 	}
-	interval := milliseconds(cat.Rules.GrantLeaseMS) / renewalsPerLease
-	if now.Sub(n.renewed) < interval {
+	interval := msToDuration(cat.Rules.GrantLeaseMS) / renewalsPerLease
+	if now.Sub(n.renewedAt) < interval {
 		return
 	}
-	n.renewed = now
+	n.renewedAt = now
 	n.renew(now, func(*request) bool { return true })
-	n.markLong(now)
+	n.recordMarks(now)
 }
 
-// renewMoved tells a new owner at once what runs in its group, so that it does
-// not hand out slots that are in use.
-func (n *Node) renewMoved(now monotime.Instant) {
+// renewAtNewOwners reports running requests to a new owner of their group at once, so that
+// it does not grant slots that are in use.
+func (n *Node) renewAtNewOwners(now monotime.Instant) {
 	n.renew(now, func(r *request) bool { return n.ownerOf(r.group) != r.owner })
 }
 
@@ -54,19 +55,19 @@
 	group *catalog.Group
 }
 
-// renewedItem is what an owner that gave the slot needs.
-func renewedItem(r *request, tokens int) wire.ProgressItem {
+// progressItem returns what the owner that granted the slot needs for a renewal.
+func progressItem(r *request, tokens int) wire.ProgressItem {
 	return wire.ProgressItem{Seq: int(r.seq), Tokens: tokens}
 }
 
-// movedItem is what a new owner needs to take the slot into its books.
-func (n *Node) movedItem(r *request, tokens int) wire.ProgressItem {
-	item := renewedItem(r, tokens)
+// adoptionItem returns what a new owner needs to record the slot.
+func (n *Node) adoptionItem(r *request, tokens int) wire.ProgressItem {
+	item := progressItem(r, tokens)
 	item.Engine = r.engine.ID
 	item.Class = int(r.Class.Hash)
 	item.Customer = int(r.Customer.Hash)
 	item.Tier = r.tier
-	item.HoldMS = n.holdMS(r)
+	item.HoldMS = n.expectedHoldMS(r)
 	return item
 }
 
@@ -77,18 +78,18 @@
 		if r.state == stateWaiting || !match(r) {
 			continue
 		}
-		itemOf := renewedItem
+		itemOf := progressItem
 		if owner := n.ownerOf(r.group); owner != r.owner {
 			r.owner = owner
-			itemOf = n.movedItem
+			itemOf = n.adoptionItem
 		}
 		key := renewalKey{owner: r.owner, group: r.group}
 		if items[key] == nil {
 			keys = append(keys, key)
 		}
 		tokens := r.tokens()
-		items[key] = append(items[key], itemOf(r, tokens-r.charged))
-		r.charged = tokens
+		items[key] = append(items[key], itemOf(r, tokens-r.reportedTokens))
+		r.reportedTokens = tokens
 	}
 	for _, key := range keys {
 		n.sendProgress(now, key.owner, wire.Progress{Group: key.group.Name, Items: items[key]})
@@ -97,13 +98,13 @@
 
 func (n *Node) sendProgress(now monotime.Instant, owner string, msg wire.Progress) {
 	if owner == n.self() {
-		n.progressOwned(now, n.self(), msg)
+		n.onProgress(now, n.self(), msg)
 		return
 	}
 	n.eff.Send(owner, &wire.Envelope{Progress: []wire.Progress{msg}})
 }
 
-// release gives a slot back to the owner.
+// release returns a slot to its owner, with the result of the attempt.
 func (n *Node) release(now monotime.Instant, owner, group string, seq uint64, result sched.Result) {
 	msg := wire.Release{
 		Seq:          int(seq),
@@ -114,7 +115,7 @@
 		Outcome:      int(result.Outcome),
 	}
 	if owner == n.self() {
-		n.releaseOwned(now, n.self(), msg)
+		n.onRelease(now, n.self(), msg)
 		return
 	}
 	n.eff.Send(owner, &wire.Envelope{Releases: []wire.Release{msg}})
