--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,11 +59,11 @@
 // answers one. The backoff is short because after a loss of all links an instance has no
 // view of the others until the next attempt.
 var linkTiming = peer.Timing{
-	SignOfLife: 200 * time.Millisecond,
-	Silence:    700 * time.Millisecond,
-	Handshake:  300 * time.Millisecond,
-	BackoffMin: 100 * time.Millisecond,
-	BackoffMax: 500 * time.Millisecond,
+	KeepAliveInterval: 200 * time.Millisecond,
+	PeerTimeout:       700 * time.Millisecond,
+	HandshakeTimeout:  300 * time.Millisecond,
+	BackoffMin:        100 * time.Millisecond,
+	BackoffMax:        500 * time.Millisecond,
 }
 
 // bulkShare is the share of an instance's link that configurations may use.
@@ -74,7 +74,7 @@
 func linkTimingFor(linkMbps float64) peer.Timing {
 	const bytesPerMegabit = 1e6 / 8
 	out := linkTiming
-	out.BulkBytes = int(bulkShare * linkMbps * bytesPerMegabit)
+	out.BulkRate = int(bulkShare * linkMbps * bytesPerMegabit)
 	return out
 }
 
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -170,7 +170,7 @@
 	for _, t := range needed {
 		targets = append(targets, peer.Target{ID: t.ID, Address: t.Address})
 	}
-	p.links.SetWanted(targets)
+	p.links.SetTargets(targets)
 }
 
 // logRole logs this instance's role when it changes.
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -11,40 +11,40 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// dial is the attempt, or the wait for the next one, to open a link.
+// dial is the state of the attempts to open a link to one target.
 type dial struct {
-	target  Target
-	running bool
-	next    monotime.Instant
-	backoff time.Duration
-	pending []outgoing // of Send, until the link opens
-	cost    int
+	target      Target
+	running     bool
+	retryAt     monotime.Instant
+	backoff     time.Duration
+	pending     []outgoing // queued by Send until the link opens
+	pendingCost int
 }
 
-// manage opens the links that are wanted or waited for, and closes idle ones.
+// manage opens links to targets and to peers with pending envelopes, and closes idle ones.
 func (s *Links) manage(ctx context.Context) error {
-	timer := time.NewTimer(restInterval)
+	timer := time.NewTimer(maxCheckInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.kick:
+		case <-s.wakeup:
 		case <-timer.C:
 		}
 		now := monotime.Now()
-		due := s.startDials(ctx, now)
+		wait := s.startDials(ctx, now)
 		s.closeIdle(now)
-		timer.Reset(min(due, restInterval, s.cfg.Timing.Idle))
+		timer.Reset(min(wait, maxCheckInterval, s.cfg.Timing.IdleTimeout))
 	}
 }
 
-// startDials starts what is due and returns when something will be.
+// startDials starts the dials that are due and returns the delay until the next one.
 func (s *Links) startDials(ctx context.Context, now monotime.Instant) time.Duration {
-	due := restInterval
+	wait := maxCheckInterval
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for key, target := range s.wanted {
+	for key, target := range s.targets {
 		d := s.dials[key]
 		if d == nil {
 			d = &dial{}
@@ -53,14 +53,14 @@
 		d.target = target
 	}
 	for key, d := range s.dials {
-		_, wanted := s.wanted[key]
+		_, isTarget := s.targets[key]
 		switch {
 		case d.running:
 		case s.links[key] != nil:
 			delete(s.dials, key)
-		case now < d.next:
-			due = min(due, d.next.Sub(now))
-		case !wanted && len(d.pending) == 0:
+		case now < d.retryAt:
+			wait = min(wait, d.retryAt.Sub(now))
+		case !isTarget && len(d.pending) == 0:
 			delete(s.dials, key)
 		default:
 			d.running = true
@@ -71,11 +71,10 @@
 			})
 		}
 	}
-	return due
+	return wait
 }
 
-// sendOnDemand queues an envelope for a peer without a link. It runs with mu
-// held.
+// sendOnDemand queues an envelope for a peer without a link. s.mu is held.
 func (s *Links) sendOnDemand(to string, env *wire.Envelope) bool {
 	d := s.dials[to]
 	if d == nil {
@@ -87,25 +86,25 @@
 		s.dials[to] = d
 	}
 	add := cost(env)
-	// While a failed peer is in its backoff there is no use in queueing: the
-	// sender is better off to hear at once that nothing was sent.
-	if d.backoff > 0 && !d.running || d.cost+add > s.cfg.Timing.QueueBytes {
+	// A peer in its backoff is not dialed soon, so the sender gets the failure at once
+	// instead of a queued envelope.
+	if d.backoff > 0 && !d.running || d.pendingCost+add > s.cfg.Timing.MaxQueueBytes {
 		return false
 	}
 	d.pending = append(d.pending, outgoing{env: env})
-	d.cost += add
+	d.pendingCost += add
 	return true
 }
 
-// takePending hands the envelopes that waited for a link over to it. It runs
-// with mu held.
+// takePending returns and clears the envelopes that were pending for a new link.
+// s.mu is held.
 func (s *Links) takePending(id string) []outgoing {
 	d := s.dials[id]
 	if d == nil {
 		return nil
 	}
 	queue := d.pending
-	d.pending, d.cost, d.backoff, d.next = nil, 0, 0, 0
+	d.pending, d.pendingCost, d.backoff, d.retryAt = nil, 0, 0, 0
 	return queue
 }
 
@@ -115,10 +114,10 @@
 	begin := monotime.Now()
 	conn, err := s.connect(ctx, target.Address)
 	if err == nil {
-		err = s.run(conn, true, target.ID)
+		err = s.serveConn(conn, true, target.ID)
 	}
 	if err != nil {
-		s.counters.failures.Add(1)
+		s.counters.dialFailures.Add(1)
 	}
 	s.dialEnded(target.key(), d, begin, err)
 }
@@ -129,17 +128,18 @@
 	s.mu.Lock()
 	now := monotime.Now()
 	d.running = false
-	lasted := now.Sub(begin) >= s.cfg.Timing.Silence
-	// A link that ends soon after it opened is no better than a failed dial.
+	lasted := now.Sub(begin) >= s.cfg.Timing.PeerTimeout
+	// A link that ends soon after it opened counts as a failed dial; otherwise such a
+	// peer would be dialed without backoff.
 	if err == nil && lasted {
 		d.backoff = 0
 	} else {
 		d.backoff = min(max(s.cfg.Timing.BackoffMin, 2*d.backoff), s.cfg.Timing.BackoffMax)
 	}
-	d.next = now.Add(jittered(max(d.backoff, s.cfg.Timing.BackoffMin)))
+	d.retryAt = now.Add(jittered(max(d.backoff, s.cfg.Timing.BackoffMin)))
 	lost := err != nil && len(d.pending) > 0 && s.links[key] == nil
 	if err != nil {
-		d.pending, d.cost = nil, 0
+		d.pending, d.pendingCost = nil, 0
 	}
 	s.mu.Unlock()
 	s.wake()
@@ -151,13 +151,13 @@
 func (s *Links) connect(ctx context.Context, address string) (*websocket.Conn, error) {
 	stop := func() bool { return true }
 	dialer := websocket.Dialer{
-		HandshakeTimeout: s.cfg.Timing.Handshake,
-		NetDialContext: func(dialing context.Context, _, _ string) (net.Conn, error) {
-			conn, err := s.cfg.Dial(dialing, address)
+		HandshakeTimeout: s.cfg.Timing.HandshakeTimeout,
+		NetDialContext: func(dialCtx context.Context, _, _ string) (net.Conn, error) {
+			conn, err := s.cfg.Dial(dialCtx, address)
 			if err == nil {
-				// The library waits for the answer to the upgrade without
-				// looking at the context. Its own context, dialing, ends when
-				// it returns and must not close the connection.
+				// The library ignores the context while it waits for the upgrade response,
+				// so ctx closes the connection. dialCtx is canceled when the library
+				// returns and must not close it.
 				stop = context.AfterFunc(ctx, func() { conn.Close() })
 			}
 			return conn, err
@@ -171,12 +171,13 @@
 	return conn, err
 }
 
-// closeIdle closes links that this side opened on demand and no one used.
+// closeIdle closes links that this side opened on demand and that were unused for
+// IdleTimeout.
 func (s *Links) closeIdle(now monotime.Instant) {
 	s.mu.Lock()
 	var idle []*link
 	for id, l := range s.links {
-		if _, wanted := s.wanted[id]; !wanted && l.dialer && l.idleFor(now) >= s.cfg.Timing.Idle {
+		if _, isTarget := s.targets[id]; !isTarget && l.dialer && l.idleFor(now) >= s.cfg.Timing.IdleTimeout {
 			idle = append(idle, l)
 		}
 	}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -7,28 +7,37 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Bounds of one frame.
+// Limits of one frame, and estimates of encoded sizes.
 const (
-	// MaxFrame is the largest frame in bytes.
+	// MaxFrame is the maximum size of a frame in bytes, also after decompression. A larger
+	// one ends the link, so a lower limit loses the longest messages; a higher one lets a
+	// single frame take more memory.
 	MaxFrame = 2 << 20
-	// maxHelloFrame is the largest frame before the other side is known.
+	// maxHelloFrame is the maximum size of a frame before the peer is authenticated. A
+	// higher limit lets peers without a key take more memory; a lower one may reject a
+	// hello.
 	maxHelloFrame = 4 << 10
 
+	// maxElements and maxNesting limit the lists, maps and nesting of a CBOR envelope.
+	// Lower limits reject long messages, higher ones let a short frame cost more memory
+	// and stack.
 	maxElements = 1 << 14
 	maxNesting  = 8
-	// itemCost stands for the encoded size of a small message in the bound of
-	// the queue.
+	// itemCost is the estimated encoded size of a small message in bytes, for the limit of
+	// the queue. If it is too low, a queue holds more than MaxQueueBytes; if too high,
+	// links are closed with a queue that is not full.
 	itemCost = 64
-	// partCost stands for that of a part of a prompt.
+	// partCost is the same for a part of a prompt.
 	partCost = 24
-	// mergeBytes is the size above which no more messages join a frame.
-	mergeBytes = 64 << 10
+	// maxMergedBytes is the size above which no more messages are merged into a frame. Without
+	// it merged frames could exceed MaxFrame.
+	maxMergedBytes = 64 << 10
 )
 
-// Kind names a part of an envelope in the counters.
+// Kind is the kind of a message in an envelope, for the counters.
 type Kind uint8
 
-// Kinds.
+// Kinds of messages.
 const (
 	KindHello Kind = iota
 	KindPing
@@ -50,7 +59,7 @@
 	KindLoadAsk
 	KindLoadGive
 	KindNews
-	// KindFraming is the overhead of WebSocket, its pings included.
+	// KindFraming is the overhead of WebSocket, including its pings.
 	KindFraming
 	kindCount
 )
@@ -67,7 +76,7 @@
 	return kindNames[k]
 }
 
-var decoding = func() cbor.DecMode {
+var decMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxElements,
 		MaxMapPairs:      maxElements,
@@ -81,21 +90,21 @@
 	return mode
 }()
 
-// Decode reads the envelope of one frame. Unknown parts are ignored, so that
-// a newer release can add some.
+// Decode decodes the envelope of one frame, decompressing it if necessary. Unknown fields
+// are ignored, so a newer release can add some.
 func Decode(data []byte) (*wire.Envelope, error) {
-	data, err := unpack(data)
+	data, err := decompress(data)
 	if err != nil {
 		return nil, err
 	}
 	env := new(wire.Envelope)
-	if err := decoding.Unmarshal(data, env); err != nil {
+	if err := decMode.Unmarshal(data, env); err != nil {
 		return nil, errors.Wrap(err, "decode envelope")
 	}
 	return env, nil
 }
 
-// Encode writes the envelope of one frame.
+// Encode encodes the envelope of one frame without compression.
 func Encode(env *wire.Envelope) ([]byte, error) {
 	data, err := cbor.Marshal(env)
 	if err != nil {
@@ -104,18 +113,18 @@
 	return data, nil
 }
 
-// part is one part of an envelope by itself.
-type part struct {
+// message is an envelope with the messages of one kind.
+type message struct {
 	kind Kind
 	env  wire.Envelope
 }
 
-// parts splits an envelope by kind.
-func parts(env *wire.Envelope) []part {
-	out := make([]part, 0, 2)
+// splitMessages splits an envelope by kind of message.
+func splitMessages(env *wire.Envelope) []message {
+	out := make([]message, 0, 2)
 	add := func(present bool, kind Kind, one wire.Envelope) {
 		if present {
-			out = append(out, part{kind, one})
+			out = append(out, message{kind, one})
 		}
 	}
 	add(env.Hello != nil, KindHello, wire.Envelope{Hello: env.Hello})
@@ -168,9 +177,9 @@
 	return bytes
 }
 
-// joinable reports whether src may join dst: of each part that is no list a
-// frame holds one.
-func joinable(dst, src *wire.Envelope) bool {
+// canMerge reports whether src can be merged into dst: a frame holds at most one of each
+// message that is not in a list.
+func canMerge(dst, src *wire.Envelope) bool {
 	return !(dst.Hello != nil && src.Hello != nil ||
 		dst.Ping != nil && src.Ping != nil ||
 		dst.Pong != nil && src.Pong != nil ||
@@ -182,17 +191,17 @@
 		dst.LoadGive != nil && src.LoadGive != nil)
 }
 
-// join adds the parts of src to dst. The lists of src stay as they are.
-func join(dst, src *wire.Envelope) {
-	dst.Hello = either(dst.Hello, src.Hello)
-	dst.Ping = either(dst.Ping, src.Ping)
-	dst.Pong = either(dst.Pong, src.Pong)
-	dst.MemberSync = either(dst.MemberSync, src.MemberSync)
-	dst.ConfigOffer = either(dst.ConfigOffer, src.ConfigOffer)
-	dst.ConfigWant = either(dst.ConfigWant, src.ConfigWant)
-	dst.ConfigPart = either(dst.ConfigPart, src.ConfigPart)
-	dst.LoadAsk = either(dst.LoadAsk, src.LoadAsk)
-	dst.LoadGive = either(dst.LoadGive, src.LoadGive)
+// merge adds the messages of src to dst. It does not modify the lists of src.
+func merge(dst, src *wire.Envelope) {
+	dst.Hello = firstNonNil(dst.Hello, src.Hello)
+	dst.Ping = firstNonNil(dst.Ping, src.Ping)
+	dst.Pong = firstNonNil(dst.Pong, src.Pong)
+	dst.MemberSync = firstNonNil(dst.MemberSync, src.MemberSync)
+	dst.ConfigOffer = firstNonNil(dst.ConfigOffer, src.ConfigOffer)
+	dst.ConfigWant = firstNonNil(dst.ConfigWant, src.ConfigWant)
+	dst.ConfigPart = firstNonNil(dst.ConfigPart, src.ConfigPart)
+	dst.LoadAsk = firstNonNil(dst.LoadAsk, src.LoadAsk)
+	dst.LoadGive = firstNonNil(dst.LoadGive, src.LoadGive)
 	dst.Members = append(dst.Members, src.Members...)
 	dst.Acquires = append(dst.Acquires, src.Acquires...)
 	dst.Withdraws = append(dst.Withdraws, src.Withdraws...)
@@ -206,17 +215,16 @@
 	dst.News = append(dst.News, src.News...)
 }
 
-func either[T any](a, b *T) *T {
+func firstNonNil[T any](a, b *T) *T {
 	if a != nil {
 		return a
 	}
 	return b
 }
 
-// coalesce joins queued envelopes into as few frames as it may. Neighbouring
-// envelopes join only, so that a later message never overtakes an earlier one
-// by more than the order of the parts within a frame. What goes to several peers
-// is encoded for all of them and stays by itself.
+// coalesce merges queued envelopes into as few frames as possible. Only adjacent envelopes
+// are merged, so messages are reordered only within a frame, in the order in which
+// receivers handle kinds. Broadcasts are encoded once for all peers and not merged.
 func coalesce(queue []outgoing) []outgoing {
 	if len(queue) < 2 {
 		return queue
@@ -230,14 +238,14 @@
 			continue
 		}
 		add := cost(o.env)
-		if open && size+add <= mergeBytes && joinable(out[len(out)-1].env, o.env) {
-			join(out[len(out)-1].env, o.env)
+		if open && size+add <= maxMergedBytes && canMerge(out[len(out)-1].env, o.env) {
+			merge(out[len(out)-1].env, o.env)
 			size += add
 			continue
 		}
-		fresh := new(wire.Envelope)
-		join(fresh, o.env)
-		out = append(out, outgoing{env: fresh, queuedAt: o.queuedAt})
+		merged := new(wire.Envelope)
+		merge(merged, o.env)
+		out = append(out, outgoing{env: merged, queuedAt: o.queuedAt})
 		size, open = add, true
 	}
 	return out
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -13,56 +13,55 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// Protocol versions that this release speaks. Two releases that run side by
-// side use the highest that both speak; parts an old one does not know are
-// ignored by it.
+// Protocol versions that this release supports. Peers use the highest version that both
+// support; an older release ignores fields that were added later.
 const (
-	Version    = versionPacked
+	Version    = versionCompressed
 	MinVersion = 1
 
-	// versionPacked is the first whose frames may be compressed.
-	versionPacked = 2
+	// versionCompressed is the first version with compressed frames.
+	versionCompressed = 2
 )
 
+// nonceBytes is the size of a nonce. Shorter nonces may repeat, and a recorded signature
+// could then be replayed.
 const nonceBytes = 16
 
 // Errors of the handshake.
 var (
-	// ErrUnauthenticated means that the other side did not prove an accepted key.
+	// ErrUnauthenticated reports that the peer did not prove an accepted key.
 	ErrUnauthenticated = errors.New("peer did not prove an accepted key")
-	// ErrVersion means that no protocol version is common to both.
+	// ErrVersion reports that the peers have no protocol version in common.
 	ErrVersion = errors.New("no common protocol version")
-	// ErrHandshake means that a message of the handshake was missing.
+	// ErrHandshake reports that a message of the handshake is missing or has an invalid ID.
 	ErrHandshake = errors.New("handshake message missing")
-	// ErrSelf means that the link leads to this instance itself or to another
-	// process that uses its id.
-	ErrSelf = errors.New("peer has this instance's id")
+	// ErrSelf reports that the peer is this instance or another process with its ID.
+	ErrSelf = errors.New("peer has this instance's ID")
 )
 
 // Key is a shared secret that instances prove to each other.
 type Key struct {
-	// ID names the key in the handshake.
+	// ID identifies the key in the handshake.
 	ID string
 	// Secret is shared by all instances.
 	Secret string
 }
 
-// Identity is what an instance tells of itself when a link opens.
+// Identity describes an instance to its peers in the handshake.
 type Identity struct {
 	// ID of the instance.
 	ID string
 	// Incarnation of the process.
 	Incarnation string
-	// DataCentre the instance stands in.
+	// DataCentre in which the instance is located.
 	DataCentre string
 	// CallerAddress and PeerAddress are host and port.
 	CallerAddress, PeerAddress string
-	// Capacity is the processor share in thousandths of a core; 0 when it is not told.
+	// Capacity is the CPU share in thousandths of a core; 0 when it is not reported.
 	Capacity int
 }
 
-// role separates the two signatures of a handshake, so that one side's cannot
-// be sent back to it as the other's.
+// role is part of each signature, so a peer cannot reflect one side's signature as its own.
 type role string
 
 const (
@@ -70,20 +69,20 @@
 	roleAcceptor role = "acceptor"
 )
 
-// frames is a connection before it is a link.
-type frames interface {
+// envelopeConn is a connection during the handshake.
+type envelopeConn interface {
 	writeEnvelope(env *wire.Envelope) error
 	readEnvelope() (*wire.Envelope, error)
 }
 
-// agreement is the outcome of a handshake.
-type agreement struct {
+// handshakeResult is the outcome of a handshake.
+type handshakeResult struct {
 	peer    Identity
 	version int
-	keyID   string // the other side signed with it
+	keyID   string // key of the peer's signature
 }
 
-func hello(self Identity, key Key, nonce string) *wire.Hello {
+func newHello(self Identity, key Key, nonce string) *wire.Hello {
 	return &wire.Hello{
 		Version:       Version,
 		MinVersion:    MinVersion,
@@ -104,11 +103,12 @@
 	return hex.EncodeToString(b)
 }
 
-// sign proves the key over all that both sides said. The other side's nonce is
-// in it, so a recorded signature is worth nothing.
-func sign(key Key, by role, dialer, acceptor *wire.Hello) string {
+// sign returns the HMAC of both hellos. It covers the nonces of both sides, so a recorded
+// signature cannot be replayed. Each field is prefixed with its length, so different
+// fields never give the same input.
+func sign(key Key, signer role, dialer, acceptor *wire.Hello) string {
 	mac := hmac.New(sha256.New, []byte(key.Secret))
-	fields := []string{"basilrudder peer link", string(by), key.ID}
+	fields := []string{"basilrudder peer link", string(signer), key.ID}
 	for _, h := range []*wire.Hello{dialer, acceptor} {
 		fields = append(fields, strconv.Itoa(h.Version), strconv.Itoa(h.MinVersion),
 			h.ID, h.Incarnation, h.DataCentre, h.CallerAddress, h.PeerAddress, strconv.Itoa(h.Capacity), h.KeyID, h.Nonce)
@@ -121,59 +121,59 @@
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-func verify(keys []Key, id string, mac string, by role, dialer, acceptor *wire.Hello) error {
+func verify(keys []Key, id string, mac string, signer role, dialer, acceptor *wire.Hello) error {
 	for _, key := range keys {
-		if key.ID == id && hmac.Equal([]byte(mac), []byte(sign(key, by, dialer, acceptor))) {
+		if key.ID == id && hmac.Equal([]byte(mac), []byte(sign(key, signer, dialer, acceptor))) {
 			return nil
 		}
 	}
 	return errors.Wrapf(ErrUnauthenticated, "key %q", id)
 }
 
-// shakeAsDialer runs the handshake from the side that opened the connection:
-// hello, hello with signature, signature.
-func shakeAsDialer(conn frames, self Identity, keys []Key) (agreement, error) {
-	mine := hello(self, keys[0], newNonce())
+// handshakeAsDialer runs the handshake on the side that opened the connection. The messages
+// are: hello, hello with signature, signature.
+func handshakeAsDialer(conn envelopeConn, self Identity, keys []Key) (handshakeResult, error) {
+	mine := newHello(self, keys[0], newNonce())
 	if err := conn.writeEnvelope(&wire.Envelope{Hello: mine}); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	theirs, err := readHello(conn)
 	if err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	if err := verify(keys, theirs.KeyID, theirs.MAC, roleAcceptor, mine, theirs); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	proof := *mine
 	proof.MAC = sign(keys[0], roleDialer, mine, theirs)
 	if err := conn.writeEnvelope(&wire.Envelope{Hello: &proof}); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
-	return agree(self, theirs)
+	return negotiate(self, theirs)
 }
 
-// shakeAsAcceptor runs the handshake from the side that was connected to.
-func shakeAsAcceptor(conn frames, self Identity, keys []Key) (agreement, error) {
+// handshakeAsAcceptor runs the handshake on the side that accepted the connection.
+func handshakeAsAcceptor(conn envelopeConn, self Identity, keys []Key) (handshakeResult, error) {
 	theirs, err := readHello(conn)
 	if err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
-	mine := hello(self, keys[0], newNonce())
+	mine := newHello(self, keys[0], newNonce())
 	mine.MAC = sign(keys[0], roleAcceptor, theirs, mine)
 	if err := conn.writeEnvelope(&wire.Envelope{Hello: mine}); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	proof, err := readHello(conn)
 	if err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
 	if err := verify(keys, theirs.KeyID, proof.MAC, roleDialer, theirs, mine); err != nil {
-		return agreement{}, err
+		return handshakeResult{}, err
 	}
-	return agree(self, theirs)
+	return negotiate(self, theirs)
 }
 
-func readHello(conn frames) (*wire.Hello, error) {
+func readHello(conn envelopeConn) (*wire.Hello, error) {
 	env, err := conn.readEnvelope()
 	if err != nil {
 		return nil, err
@@ -184,18 +184,19 @@
 	return env.Hello, nil
 }
 
-func agree(self Identity, theirs *wire.Hello) (agreement, error) {
+// negotiate selects the protocol version and validates the peer's ID.
+func negotiate(self Identity, theirs *wire.Hello) (handshakeResult, error) {
 	version := min(Version, theirs.Version)
 	if version < max(MinVersion, theirs.MinVersion) {
-		return agreement{}, errors.Wrapf(ErrVersion, "peer speaks %d to %d", theirs.MinVersion, theirs.Version)
+		return handshakeResult{}, errors.Wrapf(ErrVersion, "peer supports versions %d to %d", theirs.MinVersion, theirs.Version)
 	}
 	if theirs.ID == self.ID {
-		return agreement{}, ErrSelf
+		return handshakeResult{}, ErrSelf
 	}
 	if theirs.ID == "" || strings.HasPrefix(theirs.ID, seedPrefix) {
-		return agreement{}, ErrHandshake
+		return handshakeResult{}, ErrHandshake
 	}
-	return agreement{
+	return handshakeResult{
 		peer: Identity{
 			ID:            theirs.ID,
 			Incarnation:   theirs.Incarnation,
--- a/internal/peer/link_queue.go
+++ b/internal/peer/link_queue.go
@@ -6,9 +6,9 @@
 	"basilrudder/internal/monotime"
 )
 
-// enqueue adds an envelope without waiting. An over-full queue means that the
-// peer reads more slowly than is sent; the link is closed, so that both sides
-// know that messages were lost, where dropping some would leave them to guess.
+// enqueue queues an envelope without blocking. A full queue means that the peer reads more
+// slowly than this side sends. The link is then closed, which reports the loss to both
+// sides; dropping single messages would not.
 func (l *link) enqueue(o outgoing) bool {
 	add := o.cost()
 	l.mu.Lock()
@@ -16,10 +16,10 @@
 		l.mu.Unlock()
 		return false
 	}
-	if l.queued+add > l.set.cfg.Timing.QueueBytes {
+	if l.queuedBytes+add > l.links.cfg.Timing.MaxQueueBytes {
 		l.mu.Unlock()
-		l.set.counters.overfull.Add(1)
-		l.close(errOverfull)
+		l.links.counters.queueFull.Add(1)
+		l.close(errQueueFull)
 		return false
 	}
 	o.queuedAt = monotime.Now()
@@ -30,9 +30,9 @@
 	return true
 }
 
-// append puts an envelope into its queue; mu is held.
+// append adds an envelope to the urgent or the bulk queue; mu is held.
 func (l *link) append(o outgoing) {
-	l.queued += o.cost()
+	l.queuedBytes += o.cost()
 	if o.isBulk() {
 		l.bulk = append(l.bulk, o)
 		return
@@ -40,74 +40,75 @@
 	l.queue = append(l.queue, o)
 }
 
-// preload puts envelopes that waited for the link into its queue.
-func (l *link) preload(waited []outgoing) {
-	for _, o := range waited {
+// appendPending queues envelopes that were pending when the link opened.
+func (l *link) appendPending(pending []outgoing) {
+	for _, o := range pending {
 		l.append(o)
 	}
-	if len(waited) > 0 {
+	if len(pending) > 0 {
 		l.wake()
 	}
 }
 
 func (l *link) wake() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// take returns what is queued but for bulk.
-func (l *link) take() []outgoing {
+// takeQueued removes and returns the queued envelopes except bulk.
+func (l *link) takeQueued() []outgoing {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	queue := l.queue
 	l.queue = nil
 	for _, o := range queue {
-		l.queued -= o.cost()
+		l.queuedBytes -= o.cost()
 	}
 	return queue
 }
 
-// takeAll returns all that is queued.
+// takeAll removes and returns all queued envelopes.
 func (l *link) takeAll() []outgoing {
-	queue := l.take()
+	queue := l.takeQueued()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	queue = append(queue, l.bulk...)
-	l.bulk, l.queued = nil, 0
+	l.bulk, l.queuedBytes = nil, 0
 	return queue
 }
 
-// takeBulk returns the next of bulk. When something else is queued, or the pace does not
-// allow it yet, there is none; wait is how long until it does, or 0.
+// takeBulk removes and returns the next bulk envelope. ok is false while other envelopes
+// are queued, there is no bulk, or the rate limit is reached; in the last case wait is the
+// delay until the limit allows the envelope.
 func (l *link) takeBulk(now monotime.Instant) (o outgoing, wait time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.queue) > 0 || len(l.bulk) == 0 {
 		return outgoing{}, 0, false
 	}
-	if wait = l.set.pace.take(l.bulk[0].cost(), now); wait > 0 {
+	if wait = l.links.bulkLimiter.reserve(l.bulk[0].cost(), now); wait > 0 {
 		return outgoing{}, wait, false
 	}
 	o, l.bulk = l.bulk[0], l.bulk[1:]
-	l.queued -= o.cost()
+	l.queuedBytes -= o.cost()
 	return o, 0, true
 }
 
-func (l *link) noteWriting(queuedAt monotime.Instant) {
+func (l *link) setWritingSince(queuedAt monotime.Instant) {
 	l.mu.Lock()
-	l.writing = queuedAt
+	l.writingSince = queuedAt
 	l.mu.Unlock()
 }
 
-// delay returns how long ago the oldest message was queued that is not written yet.
+// delay returns the age of the oldest envelope that is not yet written.
 func (l *link) delay(now monotime.Instant) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.writing != 0:
-		return now.Sub(l.writing)
+	case l.writingSince != 0:
+		return now.Sub(l.writingSince)
 	case len(l.queue) > 0:
 		return now.Sub(l.queue[0].queuedAt)
 	case len(l.bulk) > 0:
@@ -117,9 +118,10 @@
 	}
 }
 
-// gathered reports whether all that is queued is for several peers. Its sender has
-// gathered it already, and a further wait on each link would be a timer a message.
-func (l *link) gathered() bool {
+// onlyBroadcasts reports whether all queued envelopes except bulk are broadcasts. Their
+// sender has batched them already; a further delay would cost a timer per message on each
+// link.
+func (l *link) onlyBroadcasts() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, o := range l.queue {
@@ -130,8 +132,8 @@
 	return true
 }
 
-// waits reports whether anything is queued but bulk.
-func (l *link) waits() bool {
+// hasQueued reports whether any envelope except bulk is queued.
+func (l *link) hasQueued() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue) > 0
--- a/internal/peer/link_write.go
+++ b/internal/peer/link_write.go
@@ -10,41 +10,41 @@
 	"basilrudder/internal/monotime"
 )
 
-// write sends what is queued, coalesced over a short delay, and a sign of life
-// when there was nothing to send.
-func (l *link) write() {
-	timing := l.set.cfg.Timing
-	life := time.NewTicker(timing.SignOfLife)
-	defer life.Stop()
-	paced := time.NewTimer(time.Hour)
-	defer paced.Stop()
-	quiet := time.Duration(0)
+// writeLoop sends queued envelopes, coalesced over a short delay, and pings while there is
+// nothing else to send.
+func (l *link) writeLoop() {
+	timing := l.links.cfg.Timing
+	keepAlive := time.NewTicker(timing.KeepAliveInterval)
+	defer keepAlive.Stop()
+	bulkTimer := time.NewTimer(time.Hour)
+	defer bulkTimer.Stop()
+	idleTicks := time.Duration(0)
 	for {
 		select {
 		case <-l.done:
 			return
-		case <-l.kick:
-			if !l.gathered() && !l.pause(timing.Coalesce) {
+		case <-l.wakeup:
+			if !l.onlyBroadcasts() && !l.pause(timing.CoalesceDelay) {
 				return
 			}
-			quiet = -1
-			if err := l.flush(paced); err != nil {
+			idleTicks = -1
+			if err := l.flush(bulkTimer); err != nil {
 				l.close(err)
 				return
 			}
-		case <-paced.C:
-			quiet = -1
-			if err := l.flush(paced); err != nil {
+		case <-bulkTimer.C:
+			idleTicks = -1
+			if err := l.flush(bulkTimer); err != nil {
 				l.close(err)
 				return
 			}
-		case <-life.C:
-			quiet++
-			if quiet < l.patience() {
+		case <-keepAlive.C:
+			idleTicks++
+			if idleTicks < l.timeFactor() {
 				continue
 			}
-			quiet = 0
-			if err := l.signOfLife(); err != nil {
+			idleTicks = 0
+			if err := l.sendPing(); err != nil {
 				l.close(err)
 				return
 			}
@@ -63,11 +63,11 @@
 	}
 }
 
-// flush writes what is queued, and of bulk what there is time for. paced is set for the
-// rest.
-func (l *link) flush(paced *time.Timer) error {
+// flush writes the queued envelopes, then bulk as far as the rate limit allows. It sets
+// bulkTimer for the rest.
+func (l *link) flush(bulkTimer *time.Timer) error {
 	for {
-		for _, o := range coalesce(l.take()) {
+		for _, o := range coalesce(l.takeQueued()) {
 			if err := l.send(o); err != nil {
 				return err
 			}
@@ -75,46 +75,47 @@
 		o, wait, ok := l.takeBulk(monotime.Now())
 		switch {
 		case wait > 0:
-			paced.Reset(wait)
+			bulkTimer.Reset(wait)
 			return nil
 		case ok:
 			if err := l.send(o); err != nil {
 				return err
 			}
-		case !l.waits():
+		case !l.hasQueued():
 			return nil
 		}
 	}
 }
 
 func (l *link) send(o outgoing) error {
-	l.noteWriting(o.queuedAt)
-	defer l.noteWriting(0)
-	data, err := o.encode(l.packs)
+	l.setWritingSince(o.queuedAt)
+	defer l.setWritingSince(0)
+	data, err := o.encode(l.compression)
 	if err != nil {
 		return err
 	}
-	l.set.counters.framesOut.Add(1)
-	count(&l.set.counters.out, o.env, len(data), l.dialer)
+	l.links.counters.framesOut.Add(1)
+	countFrame(&l.links.counters.out, o.env, len(data), l.dialer)
 	if err := l.writeMessage(data); err != nil {
 		return errors.Wrap(err, "write")
 	}
 	return nil
 }
 
-// fragmentBytes is the most that is written under one deadline.
+// fragmentBytes is the maximum number of bytes written under one deadline. With larger
+// fragments a slow but working link could exceed the deadline; smaller ones cost more calls.
 const fragmentBytes = 16 << 10
 
-// writeMessage writes a message in fragments. A peer that is stopped or cut off does not
-// read, and the deadline of a fragment ends the wait that TCP would draw out for minutes;
-// a peer behind a slow link takes one fragment after the other.
+// writeMessage writes a message in fragments, each with its own deadline. The deadline ends
+// a write to a stopped or disconnected peer, for which TCP would retry for minutes. A peer
+// behind a slow link stays connected as it reads fragment after fragment.
 func (l *link) writeMessage(data []byte) error {
 	writer, err := l.conn.NextWriter(websocket.BinaryMessage)
 	if err != nil {
 		return err
 	}
 	for fragment := range slices.Chunk(data, fragmentBytes) {
-		l.conn.SetWriteDeadline(time.Now().Add(l.set.cfg.Timing.Silence))
+		l.conn.SetWriteDeadline(time.Now().Add(l.links.cfg.Timing.PeerTimeout))
 		if _, err := writer.Write(fragment); err != nil {
 			return err
 		}
@@ -122,12 +123,12 @@
 	return writer.Close()
 }
 
-func (l *link) signOfLife() error {
-	deadline := time.Now().Add(l.set.cfg.Timing.Silence)
+func (l *link) sendPing() error {
+	deadline := time.Now().Add(l.links.cfg.Timing.PeerTimeout)
 	if err := l.conn.WriteControl(websocket.PingMessage, nil, deadline); err != nil {
-		return errors.Wrap(err, "write sign of life")
+		return errors.Wrap(err, "write ping")
 	}
-	l.set.counters.framesOut.Add(1)
-	l.set.counters.out[KindFraming].Add(uint64(framing(0, l.dialer)))
+	l.links.counters.framesOut.Add(1)
+	l.links.counters.out[KindFraming].Add(uint64(frameOverhead(0, l.dialer)))
 	return nil
 }
--- a/internal/peer/slow_test.go
+++ b/internal/peer/slow_test.go
@@ -15,8 +15,8 @@
 	"basilrudder/internal/standin/narrownet"
 )
 
-// The HTTP library starts a clock for the Date header with its first answer, and never
-// ends it. It has to start outside of virtual time.
+// The HTTP library starts a goroutine for the Date header with its first response and never
+// stops it. It must be started outside of virtual time.
 var _ = new(fasthttp.ResponseHeader).Header()
 
 func incompressible(n int) []byte {
@@ -26,20 +26,19 @@
 	return out
 }
 
-const slowLink = 10e6 / 8 // bytes a second
+const slowLinkRate = 10e6 / 8 // bytes per second
 
-// startSlow links two instances over slow links in virtual time and returns them with a
-// function that ends both.
+// startSlow connects two instances over slow links in virtual time. stop ends both.
 func startSlow(t *testing.T, timing Timing) (a, b *instance, stop func()) {
 	t.Helper()
-	for monotime.Now() <= 0 { // virtual time begins before the process did
+	for monotime.Now() <= 0 { // virtual time begins before the start of the process
 		time.Sleep(365 * 24 * time.Hour)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var tasks errgroup.Group
 	network := narrownet.New()
-	begin := func(id string) *instance {
-		host := network.Host(id, slowLink)
+	startInstance := func(id string) *instance {
+		host := network.Host(id, slowLinkRate)
 		in := &instance{
 			recorder: &recorder{make(chan received, 4096), make(chan Identity, 4096), make(chan error, 4096)},
 			address:  id + ":1",
@@ -57,11 +56,11 @@
 		tasks.Go(func() error { return links.Run(ctx) })
 		return in
 	}
-	a, b = begin("a"), begin("b")
-	a.SetWanted([]Target{{ID: "b", Address: b.address}})
+	a, b = startInstance("a"), startInstance("b")
+	a.SetTargets([]Target{{ID: "b", Address: b.address}})
 	<-a.up
 	<-b.up
-	b.SetWanted([]Target{{ID: "a", Address: a.address}})
+	b.SetTargets([]Target{{ID: "a", Address: a.address}})
 	return a, b, func() {
 		cancel()
 		if err := tasks.Wait(); err != nil {
@@ -71,11 +70,11 @@
 	}
 }
 
-// Guards against a link that is closed as silent while a long message comes in.
-func TestALongMessageIsNoSilence(t *testing.T) {
+// Guards against a link that times out while it receives a long message over a slow network.
+func TestLongMessageDoesNotTimeOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a, b, stop := startSlow(t, Timing{SignOfLife: 200 * time.Millisecond, Silence: 700 * time.Millisecond})
-		long := &wire.Envelope{ConfigPart: &wire.ConfigPart{Data: incompressible(slowLink)}}
+		a, b, stop := startSlow(t, Timing{KeepAliveInterval: 200 * time.Millisecond, PeerTimeout: 700 * time.Millisecond})
+		long := &wire.Envelope{ConfigPart: &wire.ConfigPart{Data: incompressible(slowLinkRate)}}
 		for _, side := range []struct {
 			from, to *instance
 			id       string
@@ -84,7 +83,7 @@
 			select {
 			case got := <-side.to.envelopes:
 				if n := len(got.env.ConfigPart.Data); n != len(long.ConfigPart.Data) {
-					t.Errorf("%d bytes came", n)
+					t.Errorf("received %d bytes", n)
 				}
 			case err := <-side.to.down:
 				t.Errorf("link to %s lost: %v", side.id, err)
@@ -94,13 +93,13 @@
 	})
 }
 
-// Guards against urgent messages that wait behind pieces of a configuration.
-func TestUrgentMessagesPassPieces(t *testing.T) {
+// Guards against urgent messages that are delayed by queued pieces of a configuration.
+func TestUrgentMessagesPassConfigurationPieces(t *testing.T) {
 	const pieces, pieceBytes = 64, 32 << 10
-	const whole = pieces * pieceBytes * time.Second / slowLink
-	for _, rate := range []int{0, slowLink / 2} {
+	const whole = pieces * pieceBytes * time.Second / slowLinkRate
+	for _, rate := range []int{0, slowLinkRate / 2} {
 		synctest.Test(t, func(t *testing.T) {
-			timing := Timing{SignOfLife: 200 * time.Millisecond, Silence: 700 * time.Millisecond, BulkBytes: rate}
+			timing := Timing{KeepAliveInterval: 200 * time.Millisecond, PeerTimeout: 700 * time.Millisecond, BulkRate: rate}
 			a, b, stop := startSlow(t, timing)
 			for n := range pieces {
 				a.Send("b", &wire.Envelope{ConfigPart: &wire.ConfigPart{Offset: n, Data: incompressible(pieceBytes)}})
@@ -116,32 +115,32 @@
 				}
 				if piece := got.env.ConfigPart; piece != nil {
 					if piece.Offset != n {
-						t.Fatalf("piece %d came as number %d", piece.Offset, n)
+						t.Fatalf("received piece %d at position %d", piece.Offset, n)
 					}
 					n++
 				}
 			}
-			if most := whole / 10; took == 0 || took > most {
-				t.Errorf("urgent after %v, at most %v wanted; all pieces take %v", took, most, whole)
+			if limit := whole / 10; took == 0 || took > limit {
+				t.Errorf("urgent message took %v, limit %v; all pieces take %v", took, limit, whole)
 			}
 			stop()
 		})
 	}
 }
 
-// Guards against bulk that takes more of a link than it may.
-func TestBulkKeepsToItsPace(t *testing.T) {
-	pace := bulkPace{rate: 1 << 20}
+// Guards against bulk that exceeds its rate limit.
+func TestBulkRateLimit(t *testing.T) {
+	limiter := bulkLimiter{rate: 1 << 20}
 	now, sent := monotime.Instant(time.Hour), 0
 	until := now.Add(time.Second)
 	for now < until {
-		if wait := pace.take(32<<10, now); wait > 0 {
+		if wait := limiter.reserve(32<<10, now); wait > 0 {
 			now = now.Add(wait)
 			continue
 		}
 		sent += 32 << 10
 	}
-	if least, most := 1<<20, 1<<20+bulkBurst+32<<10; sent < least || sent > most {
-		t.Errorf("%d bytes in a second, between %d and %d wanted", sent, least, most)
+	if minimum, maximum := 1<<20, 1<<20+bulkBurst+32<<10; sent < minimum || sent > maximum {
+		t.Errorf("%d bytes in a second, want %d to %d", sent, minimum, maximum)
 	}
 }
