--- a/internal/accounting/metrics.go
+++ b/internal/accounting/metrics.go
@@ -8,8 +8,8 @@
 	"basilrudder/internal/schema/accounting"
 )
 
-// unlabelled stands in the counters for an absent class or reason.
-const unlabelled = "none"
+// noLabel stands in the counters for an absent class or reason.
+const noLabel = "none"
 
 // metrics counts records by class and by reason. Customers are not labels: there
 // may be tens of thousands, and the report has them.
@@ -38,15 +38,15 @@
 		firstToken:  newHistograms(),
 		total:       newHistograms(),
 	}
-	m.started = m.byLabel("started_by_class")
-	m.ended = m.byLabel("ended_by_class")
-	m.inFlight = m.byLabel("in_flight_by_class")
-	m.onTime = m.byLabel("on_time_by_class")
-	m.delivered = m.byLabel("delivered_by_class")
-	m.reasons = m.byLabel("ended_by_reason")
-	m.verdicts = m.byLabel("ended_by_verdict")
-	m.tokens = m.byLabel("tokens_by_class")
-	m.wasted = m.byLabel("wasted_tokens_by_class")
+	m.started = m.newCounters("started_by_class")
+	m.ended = m.newCounters("ended_by_class")
+	m.inFlight = m.newCounters("in_flight_by_class")
+	m.onTime = m.newCounters("on_time_by_class")
+	m.delivered = m.newCounters("delivered_by_class")
+	m.reasons = m.newCounters("ended_by_reason")
+	m.verdicts = m.newCounters("ended_by_verdict")
+	m.tokens = m.newCounters("tokens_by_class")
+	m.wasted = m.newCounters("wasted_tokens_by_class")
 	m.vars.Set("lost_lines", m.lost)
 	m.vars.Set("write_errors", m.writeErrors)
 	m.vars.Set("first_token_ms_by_class", expvar.Func(m.firstToken.export))
@@ -54,7 +54,7 @@
 	return m
 }
 
-func (m *metrics) byLabel(name string) *expvar.Map {
+func (m *metrics) newCounters(name string) *expvar.Map {
 	counters := new(expvar.Map).Init()
 	m.vars.Set(name, counters)
 	return counters
@@ -92,7 +92,7 @@
 
 func label(s string) string {
 	if s == "" {
-		return unlabelled
+		return noLabel
 	}
 	return s
 }
--- a/internal/accounting/record.go
+++ b/internal/accounting/record.go
@@ -6,15 +6,15 @@
 	"basilrudder/internal/schema/accounting"
 )
 
-// message marks accounting lines among the other lines of the log.
-const message = "accounting"
+// recordMessage marks accounting lines among the other lines of the log.
+const recordMessage = "accounting"
 
-// fields writes a Record as zap fields without reflection.
-type fields accounting.Record
+// recordMarshaler writes a Record as zap recordMarshaler without reflection.
+type recordMarshaler accounting.Record
 
 // MarshalLogObject implements zapcore.ObjectMarshaler. Zero values are left out,
 // as the schema's defaults say.
-func (f *fields) MarshalLogObject(enc zapcore.ObjectEncoder) error {
+func (f *recordMarshaler) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	enc.AddString("kind", string(f.Kind))
 	enc.AddString("instance", f.Instance)
 	enc.AddString("incarnation", f.Incarnation)
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func addStrings(enc zapcore.ObjectEncoder, f *fields) {
+func addStrings(enc zapcore.ObjectEncoder, f *recordMarshaler) {
 	addString(enc, "customer", f.Customer)
 	addString(enc, "class", f.Class)
 	addString(enc, "server", f.Server)
@@ -39,7 +39,7 @@
 	addString(enc, "message", f.Message)
 }
 
-func addInts(enc zapcore.ObjectEncoder, f *fields) {
+func addInts(enc zapcore.ObjectEncoder, f *recordMarshaler) {
 	addInt(enc, "tier", f.Tier)
 	addInt(enc, "attempt", f.Attempt)
 	addInt(enc, "status", f.Status)
@@ -50,7 +50,7 @@
 	addInt(enc, "revision", f.Revision)
 }
 
-func addFloats(enc zapcore.ObjectEncoder, f *fields) {
+func addFloats(enc zapcore.ObjectEncoder, f *recordMarshaler) {
 	addFloat(enc, "queue_ms", f.QueueMS)
 	addFloat(enc, "first_token_ms", f.FirstTokenMS)
 	addFloat(enc, "gap_p95_ms", f.GapP95MS)
--- a/internal/accounting/writer.go
+++ b/internal/accounting/writer.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// queueLength is the number of lines that may wait for standard output.
-	queueLength = 4096
+	// queueCapacity is the number of lines that may wait for standard output.
+	queueCapacity = 4096
 	// bufferBytes is the size of the write buffer.
 	bufferBytes = 64 << 10
 	// lostMessage marks the lines that tell of lost marks and decisions.
@@ -32,19 +32,19 @@
 // not wait: when standard output stalls they are lost, counted and reported by
 // a line of their own. It is safe for concurrent use.
 type Writer struct {
-	now     func() time.Time
-	queue   chan item
-	core    zapcore.Core
-	buffer  *bufio.Writer
-	metrics *metrics
-	lost    atomic.Int64
-	closing sync.RWMutex
-	closed  bool
-	stopped chan struct{}
+	now            func() time.Time
+	queue          chan queueItem
+	core           zapcore.Core
+	buffer         *bufio.Writer
+	metrics        *metrics
+	unreportedLost atomic.Int64
+	closeMu        sync.RWMutex
+	closed         bool
+	stopped        chan struct{}
 }
 
-// item is a record, or a request to flush.
-type item struct {
+// queueItem is a record, or a request to flush.
+type queueItem struct {
 	record  accounting.Record
 	flushed chan<- error
 }
@@ -60,7 +60,7 @@
 	})
 	w := &Writer{
 		now:     now,
-		queue:   make(chan item, queueLength),
+		queue:   make(chan queueItem, queueCapacity),
 		core:    zapcore.NewCore(encoder, zapcore.AddSync(buffer), zapcore.InfoLevel),
 		buffer:  buffer,
 		metrics: newMetrics(),
@@ -74,53 +74,53 @@
 // reports whether the record was queued; only marks and decisions may be lost,
 // and any record after Close.
 func (w *Writer) Write(record accounting.Record) bool {
-	w.closing.RLock()
-	defer w.closing.RUnlock()
+	w.closeMu.RLock()
+	defer w.closeMu.RUnlock()
 	if record.Ts == 0 {
-		record.Ts = seconds(w.now())
+		record.Ts = unixSeconds(w.now())
 	}
 	if w.closed {
-		w.lose()
+		w.countLost()
 		return false
 	}
 	if record.Kind == accounting.RecordKindStart || record.Kind == accounting.RecordKindEnd {
-		w.queue <- item{record: record}
+		w.queue <- queueItem{record: record}
 		return true
 	}
 	select {
-	case w.queue <- item{record: record}:
+	case w.queue <- queueItem{record: record}:
 		return true
 	default:
-		w.lose()
+		w.countLost()
 		return false
 	}
 }
 
 // Flush returns when all records queued before it are written.
 func (w *Writer) Flush() error {
-	w.closing.RLock()
-	defer w.closing.RUnlock()
+	w.closeMu.RLock()
+	defer w.closeMu.RUnlock()
 	if w.closed {
 		return nil
 	}
 	flushed := make(chan error, 1)
-	w.queue <- item{flushed: flushed}
+	w.queue <- queueItem{flushed: flushed}
 	return <-flushed
 }
 
 // Close writes the queued records and stops the writer.
 func (w *Writer) Close() error {
-	w.closing.Lock()
+	w.closeMu.Lock()
 	if w.closed {
-		w.closing.Unlock()
+		w.closeMu.Unlock()
 		return nil
 	}
 	w.closed = true
 	close(w.queue)
-	w.closing.Unlock()
+	w.closeMu.Unlock()
 	<-w.stopped
-	if lost := w.lost.Swap(0); lost > 0 {
-		w.count(w.writeLost(lost))
+	if lost := w.unreportedLost.Swap(0); lost > 0 {
+		w.countError(w.writeLost(lost))
 	}
 	return w.flush()
 }
@@ -130,8 +130,8 @@
 	return w.metrics.vars
 }
 
-func (w *Writer) lose() {
-	w.lost.Add(1)
+func (w *Writer) countLost() {
+	w.unreportedLost.Add(1)
 	w.metrics.lost.Add(1)
 }
 
@@ -142,22 +142,22 @@
 	for it := range w.queue {
 		w.writeItem(it)
 		if len(w.queue) == 0 {
-			w.count(w.flush())
+			w.countError(w.flush())
 		}
 	}
 }
 
-func (w *Writer) writeItem(it item) {
+func (w *Writer) writeItem(it queueItem) {
 	if it.flushed != nil {
 		it.flushed <- w.flush()
 		return
 	}
-	if lost := w.lost.Swap(0); lost > 0 {
-		w.count(w.writeLost(lost))
+	if lost := w.unreportedLost.Swap(0); lost > 0 {
+		w.countError(w.writeLost(lost))
 	}
 	w.metrics.observe(&it.record)
-	entry := zapcore.Entry{Time: wallTime(it.record.Ts), Message: message}
-	w.count(w.core.Write(entry, []zapcore.Field{zap.Inline((*fields)(&it.record))}))
+	entry := zapcore.Entry{Time: wallTime(it.record.Ts), Message: recordMessage}
+	w.countError(w.core.Write(entry, []zapcore.Field{zap.Inline((*recordMarshaler)(&it.record))}))
 }
 
 func (w *Writer) writeLost(lines int64) error {
@@ -169,14 +169,14 @@
 	return w.buffer.Flush()
 }
 
-// count keeps a failed write from being silent.
-func (w *Writer) count(err error) {
+// countError keeps a failed write from being silent.
+func (w *Writer) countError(err error) {
 	if err != nil {
 		w.metrics.writeErrors.Add(1)
 	}
 }
 
-func seconds(t time.Time) float64 {
+func unixSeconds(t time.Time) float64 {
 	return float64(t.UnixNano()) / float64(time.Second)
 }
 
--- a/internal/accounting/writer_test.go
+++ b/internal/accounting/writer_test.go
@@ -35,7 +35,7 @@
 			field.SetBool(true)
 		}
 	}
-	record.Msg = message
+	record.Msg = recordMessage
 }
 
 // A field that the schema gained and the writer does not know would be missing
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestLinesAreStamped(t *testing.T) {
+func TestWriteAddsMissingTimestamp(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out, fixedTime)
 	w.Write(accounting.Record{Kind: accounting.RecordKindStart, Request: "r"})
@@ -88,11 +88,11 @@
 // Standard output stalls while requests go on. The queue fills with marks;
 // further marks are lost and counted, but no start or end line is, because the
 // report would then count a request wrongly.
-func TestStalledOutputLosesOnlyMarksAndSaysSo(t *testing.T) {
+func TestStalledOutputKeepsStartAndEndLines(t *testing.T) {
 	out := &stalledOutput{release: make(chan struct{})}
 	w := NewWriter(out, fixedTime)
 	lost := 0
-	for range 3 * queueLength {
+	for range 3 * queueCapacity {
 		if !w.Write(accounting.Record{Kind: accounting.RecordKindMark, Request: "mark"}) {
 			lost++
 		}
--- a/internal/answers/log.go
+++ b/internal/answers/log.go
@@ -82,16 +82,16 @@
 type Log struct {
 	maxBytes int
 
-	mu      sync.Mutex
-	events  []engineapi.TokenEvent
-	service *ServiceAnswer
-	bytes   int
-	closed  bool
-	err     *verdict.Error
-	about   About
-	readers int
-	waiters []waiter
-	idle    []chan struct{}
+	mu           sync.Mutex
+	events       []engineapi.TokenEvent
+	service      *ServiceAnswer
+	bytes        int
+	closed       bool
+	err          *verdict.Error
+	metadata     Metadata
+	readers      int
+	waiters      []waiter
+	freeChannels []chan struct{}
 }
 
 // waiter is a reader that waits for the event at an offset, or for the end.
@@ -100,9 +100,9 @@
 	wake   chan struct{}
 }
 
-// About describes an answer, so that a caller who fetches it again sees it as
+// Metadata describes an answer, so that a caller who fetches it again sees it as
 // the first one did.
-type About struct {
+type Metadata struct {
 	// Model that answers; empty for a plain service.
 	Model string
 	// Created is the wall-clock time of the request in seconds since 1970.
@@ -196,7 +196,7 @@
 		select {
 		case <-wait:
 			l.mu.Lock()
-			l.idle = append(l.idle, wait)
+			l.freeChannels = append(l.freeChannels, wait)
 		case <-ctx.Done():
 			l.mu.Lock()
 			l.unregister(wait)
@@ -216,20 +216,20 @@
 	return err
 }
 
-// Describe stores what the answer is about. Only the first call counts.
-func (l *Log) Describe(about About) {
+// SetMetadata stores what the answer is about. Only the first call counts.
+func (l *Log) SetMetadata(about Metadata) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.about == (About{}) {
-		l.about = about
+	if l.metadata == (Metadata{}) {
+		l.metadata = about
 	}
 }
 
-// About returns what Describe stored.
-func (l *Log) About() About {
+// Metadata returns what Describe stored.
+func (l *Log) Metadata() Metadata {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.about
+	return l.metadata
 }
 
 // Attach counts a caller's connection that follows the answer.
@@ -308,9 +308,9 @@
 // left, so that following an answer does not allocate for each token.
 func (l *Log) register(offset int) chan struct{} {
 	var wake chan struct{}
-	if n := len(l.idle); n > 0 {
-		wake = l.idle[n-1]
-		l.idle = l.idle[:n-1]
+	if n := len(l.freeChannels); n > 0 {
+		wake = l.freeChannels[n-1]
+		l.freeChannels = l.freeChannels[:n-1]
 	} else {
 		wake = make(chan struct{}, 1)
 	}
--- a/internal/answers/log_test.go
+++ b/internal/answers/log_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestAppendStopsAtItsBound(t *testing.T) {
+func TestOversizedAnswerIsRefused(t *testing.T) {
 	log := NewLog(2 * (eventOverhead + 1))
 	for offset := range 2 {
 		if err := log.Append(token(offset, "")); err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestOnlyTheFirstCloseCounts(t *testing.T) {
+func TestSecondCloseIsIgnored(t *testing.T) {
 	log := NewLog(0)
 	_ = log.Append(token(0, "stop"))
 	if !log.Close(nil) {
@@ -121,7 +121,7 @@
 	})
 }
 
-func TestWaitSleepsUntilTheEnd(t *testing.T) {
+func TestWaitIsNotWokenByTokens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := NewLog(0)
 		ended := make(chan *verdict.Error, 1)
--- a/internal/answers/store.go
+++ b/internal/answers/store.go
@@ -21,8 +21,8 @@
 
 // StoreConfig bounds a Store.
 type StoreConfig struct {
-	// Keep is the time a finished answer is kept.
-	Keep time.Duration
+	// Retention is the time a finished answer is kept.
+	Retention time.Duration
 	// KeptBytes bounds the memory of finished answers.
 	KeptBytes int
 	// AnswerBytes bounds one answer; 0 for no bound.
@@ -31,8 +31,8 @@
 	MaxEntries int
 }
 
-// Begin describes a request whose answer is to be stored.
-type Begin struct {
+// Request describes a request whose answer is to be stored.
+type Request struct {
 	// Fingerprint of the request. A second request under the same id must have
 	// the same one, or it would be given the answer to another request.
 	Fingerprint uint64
@@ -90,12 +90,12 @@
 // Begin returns the answer under the key, creating it when the id is new.
 // Looking up and creating are one step, so that of two requests with the same
 // id only one sees created and may start the work.
-func (s *Store) Begin(now monotime.Instant, key Key, b Begin) (log *Log, created bool, err *verdict.Error) {
+func (s *Store) Begin(now monotime.Instant, key Key, request Request) (log *Log, created bool, err *verdict.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(now)
 	if e := s.entries[key]; e != nil {
-		if e.fingerprint != b.Fingerprint {
+		if e.fingerprint != request.Fingerprint {
 			return nil, false, verdict.New(verdict.MayHaveRun, verdict.ReasonBadRequest,
 				"this request id was used for a different request")
 		}
@@ -107,8 +107,8 @@
 	}
 	e := &entry{
 		key:         key,
-		fingerprint: b.Fingerprint,
-		expires:     b.Expires,
+		fingerprint: request.Fingerprint,
+		expires:     request.Expires,
 		log:         NewLog(s.cfg.AnswerBytes),
 	}
 	s.entries[key] = e
@@ -148,9 +148,9 @@
 	return true
 }
 
-// Abandon forgets a request that never ran, so that its id may be used again.
+// Remove forgets a request that never ran, so that its id may be used again.
 // Its readers keep the closed log they hold.
-func (s *Store) Abandon(key Key) {
+func (s *Store) Remove(key Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entries[key]
@@ -184,7 +184,7 @@
 func (s *Store) expire(now monotime.Instant) {
 	for front := s.kept.Front(); front != nil; front = s.kept.Front() {
 		e := front.Value.(*entry)
-		due := !now.Before(e.finishedAt.Add(s.cfg.Keep))
+		due := !now.Before(e.finishedAt.Add(s.cfg.Retention))
 		if !due && s.keptBytes <= s.cfg.KeptBytes {
 			break
 		}
--- a/internal/answers/store_test.go
+++ b/internal/answers/store_test.go
@@ -14,7 +14,7 @@
 
 func finishOne(t *testing.T, s *Store, now monotime.Instant, key Key, expires monotime.Instant) *Log {
 	t.Helper()
-	log, created, err := s.Begin(now, key, Begin{Expires: expires})
+	log, created, err := s.Begin(now, key, Request{Expires: expires})
 	if err != nil || !created {
 		t.Fatalf("Begin(%v): created %v, error %v", key, created, err)
 	}
@@ -30,7 +30,7 @@
 // Only one may start the work, or a letter is written twice; both must follow
 // the same answer.
 func TestBeginCreatesOnce(t *testing.T) {
-	s := NewStore(StoreConfig{Keep: time.Minute, KeptBytes: 1 << 20})
+	s := NewStore(StoreConfig{Retention: time.Minute, KeptBytes: 1 << 20})
 	const callers = 32
 	var mu sync.Mutex
 	creators := 0
@@ -38,7 +38,7 @@
 	var wg sync.WaitGroup
 	for range callers {
 		wg.Go(func() {
-			log, created, _ := s.Begin(0, Key{Customer: "a", ID: "1"}, Begin{Expires: 100 * second})
+			log, created, _ := s.Begin(0, Key{Customer: "a", ID: "1"}, Request{Expires: 100 * second})
 			mu.Lock()
 			defer mu.Unlock()
 			logs[log] = true
@@ -53,8 +53,8 @@
 	}
 }
 
-func TestOnlyTheSameCustomerFinds(t *testing.T) {
-	s := NewStore(StoreConfig{Keep: time.Minute, KeptBytes: 1 << 20})
+func TestFindIsScopedToCustomer(t *testing.T) {
+	s := NewStore(StoreConfig{Retention: time.Minute, KeptBytes: 1 << 20})
 	finishOne(t, s, 0, Key{Customer: "a", ID: "1"}, 100*second)
 	if _, ok := s.Find(Key{Customer: "b", ID: "1"}); ok {
 		t.Error("another customer found the answer")
@@ -67,10 +67,10 @@
 // A caller reuses an id for another request. Given the stored answer it would
 // hold the answer to a question it did not ask, so it is refused.
 func TestAnotherRequestUnderTheSameIDIsRefused(t *testing.T) {
-	s := NewStore(StoreConfig{Keep: time.Minute, KeptBytes: 1 << 20})
+	s := NewStore(StoreConfig{Retention: time.Minute, KeptBytes: 1 << 20})
 	key := Key{Customer: "a", ID: "1"}
-	_, _, _ = s.Begin(0, key, Begin{Fingerprint: 1, Expires: 100 * second})
-	_, _, err := s.Begin(0, key, Begin{Fingerprint: 2, Expires: 100 * second})
+	_, _, _ = s.Begin(0, key, Request{Fingerprint: 1, Expires: 100 * second})
+	_, _, err := s.Begin(0, key, Request{Fingerprint: 2, Expires: 100 * second})
 	if err == nil || err.Verdict != verdict.MayHaveRun {
 		t.Errorf("got %v", err)
 	}
@@ -80,9 +80,9 @@
 // caller would lose the answer. The oldest finished ones go first.
 func TestBoundDropsOldestFinishedOnly(t *testing.T) {
 	one := eventOverhead + len("0") + len("stop")
-	s := NewStore(StoreConfig{Keep: time.Hour, KeptBytes: 3 * one})
+	s := NewStore(StoreConfig{Retention: time.Hour, KeptBytes: 3 * one})
 	running := Key{Customer: "a", ID: "running"}
-	runningLog, _, _ := s.Begin(0, running, Begin{Expires: 9999 * second})
+	runningLog, _, _ := s.Begin(0, running, Request{Expires: 9999 * second})
 	for i := range 10 {
 		finishOne(t, s, monotime.Instant(i), Key{Customer: "a", ID: fmt.Sprint(i)}, 9999*second)
 		if got := s.Stats().KeptBytes; got > 3*one {
@@ -104,11 +104,11 @@
 // A retry arrives after the answer was dropped but before its id expired. It
 // must not start the work again: it finds that the request ran.
 func TestDroppedAnswerIsNotRunAgain(t *testing.T) {
-	s := NewStore(StoreConfig{Keep: 10 * time.Second, KeptBytes: 1 << 20})
+	s := NewStore(StoreConfig{Retention: 10 * time.Second, KeptBytes: 1 << 20})
 	key := Key{Customer: "a", ID: "1"}
 	finishOne(t, s, 0, key, 60*second)
 	s.Expire(10 * second)
-	log, created, err := s.Begin(20*second, key, Begin{Expires: 60 * second})
+	log, created, err := s.Begin(20*second, key, Request{Expires: 60 * second})
 	if created || err != nil {
 		t.Fatalf("created %v, error %v", created, err)
 	}
@@ -125,9 +125,9 @@
 }
 
 func TestFinishNeedsAClosedAnswer(t *testing.T) {
-	s := NewStore(StoreConfig{Keep: time.Second, KeptBytes: 0})
+	s := NewStore(StoreConfig{Retention: time.Second, KeptBytes: 0})
 	key := Key{Customer: "a", ID: "1"}
-	log, _, _ := s.Begin(0, key, Begin{Expires: second})
+	log, _, _ := s.Begin(0, key, Request{Expires: second})
 	if s.Finish(0, key) {
 		t.Error("an answer in progress was finished")
 	}
@@ -138,13 +138,13 @@
 }
 
 func TestEntriesAreBounded(t *testing.T) {
-	s := NewStore(StoreConfig{Keep: time.Second, KeptBytes: 1 << 20, MaxEntries: 1})
+	s := NewStore(StoreConfig{Retention: time.Second, KeptBytes: 1 << 20, MaxEntries: 1})
 	finishOne(t, s, 0, Key{Customer: "a", ID: "1"}, 100*second)
-	_, _, err := s.Begin(0, Key{Customer: "a", ID: "2"}, Begin{Expires: 100 * second})
+	_, _, err := s.Begin(0, Key{Customer: "a", ID: "2"}, Request{Expires: 100 * second})
 	if err == nil || err.Verdict != verdict.NotRun {
 		t.Errorf("past the bound: %v", err)
 	}
-	if _, _, err := s.Begin(100*second, Key{Customer: "a", ID: "2"}, Begin{Expires: 200 * second}); err != nil {
+	if _, _, err := s.Begin(100*second, Key{Customer: "a", ID: "2"}, Request{Expires: 200 * second}); err != nil {
 		t.Errorf("after expiry: %v", err)
 	}
 }
--- a/internal/callers/answer.go
+++ b/internal/callers/answer.go
@@ -14,7 +14,7 @@
 func (s *Server) answerStream(ctx *fasthttp.RequestCtx, f *follower, offset int) {
 	body := &sseBody{
 		follower: f,
-		encoder:  newChunkEncoder(f.id, f.log.About()),
+		encoder:  newChunkEncoder(f.id, f.log.Metadata()),
 		offset:   offset,
 	}
 	body.events, body.done, body.err = f.log.Next(f.ctx, offset)
@@ -43,7 +43,7 @@
 	} else {
 		events, _, _ := f.log.Next(f.ctx, 0)
 		ctx.SetContentType("application/json")
-		ctx.SetBody(appendCompletion(nil, f.id, f.log.About(), events))
+		ctx.SetBody(appendCompletion(nil, f.id, f.log.Metadata(), events))
 	}
 	f.deliver()
 }
--- a/internal/callers/bench_test.go
+++ b/internal/callers/bench_test.go
@@ -94,7 +94,7 @@
 
 // BenchmarkEncodeChunk is the encoding of one token alone.
 func BenchmarkEncodeChunk(b *testing.B) {
-	encoder := newChunkEncoder("i1-7f3a-1000-42", answers.About{Model: "m1", Created: 1})
+	encoder := newChunkEncoder("i1-7f3a-1000-42", answers.Metadata{Model: "m1", Created: 1})
 	event := engineapi.TokenEvent{Offset: 12345, Text: " token\n"}
 	var buffer []byte
 	b.ReportAllocs()
--- a/internal/callers/chat.go
+++ b/internal/callers/chat.go
@@ -109,11 +109,11 @@
 		s.refuse(ctx, id, err)
 		return nil, err
 	}
-	about := answers.About{Created: s.cfg.WallClock().Unix(), PromptTokens: request.PromptTokens}
+	about := answers.Metadata{Created: s.cfg.WallClock().Unix(), PromptTokens: request.PromptTokens}
 	if request.Service == nil {
 		about.Model = request.Class.Target
 	}
-	log.Describe(about)
+	log.SetMetadata(about)
 	return s.follow(ctx, request.Customer, id, log), nil
 }
 
--- a/internal/callers/encode.go
+++ b/internal/callers/encode.go
@@ -58,7 +58,7 @@
 	head []byte
 }
 
-func newChunkEncoder(id string, about answers.About) chunkEncoder {
+func newChunkEncoder(id string, about answers.Metadata) chunkEncoder {
 	head := append([]byte(nil), `data: {"id":`...)
 	head = appendJSONString(head, id)
 	head = append(head, `,"object":"chat.completion.chunk","created":`...)
@@ -94,7 +94,7 @@
 }
 
 // appendCompletion appends a whole answer.
-func appendCompletion(dst []byte, id string, about answers.About, events []engineapi.TokenEvent) []byte {
+func appendCompletion(dst []byte, id string, about answers.Metadata, events []engineapi.TokenEvent) []byte {
 	dst = append(dst, `{"id":`...)
 	dst = appendJSONString(dst, id)
 	dst = append(dst, `,"object":"chat.completion","created":`...)
--- a/internal/callers/fake_test.go
+++ b/internal/callers/fake_test.go
@@ -70,7 +70,7 @@
 func newFakeBackend(serve func(*Request, *answers.Log)) *fakeBackend {
 	return &fakeBackend{
 		catalog:   testCatalog(),
-		store:     answers.NewStore(answers.StoreConfig{Keep: 1 << 40, KeptBytes: 1 << 30}),
+		store:     answers.NewStore(answers.StoreConfig{Retention: 1 << 40, KeptBytes: 1 << 30}),
 		serve:     serve,
 		arrived:   make(chan string, 1000),
 		gone:      make(chan string, 1000),
@@ -93,7 +93,7 @@
 	}
 	b.mu.Unlock()
 	key := answers.Key{Customer: request.Customer.Name, ID: id}
-	log, created, err := b.store.Begin(1, key, answers.Begin{Fingerprint: request.Fingerprint, Expires: 1 << 60})
+	log, created, err := b.store.Begin(1, key, answers.Request{Fingerprint: request.Fingerprint, Expires: 1 << 60})
 	if created {
 		go b.serve(request, log)
 	}
--- a/internal/callers/requests.go
+++ b/internal/callers/requests.go
@@ -89,7 +89,7 @@
 		return
 	}
 	f := s.follow(ctx, customer, id, log)
-	if streamed && log.About().Model != "" {
+	if streamed && log.Metadata().Model != "" {
 		s.answerStream(ctx, f, offset)
 		return
 	}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -280,7 +280,7 @@
 		for _, engine := range server.Engines {
 			c.Engines[engine.ID] = engine
 		}
-		pool := in.DataCentre + "/" + strings.Join(served(server), "+")
+		pool := in.DataCentre + "/" + strings.Join(servedTargets(server), "+")
 		pools[pool] = append(pools[pool], server)
 	}
 	for pool, servers := range pools {
@@ -311,8 +311,8 @@
 	return server
 }
 
-// served returns what the engines of a server serve together, sorted.
-func served(server *Server) []string {
+// servedTargets returns what the engines of a server serve together, sorted.
+func servedTargets(server *Server) []string {
 	set := make(map[string]bool)
 	for _, engine := range server.Engines {
 		for _, target := range engine.Serves {
@@ -338,7 +338,7 @@
 		name := groupName(pool, i%count)
 		group := c.Groups[name]
 		if group == nil {
-			group = &Group{Name: name, DataCentre: server.Spec.DataCentre, Serves: served(server)}
+			group = &Group{Name: name, DataCentre: server.Spec.DataCentre, Serves: servedTargets(server)}
 			c.Groups[name] = group
 			c.GroupList = append(c.GroupList, group)
 		}
--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -49,7 +49,7 @@
 		return nil, "", err
 	}
 	key := answers.Key{Customer: in.Customer.Name, ID: id.Text}
-	begin := answers.Begin{
+	begin := answers.Request{
 		Fingerprint: in.Fingerprint,
 		Expires:     monotime.Instant(id.Expiry),
 	}
@@ -59,7 +59,7 @@
 	}
 	if err := b.admit(now, in, key, log); err != nil {
 		log.Close(err)
-		b.store.Abandon(key)
+		b.store.Remove(key)
 		return nil, id.Text, err
 	}
 	return log, id.Text, nil
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -334,11 +334,11 @@
 func storeConfig(s *settings.Settings, cat *catalog.Catalog) answers.StoreConfig {
 	const defaultKeep = time.Minute
 	cfg := answers.StoreConfig{
-		Keep:      defaultKeep,
+		Retention: defaultKeep,
 		KeptBytes: s.Limits.KeptAnswerBytes,
 	}
 	if cat != nil {
-		cfg.Keep = time.Duration(cat.Rules.AnswerKeepS) * time.Second
+		cfg.Retention = time.Duration(cat.Rules.AnswerKeepS) * time.Second
 	}
 	return cfg
 }
--- a/internal/daemon/dispatcher.go
+++ b/internal/daemon/dispatcher.go
@@ -110,7 +110,7 @@
 	}
 	h.log.Close(err)
 	if err != nil && err.Verdict == verdict.NotRun {
-		d.store.Abandon(h.key)
+		d.store.Remove(h.key)
 		return
 	}
 	d.store.Finish(monotime.Now(), h.key)
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// queueLength is the number of lines that may wait for the output: about
+	// queueCapacity is the number of lines that may wait for the output: about
 	// five seconds of lines at linesPerSecond.
-	queueLength = 2048
+	queueCapacity = 2048
 	// linesPerSecond bounds the volume. A line of a request is some 400 bytes,
 	// so this is at most 160 KB a second.
 	linesPerSecond = 400
@@ -28,20 +28,20 @@
 // Sink is the bounded way to the output. Close must be called to write the last
 // lines.
 type Sink struct {
-	out     io.Writer
-	queue   chan []byte
-	lost    atomic.Int64
-	total   expvar.Int
-	dropped expvar.Int
-	failed  expvar.Int
-	tokens  float64
-	filled  time.Time
-	stopped chan struct{}
+	out            io.Writer
+	queue          chan []byte
+	unreportedLost atomic.Int64
+	lines          expvar.Int
+	lostTotal      expvar.Int
+	writeErrors    expvar.Int
+	tokens         float64
+	lastRefill     time.Time
+	stopped        chan struct{}
 }
 
 // New returns a logger at a level and the Sink that it writes to.
 func New(out io.Writer, level zapcore.Level) (*zap.Logger, *Sink) {
-	s := &Sink{out: out, queue: make(chan []byte, queueLength), tokens: burstLines, stopped: make(chan struct{})}
+	s := &Sink{out: out, queue: make(chan []byte, queueCapacity), tokens: burstLines, stopped: make(chan struct{})}
 	go s.run()
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -56,7 +56,7 @@
 	select {
 	case s.queue <- append([]byte(nil), line...):
 	default:
-		s.lose()
+		s.countLost()
 	}
 	return len(line), nil
 }
@@ -73,25 +73,25 @@
 // Vars returns the counters, to be published by expvar.
 func (s *Sink) Vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
-	vars.Set("lines", &s.total)
-	vars.Set("lost", &s.dropped)
-	vars.Set("write_errors", &s.failed)
+	vars.Set("lines", &s.lines)
+	vars.Set("lost", &s.lostTotal)
+	vars.Set("write_errors", &s.writeErrors)
 	return vars
 }
 
-func (s *Sink) lose() {
-	s.lost.Add(1)
-	s.dropped.Add(1)
+func (s *Sink) countLost() {
+	s.unreportedLost.Add(1)
+	s.lostTotal.Add(1)
 }
 
 func (s *Sink) run() {
 	defer close(s.stopped)
 	for line := range s.queue {
 		if !s.admit(time.Now()) {
-			s.lose()
+			s.countLost()
 			continue
 		}
-		if lost := s.lost.Swap(0); lost > 0 {
+		if lost := s.unreportedLost.Swap(0); lost > 0 {
 			s.write([]byte(`{"level":"warn","msg":"log_lines_lost","lines":` + strconv.FormatInt(lost, 10) + "}\n"))
 		}
 		s.write(line)
@@ -100,10 +100,10 @@
 
 // admit bounds the rate of lines by a token bucket.
 func (s *Sink) admit(now time.Time) bool {
-	if !s.filled.IsZero() {
-		s.tokens = min(burstLines, s.tokens+now.Sub(s.filled).Seconds()*linesPerSecond)
+	if !s.lastRefill.IsZero() {
+		s.tokens = min(burstLines, s.tokens+now.Sub(s.lastRefill).Seconds()*linesPerSecond)
 	}
-	s.filled = now
+	s.lastRefill = now
 	if s.tokens < 1 {
 		return false
 	}
@@ -112,10 +112,10 @@
 }
 
 func (s *Sink) write(line []byte) {
-	s.total.Add(1)
+	s.lines.Add(1)
 	if _, err := s.out.Write(line); err != nil {
 		// There is nowhere left to log it; the counter shows it.
-		s.failed.Add(1)
+		s.writeErrors.Add(1)
 	}
 }
 
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -11,14 +11,14 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// stalled is an output that takes nothing until it is released.
-type stalled struct {
+// stalledOutput is an output that takes nothing until it is released.
+type stalledOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
 	bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledOutput) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,11 +27,11 @@
 
 // The reader of the log stops reading. Requests must go on, and once it reads
 // again it must see that lines are missing.
-func TestAStalledOutputLosesLinesAndSaysSo(t *testing.T) {
+func TestStalledOutputReportsLostLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stalled{release: make(chan struct{})}
+		out := &stalledOutput{release: make(chan struct{})}
 		log, sink := New(out, zapcore.InfoLevel)
-		for range queueLength + 100 {
+		for range queueCapacity + 100 {
 			log.Info("line")
 		}
 		close(out.release)
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestTheVolumeIsBounded(t *testing.T) {
+func TestLineRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		log, sink := New(&out, zapcore.InfoLevel)
--- a/internal/netconn/quiet_unix.go
+++ b/internal/netconn/reusable_unix.go
@@ -7,11 +7,11 @@
 	"syscall"
 )
 
-// Quiet asks the socket of an idle connection, without waiting, whether nothing
+// IsReusable asks the socket of an idle connection, without waiting, whether nothing
 // has come on it: neither its end nor bytes that no request asked for, which
 // would be taken for the next answer. A connection without a socket, as tests
 // use, counts as quiet.
-func Quiet(c net.Conn) bool {
+func IsReusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -186,7 +186,7 @@
 	}
 	n.catalog.Store(cat)
 	n.budget.share = cat.Rules.RetryBudget
-	n.ids.SetLifetime(IDLifetime + time.Duration(cat.Rules.DirectoryTTLS)*time.Second)
+	n.ids.RaiseLifetime(IDLifetime + time.Duration(cat.Rules.DirectoryTTLS)*time.Second)
 	n.picker.Prune(cat)
 	n.reconfigureOwned(now, cat)
 	n.reroute(now, n.stale)
--- a/internal/node/record.go
+++ b/internal/node/record.go
@@ -18,7 +18,7 @@
 	r.err = err
 	r.ended = now
 	if err != nil && err.Verdict == verdict.NotRun {
-		n.ids.Forget(r.ID)
+		n.ids.Release(r.ID)
 	}
 	if nothingToDeliver(err) {
 		n.recordEnd(now, r)
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -36,7 +36,7 @@
 	}
 	permitted, err := n.permit(now, in)
 	if err != nil {
-		n.ids.Forget(in.ID)
+		n.ids.Release(in.ID)
 		n.recordRefused(now, in, err)
 		return 0, err
 	}
--- a/internal/relay/pool.go
+++ b/internal/relay/pool.go
@@ -96,7 +96,7 @@
 		c := list[len(list)-1]
 		p.idle[server] = list[:len(list)-1]
 		p.mu.Unlock()
-		if now < c.idleUntil && netconn.Quiet(c.Conn) {
+		if now < c.idleUntil && netconn.IsReusable(c.Conn) {
 			return c
 		}
 		p.discard(c)
--- a/internal/reqid/reqid.go
+++ b/internal/reqid/reqid.go
@@ -24,9 +24,9 @@
 	partCount   = 4
 	maxNonceLen = 64
 	maxIDLen    = 200
-	// clockSlack is the skew tolerated between the clock of the instance that
+	// maxClockSkew is the skew tolerated between the clock of the instance that
 	// issued a prefix and that of the instance it names.
-	clockSlack = time.Minute
+	maxClockSkew = time.Minute
 )
 
 // ErrMalformed is returned for text that is not a request id.
--- a/internal/reqid/reqid_test.go
+++ b/internal/reqid/reqid_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestClaimIsBounded(t *testing.T) {
+func TestClaimRefusesBeyondCapacityAndLifetime(t *testing.T) {
 	started := time.UnixMilli(1_700_000_000_000)
 	inc := NewIncarnation("entry-1", started, 7)
 	table := NewTable(2, 30*time.Second)
@@ -63,7 +63,7 @@
 	if got := table.Claim(seconds(1), full); got != ClaimFull {
 		t.Errorf("claim of a full table = %v", got)
 	}
-	table.Forget(id.Text)
+	table.Release(id.Text)
 	if got := table.Claim(seconds(1), id); got != ClaimNew {
 		t.Errorf("claim after Forget = %v", got)
 	}
--- a/internal/reqid/table.go
+++ b/internal/reqid/table.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// SetLifetime changes how far ahead an expiry may lie.
-func (t *Table) SetLifetime(lifetime time.Duration) {
+// RaiseLifetime changes how far ahead an expiry may lie.
+func (t *Table) RaiseLifetime(lifetime time.Duration) {
 	t.lifetime = max(t.lifetime, lifetime)
 }
 
@@ -73,7 +73,7 @@
 	if id.Expiry <= uptime {
 		return ClaimExpired
 	}
-	if id.Expiry > uptime+t.lifetime+clockSlack {
+	if id.Expiry > uptime+t.lifetime+maxClockSkew {
 		return ClaimTooFar
 	}
 	k := keyOf(id.Text)
@@ -88,9 +88,9 @@
 	return ClaimNew
 }
 
-// Forget gives an id back whose request surely did not run, so that the caller
+// Release gives an id back whose request surely did not run, so that the caller
 // may send it again.
-func (t *Table) Forget(id string) {
+func (t *Table) Release(id string) {
 	delete(t.seen, keyOf(id))
 }
 
--- a/internal/upstream/decode_bench_test.go
+++ b/internal/upstream/decode_bench_test.go
@@ -53,7 +53,7 @@
 	cn := newConn(raw, "")
 	b.ReportAllocs()
 	for b.Loop() {
-		if !netconn.Quiet(cn.Conn) {
+		if !netconn.IsReusable(cn.Conn) {
 			b.Fatal("the connection is open")
 		}
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -35,7 +35,7 @@
 		if cn == nil {
 			return nil
 		}
-		if time.Since(cn.idleSince) < p.idleTimeout && netconn.Quiet(cn.Conn) {
+		if time.Since(cn.idleSince) < p.idleTimeout && netconn.IsReusable(cn.Conn) {
 			cn.reused = true
 			return cn
 		}
