--- a/internal/accounting/metrics.go
+++ b/internal/accounting/metrics.go
@@ -8,11 +8,11 @@
 	"basilrudder/internal/schema/accounting"
 )
 
-// noLabel stands in the counters for an absent class or reason.
+// noLabel is the label in the counters for an empty class, reason or verdict.
 const noLabel = "none"
 
-// metrics counts records by class and by reason. Customers are not labels: there
-// may be tens of thousands, and the report has them.
+// metrics counts records by class, reason and verdict. Customers are not labels: there may
+// be tens of thousands of them, and the report lists them.
 type metrics struct {
 	vars        *expvar.Map
 	started     *expvar.Map
--- a/internal/accounting/record.go
+++ b/internal/accounting/record.go
@@ -6,14 +6,14 @@
 	"basilrudder/internal/schema/accounting"
 )
 
-// recordMessage marks accounting lines among the other lines of the log.
+// recordMessage is the message of accounting lines. The report finds the lines by it.
 const recordMessage = "accounting"
 
-// recordMarshaler writes a Record as zap recordMarshaler without reflection.
+// recordMarshaler encodes a Record as zap fields without reflection.
 type recordMarshaler accounting.Record
 
-// MarshalLogObject implements zapcore.ObjectMarshaler. Zero values are left out,
-// as the schema's defaults say.
+// MarshalLogObject implements zapcore.ObjectMarshaler. It omits zero values of optional
+// fields, which are the defaults in the schema.
 func (f *recordMarshaler) MarshalLogObject(enc zapcore.ObjectEncoder) error {
 	enc.AddString("kind", string(f.Kind))
 	enc.AddString("instance", f.Instance)
--- a/internal/accounting/writer.go
+++ b/internal/accounting/writer.go
@@ -1,6 +1,6 @@
-// Package accounting writes what happened to each request as JSON lines and
-// counts it in expvar variables. Instances keep nothing, so these lines are the
-// only source of the reports.
+// Package accounting writes records of the events of each request as JSON lines and counts
+// them in expvar variables. Instances store no records, so these lines are the only source
+// of the reports.
 package accounting
 
 import (
@@ -19,18 +19,22 @@
 )
 
 const (
-	// queueCapacity is the number of lines that may wait for standard output.
+	// queueCapacity is the number of lines that may wait for standard output. With a smaller
+	// queue a shorter stall loses marks and decisions and delays requests at their start and
+	// end; a larger one takes more memory.
 	queueCapacity = 4096
-	// bufferBytes is the size of the write buffer.
+	// bufferBytes is the size of the write buffer. A smaller buffer needs more write calls
+	// under load; a larger one takes more memory.
 	bufferBytes = 64 << 10
-	// lostMessage marks the lines that tell of lost marks and decisions.
+	// lostMessage is the message of lines that report the number of lost records. The report
+	// finds the lines by it.
 	lostMessage = "accounting_lost"
 )
 
-// Writer writes accounting records. Start and end lines wait for room in the
-// queue, since the report would be wrong without them. Marks and decisions do
-// not wait: when standard output stalls they are lost, counted and reported by
-// a line of their own. It is safe for concurrent use.
+// Writer writes accounting records. Start and end records block while the queue is full,
+// because the report would be wrong without them. Marks and decisions do not block: when
+// standard output stalls they are dropped and counted, and a separate line reports how many
+// were lost. It is safe for concurrent use.
 type Writer struct {
 	now            func() time.Time
 	queue          chan queueItem
@@ -43,13 +47,13 @@
 	stopped        chan struct{}
 }
 
-// queueItem is a record, or a request to flush.
+// queueItem is a record, or a request to flush if flushed is set.
 type queueItem struct {
 	record  accounting.Record
 	flushed chan<- error
 }
 
-// NewWriter returns a Writer to out. now gives the wall-clock time of lines.
+// NewWriter returns a Writer to out. now returns the wall-clock time for the timestamps.
 // Close must be called to write the last lines.
 func NewWriter(out io.Writer, now func() time.Time) *Writer {
 	buffer := bufio.NewWriterSize(out, bufferBytes)
@@ -70,9 +74,8 @@
 	return w
 }
 
-// Write queues a record and stamps it with the time unless it has one. It
-// reports whether the record was queued; only marks and decisions may be lost,
-// and any record after Close.
+// Write queues a record, and sets its timestamp if it has none. It reports whether the
+// record was queued. Only marks and decisions can be lost, and any record after Close.
 func (w *Writer) Write(record accounting.Record) bool {
 	w.closeMu.RLock()
 	defer w.closeMu.RUnlock()
@@ -96,7 +99,8 @@
 	}
 }
 
-// Flush returns when all records queued before it are written.
+// Flush blocks until all records queued before it are written. It returns the error of the
+// write, and nil after Close.
 func (w *Writer) Flush() error {
 	w.closeMu.RLock()
 	defer w.closeMu.RUnlock()
@@ -108,7 +112,8 @@
 	return <-flushed
 }
 
-// Close writes the queued records and stops the writer.
+// Close writes the queued records, stops the writer and returns the error of the last
+// flush.
 func (w *Writer) Close() error {
 	w.closeMu.Lock()
 	if w.closed {
@@ -125,7 +130,7 @@
 	return w.flush()
 }
 
-// Vars returns the counters and gauges, to be published by expvar.
+// Vars returns the counters and gauges for publication by expvar.
 func (w *Writer) Vars() *expvar.Map {
 	return w.metrics.vars
 }
@@ -135,8 +140,8 @@
 	w.metrics.lost.Add(1)
 }
 
-// run writes lines until the queue is closed. It flushes whenever the queue is
-// empty, so that a line waits for no later one.
+// run writes lines until the queue is closed. It flushes whenever the queue is empty, so
+// no line stays in the buffer until another one arrives.
 func (w *Writer) run() {
 	defer close(w.stopped)
 	for it := range w.queue {
@@ -169,7 +174,7 @@
 	return w.buffer.Flush()
 }
 
-// countError keeps a failed write from being silent.
+// countError counts a failed write, which is not reported in any other way.
 func (w *Writer) countError(err error) {
 	if err != nil {
 		w.metrics.writeErrors.Add(1)
--- a/internal/accounting/writer_test.go
+++ b/internal/accounting/writer_test.go
@@ -38,8 +38,8 @@
 	record.Msg = recordMessage
 }
 
-// A field that the schema gained and the writer does not know would be missing
-// from every line without any error.
+// Guards against a field that is added to the schema but not to the writer: it would be
+// missing from every line without an error.
 func TestEveryFieldOfTheSchemaIsWritten(t *testing.T) {
 	var want, got accounting.Record
 	fill(&want)
@@ -71,7 +71,7 @@
 	}
 }
 
-// stalledOutput accepts nothing until it is released.
+// stalledOutput blocks writes until release is closed.
 type stalledOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -85,9 +85,9 @@
 	return s.Buffer.Write(p)
 }
 
-// Standard output stalls while requests go on. The queue fills with marks;
-// further marks are lost and counted, but no start or end line is, because the
-// report would then count a request wrongly.
+// Guards against losing start or end records, without which the report miscounts requests.
+// Standard output stalls and the queue fills with marks: further marks are dropped and
+// counted, end records wait.
 func TestStalledOutputKeepsStartAndEndLines(t *testing.T) {
 	out := &stalledOutput{release: make(chan struct{})}
 	w := NewWriter(out, fixedTime)
@@ -117,7 +117,7 @@
 		t.Errorf("%d end lines, want %d", got, requests)
 	}
 	if !strings.Contains(text, lostMessage) {
-		t.Error("no line tells of the lost marks")
+		t.Error("no line reports the lost marks")
 	}
 	if got := w.metrics.lost.Value(); got != int64(lost) {
 		t.Errorf("counted %d lost, want %d", got, lost)
@@ -163,7 +163,7 @@
 	w := NewWriter(io.Discard, fixedTime)
 	_ = w.Close()
 	if w.Write(accounting.Record{Kind: accounting.RecordKindEnd}) {
-		t.Error("a record after Close was taken")
+		t.Error("Write accepted a record after Close")
 	}
 	if got := w.metrics.lost.Value(); got != 1 {
 		t.Errorf("counted %d", got)
--- a/internal/answers/log.go
+++ b/internal/answers/log.go
@@ -1,7 +1,7 @@
-// Package answers keeps answers as logs. An upstream appends to a Log, and any
-// number of readers follow it from any offset, so that a caller who lost its
-// connection resumes where it stopped. A Store finds a Log again by customer
-// and request id, within bounds of memory and time.
+// Package answers stores answers as append-only logs. An upstream appends to a Log, and
+// any number of readers follow it from any offset, so a caller that lost its connection
+// resumes where it stopped. A Store indexes the logs by customer and request id, with
+// limits on memory and retention.
 package answers
 
 import (
@@ -16,36 +16,38 @@
 	"basilrudder/internal/verdict"
 )
 
-// Errors of Append. Each tells the upstream side to stop relaying.
+// Errors of Append and SetService. After any of them the upstream side must stop relaying.
 var (
-	// ErrClosed means that the answer has ended.
+	// ErrClosed means that the answer is complete or closed.
 	ErrClosed = errors.New("answer is closed")
-	// ErrFull means that the answer has reached its bound.
+	// ErrFull means that the answer would exceed its size limit.
 	ErrFull = errors.New("answer is larger than its bound")
-	// ErrGap means that tokens are missing before this one; resume the upstream
-	// stream at Len.
+	// ErrGap means that tokens before this one are missing. The upstream stream must be
+	// resumed at Len.
 	ErrGap = errors.New("tokens are missing from the answer")
 )
 
-// eventOverhead is the memory of an event besides its text, in bytes.
+// eventOverhead is the memory of an event besides its text, in bytes. A smaller value
+// lets answers of many short tokens take more memory than their size limit; a larger one
+// refuses them too early.
 const eventOverhead = 48
 
-// State tells how far an answer has come.
+// State is the progress of an answer.
 type State uint8
 
-// States of an answer, in the order they are reached.
+// States of an answer.
 const (
 	// Waiting means that no part of the answer has arrived.
 	Waiting State = iota
 	// Running means that a part of the answer has arrived.
 	Running
-	// Finished means that the whole answer is here.
+	// Finished means that the answer is complete and closed.
 	Finished
 	// Failed means that the answer ended with an error.
 	Failed
 )
 
-// String returns the name callers see.
+// String returns the name of the state in responses to callers.
 func (s State) String() string {
 	switch s {
 	case Waiting:
@@ -59,7 +61,7 @@
 	}
 }
 
-// Header is one header field of a plain service's answer.
+// Header is one HTTP header field of a plain service's answer.
 type Header struct {
 	// Name of the field.
 	Name string
@@ -71,14 +73,14 @@
 type ServiceAnswer struct {
 	// Status is the HTTP status.
 	Status int
-	// Headers are the fields to pass on.
+	// Headers are the fields that are forwarded to the caller.
 	Headers []Header
 	// Body of the answer.
 	Body []byte
 }
 
-// Log is one answer. Events are only appended and never changed, so that
-// readers share them without copying. It is safe for concurrent use.
+// Log is one answer. Events are only appended and never changed, so readers share them
+// without copying. It is safe for concurrent use.
 type Log struct {
 	maxBytes int
 
@@ -94,30 +96,31 @@
 	freeChannels []chan struct{}
 }
 
-// waiter is a reader that waits for the event at an offset, or for the end.
+// waiter is a reader that waits for the event at an offset or for the end of the answer.
 type waiter struct {
 	offset int
 	wake   chan struct{}
 }
 
-// Metadata describes an answer, so that a caller who fetches it again sees it as
-// the first one did.
+// Metadata holds what a response contains besides the tokens. It is stored with the
+// answer so that a caller that fetches it again gets the same response as the first.
 type Metadata struct {
-	// Model that answers; empty for a plain service.
+	// Model that generates the answer; empty for a plain service.
 	Model string
 	// Created is the wall-clock time of the request in seconds since 1970.
 	Created int64
-	// PromptTokens of the request.
+	// PromptTokens is the number of tokens in the request's prompt.
 	PromptTokens int
 }
 
-// NewLog returns an empty answer that holds at most maxBytes; 0 for no bound.
+// NewLog returns an empty answer of at most maxBytes; 0 means no limit.
 func NewLog(maxBytes int) *Log {
 	return &Log{maxBytes: maxBytes}
 }
 
-// Append adds a token. A token the log already holds is dropped: an upstream
-// that resumes may repeat some, and a reader must see each one once.
+// Append adds a token. A token that the log already holds is dropped without an error:
+// an upstream that resumes may repeat tokens, and readers must receive each one once.
+// It returns ErrClosed, ErrGap or ErrFull.
 func (l *Log) Append(event engineapi.TokenEvent) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -143,7 +146,8 @@
 	return nil
 }
 
-// SetService stores the whole answer of a plain service. Close must follow.
+// SetService stores the whole answer of a plain service. The caller must call Close
+// afterwards. It returns ErrClosed or ErrFull.
 func (l *Log) SetService(answer ServiceAnswer) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,9 +166,10 @@
 	return nil
 }
 
-// Close ends the answer; nil means that it is whole. Only the first call
-// counts, and it reports true. A nil for an answer without its last token
-// would let a cut answer pass for a whole one, so it becomes an error.
+// Close ends the answer with an error, or with nil if the answer is complete. It reports
+// whether this was the first call; later calls have no effect. A nil for an answer
+// without its last token becomes an error, so that a truncated answer is not delivered as
+// a complete one.
 func (l *Log) Close(err *verdict.Error) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,10 +185,10 @@
 	return true
 }
 
-// Next returns the events from offset on, waiting for one when there is none.
-// done means that the answer has ended and that events holds the rest of it; err
-// is then the way it ended, nil for a whole answer. When ctx ends first, err
-// has the reason caller_gone. The events must not be changed.
+// Next returns the events from offset on and waits while there are none. done reports
+// that the answer has ended and events holds the rest of it; err is then the error it was
+// closed with, nil for a complete answer. When ctx ends first, err has the reason
+// caller_gone. The caller must not modify the events.
 func (l *Log) Next(ctx context.Context, offset int) (events []engineapi.TokenEvent, done bool, err *verdict.Error) {
 	l.mu.Lock()
 	for !l.ready(offset) {
@@ -209,14 +214,15 @@
 	return events, l.closed, l.err
 }
 
-// Wait returns when the answer has ended, or with caller_gone when ctx ends. It
-// is not woken for each token.
+// Wait blocks until the answer has ended and returns the error it was closed with, or
+// caller_gone when ctx ends first. Unlike Next it is not woken by tokens.
 func (l *Log) Wait(ctx context.Context) *verdict.Error {
 	_, _, err := l.Next(ctx, math.MaxInt)
 	return err
 }
 
-// SetMetadata stores what the answer is about. Only the first call counts.
+// SetMetadata stores the metadata. Once non-zero metadata is stored, further calls have
+// no effect.
 func (l *Log) SetMetadata(about Metadata) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,21 +231,21 @@
 	}
 }
 
-// Metadata returns what Describe stored.
+// Metadata returns what SetMetadata stored.
 func (l *Log) Metadata() Metadata {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.metadata
 }
 
-// Attach counts a caller's connection that follows the answer.
+// Attach registers a caller's connection that follows the answer.
 func (l *Log) Attach() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.readers++
 }
 
-// Detach ends what Attach began, and returns the number of connections left.
+// Detach reverts one Attach and returns the number of connections left.
 func (l *Log) Detach() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -254,21 +260,21 @@
 	return l.readers
 }
 
-// Len returns the number of tokens; it is the offset to resume from.
+// Len returns the number of tokens, which is the offset to resume from.
 func (l *Log) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.events)
 }
 
-// Bytes returns the memory the answer takes.
+// Bytes returns the memory of the answer in bytes, as counted against its limit.
 func (l *Log) Bytes() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.bytes
 }
 
-// Service returns the answer of a plain service, or nil.
+// Service returns the answer of a plain service, or nil if there is none.
 func (l *Log) Service() *ServiceAnswer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -291,7 +297,7 @@
 	}
 }
 
-// complete reports whether the last part of the answer is here.
+// complete reports whether the log holds the last part of the answer.
 func (l *Log) complete() bool {
 	if l.service != nil {
 		return true
@@ -304,8 +310,8 @@
 	return l.closed || offset < len(l.events)
 }
 
-// register adds a waiter. Its channel is taken from the ones earlier waits
-// left, so that following an answer does not allocate for each token.
+// register adds a waiter. It reuses the channels of earlier waits, so following an answer
+// does not allocate for each token.
 func (l *Log) register(offset int) chan struct{} {
 	var wake chan struct{}
 	if n := len(l.freeChannels); n > 0 {
@@ -322,8 +328,8 @@
 	l.waiters = slices.DeleteFunc(l.waiters, func(w waiter) bool { return w.wake == wake })
 }
 
-// wake wakes the waiters whose wait is over. Each is sent one signal, for which
-// its channel has room.
+// wake removes and signals the waiters whose event or end has arrived. A waiter is
+// signalled once, and its channel has a buffer of one, so the send never blocks.
 func (l *Log) wake() {
 	l.waiters = slices.DeleteFunc(l.waiters, func(w waiter) bool {
 		if !l.ready(w.offset) {
@@ -334,7 +340,8 @@
 	})
 }
 
-// callerGone is the error of a reader that stopped waiting; the answer goes on.
+// callerGone returns the error for a reader that stopped waiting. The answer itself
+// continues.
 func callerGone(ctx context.Context) *verdict.Error {
 	return verdict.Wrap(verdict.MayHaveRun, verdict.ReasonCallerGone, context.Cause(ctx))
 }
--- a/internal/answers/log_test.go
+++ b/internal/answers/log_test.go
@@ -18,9 +18,9 @@
 	return engineapi.TokenEvent{Offset: offset, Text: strconv.Itoa(offset), Finish: finish}
 }
 
-// A caller that resumes sees each token once and in order. The engine's stream
-// broke and was resumed, so the engine repeats tokens and then jumps ahead;
-// the log drops what it has and refuses the jump.
+// Guards against readers that get a token twice or miss one. After a broken stream is
+// resumed, the engine may repeat tokens or skip some: the log drops repeated tokens and
+// refuses a gap.
 func TestAppendDropsRepeatsAndRefusesGaps(t *testing.T) {
 	log := NewLog(0)
 	for _, offset := range []int{0, 1, 0, 1, 2} {
@@ -29,7 +29,7 @@
 		}
 	}
 	if err := log.Append(token(5, "")); !errors.Is(err, ErrGap) {
-		t.Errorf("a gap gave %v", err)
+		t.Errorf("Append after a gap: %v, want ErrGap", err)
 	}
 	events, _, _ := log.Next(t.Context(), 1)
 	want := []engineapi.TokenEvent{token(1, ""), token(2, "")}
@@ -46,16 +46,15 @@
 		}
 	}
 	if err := log.Append(token(2, "")); !errors.Is(err, ErrFull) {
-		t.Errorf("past the bound: %v", err)
+		t.Errorf("token beyond the limit: %v, want ErrFull", err)
 	}
 	if err := log.SetService(ServiceAnswer{Body: make([]byte, 1000)}); !errors.Is(err, ErrFull) {
-		t.Errorf("a service answer past the bound: %v", err)
+		t.Errorf("service answer beyond the limit: %v, want ErrFull", err)
 	}
 }
 
-// A cut answer must not pass for a whole one. The upstream side closes the log
-// as whole although the token with the finish reason never came, so readers
-// must see an error.
+// Guards against delivering a truncated answer as a complete one: the upstream side closes
+// the log without an error although the token with the finish reason never arrived.
 func TestCloseWithoutTheLastTokenIsAnError(t *testing.T) {
 	log := NewLog(0)
 	_ = log.Append(token(0, ""))
@@ -70,10 +69,10 @@
 	log := NewLog(0)
 	_ = log.Append(token(0, "stop"))
 	if !log.Close(nil) {
-		t.Error("the first Close did not count")
+		t.Error("the first Close reported false")
 	}
 	if log.Close(verdict.New(verdict.Ran, verdict.ReasonInternal, "late")) {
-		t.Error("the second Close counted")
+		t.Error("the second Close reported true")
 	}
 	if state, err := log.Status(); state != Finished || err != nil {
 		t.Errorf("state %v, error %v", state, err)
@@ -130,7 +129,7 @@
 		_ = log.Append(token(0, "stop"))
 		synctest.Wait()
 		if len(ended) > 0 || len(log.waiters) != 1 {
-			t.Error("a token woke a reader that waits for the end")
+			t.Error("a token woke a reader that waits for the end of the answer")
 		}
 		log.Close(nil)
 		if err := <-ended; err != nil {
@@ -139,8 +138,8 @@
 	})
 }
 
-// A caller leaves while it waits. Its reader must return although no token
-// comes, and the answer must go on for the readers that stay.
+// Guards against a reader that blocks after its caller disconnected. It must return
+// without a further token, and the other readers must continue to receive the answer.
 func TestNextReturnsWhenItsReaderLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := NewLog(0)
--- a/internal/answers/store.go
+++ b/internal/answers/store.go
@@ -10,8 +10,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// Key names an answer. The customer is part of it: a request id is no secret,
-// and another customer who knows it must not read the answer.
+// Key identifies an answer. It includes the customer because request ids are not secret:
+// another customer that has the id must not be able to read the answer.
 type Key struct {
 	// Customer name.
 	Customer string
@@ -19,34 +19,35 @@
 	ID string
 }
 
-// StoreConfig bounds a Store.
+// StoreConfig holds the limits of a Store.
 type StoreConfig struct {
-	// Retention is the time a finished answer is kept.
+	// Retention is how long a finished answer is kept.
 	Retention time.Duration
-	// KeptBytes bounds the memory of finished answers.
+	// KeptBytes limits the memory of finished answers.
 	KeptBytes int
-	// AnswerBytes bounds one answer; 0 for no bound.
+	// AnswerBytes limits one answer; 0 means no limit.
 	AnswerBytes int
-	// MaxEntries bounds the ids remembered; 0 for no bound.
+	// MaxEntries limits the number of request ids in the store, with and without their
+	// answer; 0 means no limit.
 	MaxEntries int
 }
 
-// Request describes a request whose answer is to be stored.
+// Request describes a request whose answer will be stored.
 type Request struct {
-	// Fingerprint of the request. A second request under the same id must have
-	// the same one, or it would be given the answer to another request.
+	// Fingerprint of the request. A different request under the same id has another
+	// fingerprint and is refused; it would otherwise receive the wrong answer.
 	Fingerprint uint64
-	// Expires is when the id stops being accepted. Until then the id is
-	// remembered even when its answer was dropped, so that it is not run again.
+	// Expires is when the id stops being accepted. Until then the store keeps the id even
+	// if its answer was dropped, so that the request is not run again.
 	Expires monotime.Instant
 }
 
-// Store finds answers by customer and request id. It is safe for concurrent use.
+// Store indexes answers by customer and request id. It is safe for concurrent use.
 type Store struct {
 	mu        sync.Mutex
 	cfg       StoreConfig
 	entries   map[Key]*entry
-	kept      list.List // of *entry, finished first at the front
+	kept      list.List // of *entry, in order of finishing, oldest at the front
 	dropped   expiryHeap
 	keptBytes int
 }
@@ -62,15 +63,15 @@
 	element     *list.Element // in Store.kept, nil unless the answer is kept
 }
 
-// Stats counts what a Store holds.
+// Stats holds the sizes of a Store.
 type Stats struct {
-	// InProgress answers.
+	// InProgress is the number of answers that are not finished.
 	InProgress int `json:"in_progress"`
-	// Kept finished answers.
+	// Kept is the number of finished answers.
 	Kept int `json:"kept"`
 	// KeptBytes is the memory of the kept answers.
 	KeptBytes int `json:"kept_bytes"`
-	// Remembered ids whose answer was dropped.
+	// Remembered is the number of unexpired ids whose answer was dropped.
 	Remembered int `json:"remembered"`
 }
 
@@ -79,7 +80,7 @@
 	return &Store{cfg: cfg, entries: make(map[Key]*entry)}
 }
 
-// Configure changes the bounds.
+// Configure replaces the limits and drops the finished answers that exceed them.
 func (s *Store) Configure(now monotime.Instant, cfg StoreConfig) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,9 +88,10 @@
 	s.expire(now)
 }
 
-// Begin returns the answer under the key, creating it when the id is new.
-// Looking up and creating are one step, so that of two requests with the same
-// id only one sees created and may start the work.
+// Begin returns the answer with the key and creates it if the id is new. Lookup and
+// creation are atomic: of two concurrent requests with the same id only one gets created
+// and may start the work. A different request under a used id is refused, as is a new id
+// beyond MaxEntries.
 func (s *Store) Begin(now monotime.Instant, key Key, request Request) (log *Log, created bool, err *verdict.Error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +117,8 @@
 	return e.log, true, nil
 }
 
-// Find returns the answer under the key. One that was dropped is found as a
-// closed answer that says so.
+// Find returns the answer with the key. For a dropped answer it returns a closed log
+// whose error reports how the answer ended.
 func (s *Store) Find(key Key) (*Log, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,8 +129,8 @@
 	return e.log, true
 }
 
-// Finish starts the keeping of an answer that has been closed, and reports
-// whether it did. It may drop older finished answers.
+// Finish starts the retention of a closed answer and reports whether it did. It may drop
+// older finished answers.
 func (s *Store) Finish(now monotime.Instant, key Key) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,8 +150,8 @@
 	return true
 }
 
-// Remove forgets a request that never ran, so that its id may be used again.
-// Its readers keep the closed log they hold.
+// Remove deletes a request that never ran, so that its id may be used again. Readers that
+// already hold its log keep it.
 func (s *Store) Remove(key Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,14 +162,14 @@
 	delete(s.entries, key)
 }
 
-// Expire drops answers and ids whose time has passed.
+// Expire drops answers past their retention and deletes expired ids.
 func (s *Store) Expire(now monotime.Instant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire(now)
 }
 
-// Stats returns what the store holds.
+// Stats returns the current sizes.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,8 +181,8 @@
 	}
 }
 
-// expire walks only finished answers: one in progress has a caller to come,
-// however much memory is asked for.
+// expire drops finished answers only. An answer in progress is never dropped, whatever
+// the memory in use, because a caller is still going to read it.
 func (s *Store) expire(now monotime.Instant) {
 	for front := s.kept.Front(); front != nil; front = s.kept.Front() {
 		e := front.Value.(*entry)
@@ -196,8 +198,8 @@
 	}
 }
 
-// drop frees an answer. Its id stays until it expires: were it forgotten, a
-// caller that sends it again would start the work a second time.
+// drop frees an answer. The id is kept until it expires; without it, a retry would start
+// the work a second time.
 func (s *Store) drop(now monotime.Instant, e *entry) {
 	s.kept.Remove(e.element)
 	e.element = nil
@@ -210,7 +212,7 @@
 	heap.Push(&s.dropped, e)
 }
 
-// droppedLog replaces an answer by one that tells only how it ended.
+// droppedLog returns a closed log without events that reports how the answer ended.
 func droppedLog(log *Log) *Log {
 	_, err := log.Status()
 	if err == nil {
@@ -221,7 +223,7 @@
 	return out
 }
 
-// expiryHeap orders entries by the expiry of their id.
+// expiryHeap implements heap.Interface, earliest expiry of an id first.
 type expiryHeap []*entry
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/internal/answers/store_test.go
+++ b/internal/answers/store_test.go
@@ -26,9 +26,8 @@
 	return log
 }
 
-// Two retries of one request arrive at the same instant on two connections.
-// Only one may start the work, or a letter is written twice; both must follow
-// the same answer.
+// Guards against executing a request twice when retries of it arrive concurrently on
+// several connections: only one may start the work, and all must follow the same answer.
 func TestBeginCreatesOnce(t *testing.T) {
 	s := NewStore(StoreConfig{Retention: time.Minute, KeptBytes: 1 << 20})
 	const callers = 32
@@ -57,15 +56,15 @@
 	s := NewStore(StoreConfig{Retention: time.Minute, KeptBytes: 1 << 20})
 	finishOne(t, s, 0, Key{Customer: "a", ID: "1"}, 100*second)
 	if _, ok := s.Find(Key{Customer: "b", ID: "1"}); ok {
-		t.Error("another customer found the answer")
+		t.Error("Find returned the answer of another customer")
 	}
 	if _, ok := s.Find(Key{Customer: "a", ID: "1"}); !ok {
-		t.Error("the customer did not find its answer")
+		t.Error("Find did not return the customer's own answer")
 	}
 }
 
-// A caller reuses an id for another request. Given the stored answer it would
-// hold the answer to a question it did not ask, so it is refused.
+// Guards against delivering the answer to another request: a caller that reuses an id for
+// a different request is refused instead of receiving the stored answer.
 func TestAnotherRequestUnderTheSameIDIsRefused(t *testing.T) {
 	s := NewStore(StoreConfig{Retention: time.Minute, KeptBytes: 1 << 20})
 	key := Key{Customer: "a", ID: "1"}
@@ -76,8 +75,8 @@
 	}
 }
 
-// A flood of finished answers must not push out one still being written: its
-// caller would lose the answer. The oldest finished ones go first.
+// Guards against losing an answer in progress when many finished answers exceed the memory
+// limit. The oldest finished answers are dropped first.
 func TestBoundDropsOldestFinishedOnly(t *testing.T) {
 	one := eventOverhead + len("0") + len("stop")
 	s := NewStore(StoreConfig{Retention: time.Hour, KeptBytes: 3 * one})
@@ -86,7 +85,7 @@
 	for i := range 10 {
 		finishOne(t, s, monotime.Instant(i), Key{Customer: "a", ID: fmt.Sprint(i)}, 9999*second)
 		if got := s.Stats().KeptBytes; got > 3*one {
-			t.Fatalf("kept %d bytes, bound %d", got, 3*one)
+			t.Fatalf("kept %d bytes, limit %d", got, 3*one)
 		}
 	}
 	if log, ok := s.Find(running); !ok || log != runningLog {
@@ -96,13 +95,13 @@
 		log, _ := s.Find(Key{Customer: "a", ID: fmt.Sprint(i)})
 		state, _ := log.Status()
 		if wantKept := i >= 7; (state == Finished) != wantKept {
-			t.Errorf("answer %d is %v, kept wanted %v", i, state, wantKept)
+			t.Errorf("answer %d is %v, want kept %v", i, state, wantKept)
 		}
 	}
 }
 
-// A retry arrives after the answer was dropped but before its id expired. It
-// must not start the work again: it finds that the request ran.
+// Guards against executing a request twice: a retry arrives after the answer was dropped
+// but before its id expired. It must get the verdict that the request ran.
 func TestDroppedAnswerIsNotRunAgain(t *testing.T) {
 	s := NewStore(StoreConfig{Retention: 10 * time.Second, KeptBytes: 1 << 20})
 	key := Key{Customer: "a", ID: "1"}
@@ -113,11 +112,11 @@
 		t.Fatalf("created %v, error %v", created, err)
 	}
 	if _, end := log.Status(); end == nil || end.Verdict != verdict.Ran {
-		t.Errorf("the dropped answer says %v", end)
+		t.Errorf("error of the dropped answer is %v, want verdict ran", end)
 	}
 	s.Expire(60 * second)
 	if _, ok := s.Find(key); ok {
-		t.Error("the id outlived its expiry")
+		t.Error("the id was still found after its expiry")
 	}
 	if got := s.Stats(); got != (Stats{}) {
 		t.Errorf("the store still holds %+v", got)
@@ -129,7 +128,7 @@
 	key := Key{Customer: "a", ID: "1"}
 	log, _, _ := s.Begin(0, key, Request{Expires: second})
 	if s.Finish(0, key) {
-		t.Error("an answer in progress was finished")
+		t.Error("Finish accepted an answer in progress")
 	}
 	s.Expire(1000 * second)
 	if found, ok := s.Find(key); !ok || found != log {
@@ -142,7 +141,7 @@
 	finishOne(t, s, 0, Key{Customer: "a", ID: "1"}, 100*second)
 	_, _, err := s.Begin(0, Key{Customer: "a", ID: "2"}, Request{Expires: 100 * second})
 	if err == nil || err.Verdict != verdict.NotRun {
-		t.Errorf("past the bound: %v", err)
+		t.Errorf("Begin beyond MaxEntries: %v", err)
 	}
 	if _, _, err := s.Begin(100*second, Key{Customer: "a", ID: "2"}, Request{Expires: 200 * second}); err != nil {
 		t.Errorf("after expiry: %v", err)
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,7 +1,6 @@
-// Package catalog holds the configuration in force as one immutable value. A
-// Catalog is compiled from a checked inventory, published through an atomic
-// pointer and never changed afterwards, so that readers on the path of a
-// request take no lock.
+// Package catalog holds the configuration in force as one immutable value. A Catalog is
+// compiled from a validated inventory, published through an atomic pointer and never
+// changed afterwards, so request handling reads it without a lock.
 package catalog
 
 import (
@@ -16,35 +15,36 @@
 	"basilrudder/internal/schema/inventory"
 )
 
-// Class is a request class with its targets.
+// Class is a request class with its latency targets and limits.
 type Class struct {
 	// Name is unique.
 	Name string
 	// Hash identifies the class in peer messages.
 	Hash uint32
-	// Tier is the service tier without a subscription; 0 is the highest.
+	// Tier is the service tier of customers without an override for their subscription; 0
+	// is the highest.
 	Tier int
-	// Kind says whether a model or a plain service serves the class.
+	// Kind is whether a model or a plain service serves the class.
 	Kind inventory.ClassKind
 	// Target is the model or the service that serves the class.
 	Target string
-	// Deadline is the time from arrival to the end of the answer; 0 for none.
+	// Deadline is the time allowed from arrival to the end of the answer; 0 for none.
 	Deadline time.Duration
-	// FirstToken is the time from arrival to the first token; 0 for none.
+	// FirstToken is the target time from arrival to the first token; 0 for none.
 	FirstToken time.Duration
-	// TokenGap is the time between tokens for 95 in 100; 0 for none.
+	// TokenGap is the target for the 95th percentile of the time between tokens; 0 for none.
 	TokenGap time.Duration
-	// MaxQueue is the longest wait in a queue when no deadline applies.
+	// MaxQueue is the maximum wait in a queue if no deadline applies.
 	MaxQueue time.Duration
-	// Idempotent says whether a request may run more than once.
+	// Idempotent is whether a request may run more than once.
 	Idempotent bool
-	// MaxOutputTokens bounds an answer.
+	// MaxOutputTokens limits the length of an answer.
 	MaxOutputTokens int
 
 	subscriptionTiers map[string]int
 }
 
-// TierFor returns the tier of a request of the class by the customer.
+// TierFor returns the tier of the customer's requests of the class.
 func (c *Class) TierFor(customer *Customer) int {
 	if tier, ok := c.subscriptionTiers[customer.Subscription]; ok {
 		return tier
@@ -52,21 +52,21 @@
 	return c.Tier
 }
 
-// Customer is somebody whose callers are served.
+// Customer is a tenant with its share and limits.
 type Customer struct {
 	// Name is unique.
 	Name string
 	// Hash identifies the customer in peer messages.
 	Hash uint64
-	// Weight is the share against other customers of the same tier.
+	// Weight is the share relative to other customers of the same tier.
 	Weight float64
-	// Subscription selects tier overrides of classes.
+	// Subscription selects the tier overrides of classes.
 	Subscription string
-	// RequestsPerSecond limits requests over the fleet; 0 for no limit.
+	// RequestsPerSecond limits the requests of the whole fleet; 0 for no limit.
 	RequestsPerSecond float64
-	// TokensPerSecond limits generated tokens over the fleet; 0 for no limit.
+	// TokensPerSecond limits the generated tokens of the whole fleet; 0 for no limit.
 	TokensPerSecond float64
-	// Burst is the time of a rate that may be used at once.
+	// Burst is how much of a rate may be used at once, in time at that rate.
 	Burst time.Duration
 
 	classes map[string]bool
@@ -77,44 +77,44 @@
 	return len(c.classes) == 0 || c.classes[class.Name]
 }
 
-// Engine is one place where requests run.
+// Engine is one engine of a server. Requests run on engines.
 type Engine struct {
-	// ID is server/engine.
+	// ID has the form server/engine.
 	ID string
-	// Server the engine belongs to.
+	// Server is the server of the engine.
 	Server *Server
-	// Spec is the published entry.
+	// Spec is the engine's entry in the inventory.
 	Spec inventory.Engine
-	// Serves holds the models or services it runs.
+	// Serves holds the models or services of the engine.
 	Serves []string
 }
 
 // Server is one upstream server.
 type Server struct {
-	// Spec is the published entry.
+	// Spec is the server's entry in the inventory.
 	Spec inventory.Server
-	// Group that schedules the server.
+	// Group is the group that the server is scheduled in.
 	Group *Group
-	// Engines of the server.
+	// Engines holds the engines in the order of the inventory.
 	Engines []*Engine
 }
 
-// Group is a set of servers with one scheduling queue and one owner among the
-// instances. All its servers stand in one data centre and serve the same things.
+// Group is a set of servers with one scheduling queue and one owner among the instances.
+// All its servers are located in one data centre and serve the same targets.
 type Group struct {
-	// Name is unique and stable while the set of servers is.
+	// Name is unique. It does not change while the set of servers does not change.
 	Name string
-	// DataCentre the servers stand in.
+	// DataCentre is where the servers are located.
 	DataCentre string
-	// Servers of the group, by name.
+	// Servers of the group, sorted by name.
 	Servers []*Server
 	// Serves holds the models or services of the group, sorted.
 	Serves []string
 }
 
-// Catalog is one revision of the configuration, compiled.
+// Catalog is one compiled revision of the configuration.
 type Catalog struct {
-	// Revision of the manifest; it only grows.
+	// Revision of the manifest; it only increases.
 	Revision uint64
 	// Inventory is the merged published content.
 	Inventory *inventory.Inventory
@@ -122,11 +122,11 @@
 	Rules inventory.Rules
 	// Classes by name.
 	Classes map[string]*Class
-	// ClassByHash finds the class of a peer message.
+	// ClassByHash maps the class hashes in peer messages to classes.
 	ClassByHash map[uint32]*Class
 	// Customers by name.
 	Customers map[string]*Customer
-	// CustomerByHash finds the customer of a peer message.
+	// CustomerByHash maps the customer hashes in peer messages to customers.
 	CustomerByHash map[uint64]*Customer
 	// Servers by name.
 	Servers map[string]*Server
@@ -134,37 +134,39 @@
 	Groups map[string]*Group
 	// GroupList holds the groups sorted by name.
 	GroupList []*Group
-	// GroupsFor lists the groups that serve a model or a service, by name.
+	// GroupsFor maps a model or service to the groups that serve it, sorted by name.
 	GroupsFor map[string][]*Group
 	// Engines by id.
 	Engines map[string]*Engine
 	// DataCentres by name.
 	DataCentres map[string]inventory.DataCentre
-	// Tiers sorted, highest first.
+	// Tiers holds the tiers, highest first.
 	Tiers []inventory.Tier
 
 	byCredential map[[sha256.Size]byte]*Customer
 }
 
-// ClassHash returns the hash by which peer messages name a class.
+// ClassHash returns the 32-bit hash that identifies a class in peer messages.
 func ClassHash(name string) uint32 {
 	return uint32(xxhash.Sum64String(name))
 }
 
-// CustomerHash returns the hash by which peer messages name a customer. It has
-// 63 bits: among 27,000 names two share one of 32 bits with a chance of 1 in 12,
-// and then the whole inventory would be refused.
+// CustomerHash returns the 63-bit hash that identifies a customer in peer messages. With
+// 32 bits, two of 27,000 names would collide with a probability of 1 in 12, and an
+// inventory with a collision is refused as a whole.
 func CustomerHash(name string) uint64 {
 	return xxhash.Sum64String(name) >> 1
 }
 
-// Authenticate finds the customer of a bearer credential, or nil. Only the
-// digest is compared, so that the time taken tells nothing of the credential.
+// Authenticate returns the customer of a bearer credential, or nil if there is none. Only
+// the digest is looked up, so the time taken reveals nothing about the credential.
 func (c *Catalog) Authenticate(credential string) *Customer {
 	return c.byCredential[sha256.Sum256([]byte(credential))]
 }
 
-// OneWay returns the one-way latency between two data centres.
+// OneWay returns the one-way latency between two data centres. It is the larger of the
+// figures of the two: the one within a region if they share it, else the one between
+// regions.
 func (c *Catalog) OneWay(from, to string) time.Duration {
 	if from == to {
 		return 0
@@ -177,7 +179,7 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Compile builds a Catalog from a checked inventory.
+// Compile builds a Catalog from a validated inventory, which must not change afterwards.
 func Compile(revision uint64, inv *inventory.Inventory) *Catalog {
 	c := &Catalog{
 		Revision:       revision,
@@ -311,7 +313,7 @@
 	return server
 }
 
-// servedTargets returns what the engines of a server serve together, sorted.
+// servedTargets returns the models or services of all engines of a server, sorted.
 func servedTargets(server *Server) []string {
 	set := make(map[string]bool)
 	for _, engine := range server.Engines {
@@ -327,9 +329,9 @@
 	return out
 }
 
-// compileGroups splits the servers of a pool evenly into groups. A change of
-// the pool may move servers between groups; the new owner learns of the
-// requests that still run there when their holders renew them.
+// compileGroups splits the servers of a pool evenly into groups. A change of the pool may
+// move servers between groups. The new owner is informed of the requests that still run on
+// a moved server when their holders renew them.
 func (c *Catalog) compileGroups(pool string, servers []*Server) {
 	perGroup := max(c.Rules.ServersPerGroup, 1)
 	count := (len(servers) + perGroup - 1) / perGroup
@@ -347,7 +349,8 @@
 	}
 }
 
-// groupName keeps names short, since peer messages carry them.
+// groupName returns the name of a group of a pool. Names are short because peer messages
+// contain them.
 func groupName(pool string, index int) string {
 	const letters = "0123456789abcdefghijklmnopqrstuvwxyz"
 	h := ClassHash(pool)
--- a/internal/enginehttp/enginehttp.go
+++ b/internal/enginehttp/enginehttp.go
@@ -1,20 +1,20 @@
-// Package enginehttp holds the names of the HTTP interface of model engines
-// and application servers. docs/PROTOCOLS.md describes them.
+// Package enginehttp defines the names in the HTTP interface of model engines and
+// application servers. docs/PROTOCOLS.md describes the interface.
 package enginehttp
 
 // Headers.
 const (
-	// HeaderEngine names the engine of the server that is meant.
+	// HeaderEngine selects the engine of the server.
 	HeaderEngine = "X-Engine"
-	// HeaderRequestID is the id under which an upstream knows the request.
+	// HeaderRequestID is the id of the request at the upstream.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderPriority orders requests in the engine; 0 is the highest.
+	// HeaderPriority is the priority of the request in the engine; 0 is the highest.
 	HeaderPriority = "X-Priority"
-	// HeaderStarted is "true" once an engine has accepted the request.
+	// HeaderStarted is "true" if the engine has accepted the request.
 	HeaderStarted = "X-Started"
-	// HeaderNotStarted is "true" when the upstream refused before starting.
+	// HeaderNotStarted is "true" if the upstream refused the request before starting it.
 	HeaderNotStarted = "X-Not-Started"
-	// HeaderRetryAfter is when to come back, in whole seconds.
+	// HeaderRetryAfter is the time until a retry is useful, in whole seconds.
 	HeaderRetryAfter = "Retry-After"
 )
 
@@ -32,14 +32,14 @@
 
 // Query parameters.
 const (
-	// QueryOffset is the first token that a resumed stream should send.
+	// QueryOffset is the offset of the first token to send on a resumed stream.
 	QueryOffset = "offset"
-	// QueryAfter is the first sequence number of cache events wanted.
+	// QueryAfter is the first sequence number of the requested cache events.
 	QueryAfter = "after"
 )
 
-// RoleWithdrawn is the role, besides those of the inventory, of an engine that
-// finishes what it runs and refuses new work before it starts.
+// RoleWithdrawn is the role of an engine that finishes its running requests and refuses new
+// ones before they start. It is not one of the inventory's roles.
 const RoleWithdrawn = "withdrawn"
 
 // TypeEventStream is the content type of an answer.
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog writes structured log lines without ever holding up its
-// callers. Lines go through a bounded queue; what does not fit is counted, and a
-// line of its own tells how many were lost.
+// Package eventlog writes structured log lines without blocking its callers. Lines pass
+// through a bounded queue. Lines that do not fit are dropped and counted, and a separate
+// line reports how many were lost.
 package eventlog
 
 import (
@@ -15,18 +15,19 @@
 )
 
 const (
-	// queueCapacity is the number of lines that may wait for the output: about
-	// five seconds of lines at linesPerSecond.
+	// queueCapacity is the number of lines that may wait for the output: about five seconds
+	// of lines at linesPerSecond. Lines are lost in any longer stall of the output.
 	queueCapacity = 2048
-	// linesPerSecond bounds the volume. A line of a request is some 400 bytes,
-	// so this is at most 160 KB a second.
+	// linesPerSecond limits the volume of the log. A line of a request is about 400 bytes,
+	// so this is at most 160 KB per second. With a lower limit more lines are lost.
 	linesPerSecond = 400
-	// burstLines may be written at once beyond the rate.
+	// burstLines is the number of lines that may be written at once beyond the rate. With
+	// fewer, short bursts lose lines although the mean rate is within the limit.
 	burstLines = 800
 )
 
-// Sink is the bounded way to the output. Close must be called to write the last
-// lines.
+// Sink is a zapcore.WriteSyncer that queues lines for the output. Close must be called to
+// write the last lines.
 type Sink struct {
 	out            io.Writer
 	queue          chan []byte
@@ -39,7 +40,7 @@
 	stopped        chan struct{}
 }
 
-// New returns a logger at a level and the Sink that it writes to.
+// New returns a logger with the given level and the Sink that it writes to.
 func New(out io.Writer, level zapcore.Level) (*zap.Logger, *Sink) {
 	s := &Sink{out: out, queue: make(chan []byte, queueCapacity), tokens: burstLines, stopped: make(chan struct{})}
 	go s.run()
@@ -50,8 +51,8 @@
 	return zap.New(core), s
 }
 
-// Write queues one line. It never blocks: when the output stalls the line is
-// lost and counted.
+// Write queues a copy of one line. It never blocks: if the queue is full, the line is
+// dropped and counted. It never returns an error.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
 	case s.queue <- append([]byte(nil), line...):
@@ -61,16 +62,17 @@
 	return len(line), nil
 }
 
-// Sync implements zapcore.WriteSyncer; lines are written as they come.
+// Sync implements zapcore.WriteSyncer. It does nothing, because the Sink holds no buffer
+// besides the queue.
 func (s *Sink) Sync() error { return nil }
 
-// Close writes what is queued. No line may be written afterwards.
+// Close writes the queued lines. Write must not be called afterwards; it would panic.
 func (s *Sink) Close() {
 	close(s.queue)
 	<-s.stopped
 }
 
-// Vars returns the counters, to be published by expvar.
+// Vars returns the counters for publication by expvar.
 func (s *Sink) Vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
 	vars.Set("lines", &s.lines)
@@ -98,7 +100,7 @@
 	}
 }
 
-// admit bounds the rate of lines by a token bucket.
+// admit reports whether the token bucket of the line rate allows one more line.
 func (s *Sink) admit(now time.Time) bool {
 	if !s.lastRefill.IsZero() {
 		s.tokens = min(burstLines, s.tokens+now.Sub(s.lastRefill).Seconds()*linesPerSecond)
@@ -114,13 +116,13 @@
 func (s *Sink) write(line []byte) {
 	s.lines.Add(1)
 	if _, err := s.out.Write(line); err != nil {
-		// There is nowhere left to log it; the counter shows it.
+		// The log itself is failing, so the error is only counted.
 		s.writeErrors.Add(1)
 	}
 }
 
-// Cause is a field with the text of an error; nothing for nil. zap's own field
-// would add the error's stack, of a hundred lines at times.
+// Cause returns a field "cause" with the text of err, or a skipped field if err is nil.
+// zap.Error would add the error's stack, which can be a hundred lines long.
 func Cause(err error) zap.Field {
 	if err == nil {
 		return zap.Skip()
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// stalledOutput is an output that takes nothing until it is released.
+// stalledOutput blocks writes until release is closed.
 type stalledOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
@@ -25,8 +25,8 @@
 	return s.Buffer.Write(p)
 }
 
-// The reader of the log stops reading. Requests must go on, and once it reads
-// again it must see that lines are missing.
+// Guards against blocked callers and unreported losses when the reader of the log stops
+// reading: logging must not block, and once output continues a line must report the loss.
 func TestStalledOutputReportsLostLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &stalledOutput{release: make(chan struct{})}
@@ -40,7 +40,7 @@
 		sink.Close()
 		text := out.String()
 		if !strings.Contains(text, "log_lines_lost") || !strings.Contains(text, `"msg":"after"`) {
-			t.Errorf("the loss or what followed it is not told in %d bytes", len(text))
+			t.Errorf("no line reports the loss, or the line after it is missing, in %d bytes", len(text))
 		}
 	})
 }
--- a/internal/monotime/monotime.go
+++ b/internal/monotime/monotime.go
@@ -1,18 +1,18 @@
-// Package monotime gives instants of the process's monotonic clock. Decision
-// code takes an Instant as an argument and never reads a clock itself, so that
-// it can be replayed.
+// Package monotime provides instants of the process's monotonic clock. Code that makes
+// decisions takes an Instant as an argument and never reads a clock itself, so its
+// decisions can be replayed.
 package monotime
 
 import "time"
 
-// Instant is a point of the monotonic clock in nanoseconds since the start of
-// the process. Zero is before every instant that Now returns.
+// Instant is a time of the monotonic clock in nanoseconds since the start of the process.
+// Zero is before every instant that Now returns.
 type Instant int64
 
 var start = time.Now().Add(-time.Nanosecond)
 
-// Now returns the current instant. A stopped process (SIGSTOP) sees the time
-// it was stopped for; a clock step does not show.
+// Now returns the current instant. It includes the time for which the process was stopped
+// (SIGSTOP), and steps of the wall clock do not affect it.
 func Now() Instant {
 	return Instant(time.Since(start))
 }
--- a/internal/netconn/netconn.go
+++ b/internal/netconn/netconn.go
@@ -1,5 +1,4 @@
-// Package netconn holds what every user of network connections asks of them and
-// of their errors.
+// Package netconn provides checks on network connections and their errors.
 package netconn
 
 import (
@@ -8,7 +7,7 @@
 	"github.com/go-faster/errors"
 )
 
-// IsTimeout reports whether err says that a deadline passed.
+// IsTimeout reports whether err is or wraps a network timeout.
 func IsTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/internal/netconn/reusable_other.go
+++ b/internal/netconn/reusable_other.go
@@ -4,8 +4,8 @@
 
 import "net"
 
-// IsReusable can't ask the socket here; a closed connection shows as "may have run"
-// when it is used.
+// IsReusable always returns true, because the socket can't be checked on this platform. A
+// request on a connection that the other end has closed gets the verdict "may have run".
 func IsReusable(net.Conn) bool {
 	return true
 }
--- a/internal/netconn/reusable_unix.go
+++ b/internal/netconn/reusable_unix.go
@@ -7,10 +7,10 @@
 	"syscall"
 )
 
-// IsReusable asks the socket of an idle connection, without waiting, whether nothing
-// has come on it: neither its end nor bytes that no request asked for, which
-// would be taken for the next answer. A connection without a socket, as tests
-// use, counts as quiet.
+// IsReusable checks the socket of an idle connection without blocking. It returns false if
+// the other end has closed the connection or has sent bytes that no request asked for,
+// which would be read as the next response. A connection without a socket, as used in
+// tests, is reusable.
 func IsReusable(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/reqid/reqid.go
+++ b/internal/reqid/reqid.go
@@ -1,13 +1,13 @@
-// Package reqid binds request ids to one incarnation of one instance.
+// Package reqid implements request ids that are bound to one incarnation of one instance.
 //
-// Only the incarnation that an id names may start the request. Every other
-// instance forwards to it, and when it is gone the honest verdict is that the
-// request may have run. A key that any instance may run would need a shared
-// record to be safe, and there is none.
+// Only the incarnation in the id may start the request. Every other instance forwards the
+// request to it, and if it is gone the verdict is that the request may have run. An id that
+// any instance may start would require a shared record of the ids in use, and there is
+// none.
 //
-// Form: instance:incarnation:expiry:nonce. The directory hands out the part up
-// to the nonce; the caller appends a nonce of its own for each request, so that
-// it knows the id before it sends anything.
+// An id has the form instance:incarnation:expiry:nonce. The directory issues the prefix up
+// to the nonce. The caller appends its own nonce for each request, so it has the id before
+// it sends the request and can retry under it.
 package reqid
 
 import (
@@ -19,36 +19,40 @@
 )
 
 const (
-	separator   = ":"
-	base        = 36
-	partCount   = 4
+	// separator, base and partCount define the form of an id. If they change, ids that
+	// callers hold are refused or misread.
+	separator = ":"
+	base      = 36
+	partCount = 4
+	// maxNonceLen and maxIDLen are in bytes. They limit what a caller can make the instances
+	// store and forward with each request; smaller limits refuse longer ids in use.
 	maxNonceLen = 64
 	maxIDLen    = 200
-	// maxClockSkew is the skew tolerated between the clock of the instance that
-	// issued a prefix and that of the instance it names.
+	// maxClockSkew is how far the clock of the instance that issues a prefix may be ahead of
+	// the clock of the instance in the prefix. If it is further ahead, valid ids are refused
+	// as ClaimTooFar. A larger tolerance lets a Table hold ids for longer.
 	maxClockSkew = time.Minute
 )
 
-// ErrMalformed is returned for text that is not a request id.
+// ErrMalformed is returned by Parse for text that is not a request id.
 var ErrMalformed = errors.New("request id is not of the form instance:incarnation:expiry:nonce")
 
-// Incarnation names one process of one instance.
+// Incarnation identifies one process of one instance.
 type Incarnation struct {
 	// Instance is the id in the instance list.
 	Instance string
-	// Token is unique to the process; it starts with its start time.
+	// Token is unique to the process. It begins with the start time of the process.
 	Token string
 }
 
-// NewIncarnation returns the incarnation of a process started at the given
-// wall-clock time; salt is a random number that separates two starts within
-// the same millisecond.
+// NewIncarnation returns the incarnation of a process started at the given wall-clock
+// time. salt is a random number that distinguishes two starts in the same millisecond.
 func NewIncarnation(instance string, started time.Time, salt uint32) Incarnation {
 	ms := strconv.FormatInt(started.UnixMilli(), base)
 	return Incarnation{Instance: instance, Token: ms + "." + strconv.FormatUint(uint64(salt), base)}
 }
 
-// Started returns the wall-clock start time that the token carries.
+// Started returns the wall-clock start time in the token, and false if the token has none.
 func (inc Incarnation) Started() (time.Time, bool) {
 	text, _, ok := strings.Cut(inc.Token, ".")
 	if !ok {
@@ -61,8 +65,9 @@
 	return time.UnixMilli(ms), true
 }
 
-// Prefix returns the text to which a caller appends a nonce. The expiry is an
-// uptime of the named process: lifetime from now by the issuer's wall clock.
+// Prefix returns the id prefix to which a caller appends a nonce, and false if the token
+// has no start time. The expiry is an uptime of the process: its uptime now by the
+// issuer's wall clock, plus lifetime.
 func (inc Incarnation) Prefix(now time.Time, lifetime time.Duration) (string, bool) {
 	started, ok := inc.Started()
 	if !ok {
@@ -75,17 +80,17 @@
 
 // ID is a parsed request id.
 type ID struct {
-	// Incarnation that alone may start the request.
+	// Incarnation is the only one that may start the request.
 	Incarnation
-	// Expiry is the uptime of that process after which the id is refused.
+	// Expiry is the uptime of that process from which on the id is refused.
 	Expiry time.Duration
-	// Nonce was chosen by the caller.
+	// Nonce is chosen by the caller.
 	Nonce string
-	// Text is the whole id.
+	// Text is the complete id.
 	Text string
 }
 
-// Parse reads an id.
+// Parse parses a request id. It returns ErrMalformed for any other text.
 func Parse(text string) (ID, error) {
 	if len(text) > maxIDLen {
 		return ID{}, ErrMalformed
--- a/internal/reqid/reqid_test.go
+++ b/internal/reqid/reqid_test.go
@@ -24,9 +24,9 @@
 	return id
 }
 
-// A caller that got no answer sends the same id again, while the table still
-// remembers it and after it has been forgotten. Neither may start a second run:
-// the first is seen, the second has expired by the clock that did the forgetting.
+// Guards against a second run when a caller that received no answer retries under the same
+// id. While the table holds the id, it is ClaimSeen. After the table has dropped it, it is
+// ClaimExpired by the same clock that dropped it.
 func TestClaimNeverStartsAnIDTwice(t *testing.T) {
 	started := time.UnixMilli(1_700_000_000_000)
 	inc := NewIncarnation("entry-1", started, 7)
@@ -43,7 +43,7 @@
 		}
 	}
 	if got := table.Len(); got != 0 {
-		t.Errorf("%d ids remembered after expiry", got)
+		t.Errorf("%d ids in the table after expiry", got)
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 	table.Release(id.Text)
 	if got := table.Claim(seconds(1), id); got != ClaimNew {
-		t.Errorf("claim after Forget = %v", got)
+		t.Errorf("claim after Release = %v", got)
 	}
 	far := mustID(t, inc, started, time.Hour, "c")
 	if got := table.Claim(seconds(1), far); got != ClaimTooFar {
--- a/internal/reqid/table.go
+++ b/internal/reqid/table.go
@@ -9,19 +9,19 @@
 	"basilrudder/internal/monotime"
 )
 
-// Claim is the answer of a Table to an id.
+// Claim is the result of Table.Claim.
 type Claim uint8
 
 const (
-	// ClaimNew means the id was not seen before and is now taken.
+	// ClaimNew means that the id was new and is now claimed.
 	ClaimNew Claim = iota
-	// ClaimSeen means the id was taken before; it must not be started again.
+	// ClaimSeen means that the id was claimed before. The request must not be started again.
 	ClaimSeen
-	// ClaimExpired means that the table may have forgotten the id.
+	// ClaimExpired means that the id has expired. The table may have held it before.
 	ClaimExpired
-	// ClaimTooFar means that the expiry lies further ahead than is ever issued.
+	// ClaimTooFar means that the expiry is further in the future than any issued one.
 	ClaimTooFar
-	// ClaimFull means that the table can remember no further id.
+	// ClaimFull means that the table has reached its capacity.
 	ClaimFull
 )
 
@@ -32,9 +32,9 @@
 	at  time.Duration
 }
 
-// Table remembers every id that this incarnation has taken, until it expires.
-// Expiry is judged by the process's monotonic clock, so the table is bounded
-// by rate times lifetime. It is not safe for concurrent use.
+// Table holds every id that this incarnation has claimed until the id expires. Expiry is
+// checked against the process's monotonic clock, so the size of the table is bounded by
+// request rate times lifetime. It is not safe for concurrent use.
 type Table struct {
 	capacity int
 	lifetime time.Duration
@@ -52,21 +52,22 @@
 	}
 }
 
-// RaiseLifetime changes how far ahead an expiry may lie.
+// RaiseLifetime raises how far ahead an expiry may be. It never lowers the limit, because
+// ids issued with the longer lifetime may still be in use.
 func (t *Table) RaiseLifetime(lifetime time.Duration) {
 	t.lifetime = max(t.lifetime, lifetime)
 }
 
-// Len returns the number of ids remembered.
+// Len returns the number of claimed ids in the table.
 func (t *Table) Len() int {
 	return len(t.seen)
 }
 
-// Claim takes the id. It does not depend on the customer: engines know a run by
-// its id alone, so two customers must not run the same one.
+// Claim claims the id for one start of its request. The customer is not part of the key:
+// engines identify a run by the id alone, so two customers must not run the same id.
 //
-// A hash collision would refuse a request that never ran; at a million ids the
-// chance is below one in ten million, and it errs on the side of not running.
+// A hash collision refuses a request that never ran. With a million ids the probability is
+// below one in ten million, and no request is run twice because of it.
 func (t *Table) Claim(now monotime.Instant, id ID) Claim {
 	uptime := time.Duration(now)
 	t.expire(uptime)
@@ -88,8 +89,8 @@
 	return ClaimNew
 }
 
-// Release gives an id back whose request surely did not run, so that the caller
-// may send it again.
+// Release removes an id whose request certainly did not run, so that the caller may retry
+// under it.
 func (t *Table) Release(id string) {
 	delete(t.seen, keyOf(id))
 }
