--- a/internal/callers/relay_test.go
+++ b/internal/callers/relay_test.go
@@ -12,15 +12,15 @@
 	"basilrudder/internal/verdict"
 )
 
-// relayTo makes a backend whose ids with the local prefix live at address.
+// relayTo returns a backend for which all ids are bound to the instance at address.
 func relayTo(address string) *fakeBackend {
 	backend := newFakeBackend(func(*Request, *answers.Log) { panic("ran at the wrong instance") })
 	backend.home = func(string) (string, bool, *verdict.Error) { return address, false, nil }
 	return backend
 }
 
-// A caller sends a request bound to one instance to another one, which must
-// pass it on and stream the answer back instead of starting it itself.
+// An instance that receives a request bound to another one must relay it and stream the
+// answer back instead of starting the request itself.
 func TestRequestIsRelayedToItsHome(t *testing.T) {
 	home := newFakeBackend(serveTokens("a", "b"))
 	address := startServer(t, Config{}, relayTo(startServer(t, Config{}, home)))
@@ -40,7 +40,7 @@
 	wantRefusal(t, other, http.StatusNotFound, verdict.MayHaveRun, verdict.ReasonUnknownRequest)
 }
 
-func TestServiceCallIsRelayedAsItIs(t *testing.T) {
+func TestServiceCallIsRelayedUnchanged(t *testing.T) {
 	home := newFakeBackend(func(request *Request, log *answers.Log) {
 		_ = log.SetService(answers.ServiceAnswer{Status: 201, Body: []byte(request.Service.Path + string(request.Body))})
 		log.Close(nil)
@@ -53,8 +53,8 @@
 	}
 }
 
-// Two instances each hold the other for the home of an id. The second one ends
-// the loop. It does not say "not run", since the id may have run elsewhere.
+// Two instances each take the other for the home of an id. The second one must end the
+// loop. Its verdict is not "not run", since the id may have run elsewhere.
 func TestRelayLoopEnds(t *testing.T) {
 	var second *fakeBackend
 	firstBackend := relayTo("")
@@ -66,14 +66,14 @@
 	wantRefusal(t, response, http.StatusServiceUnavailable, verdict.MayHaveRun, verdict.ReasonHomeUnreachable)
 }
 
-// The home of the id cannot be reached. Only it knows whether the id ran, so
-// the verdict is "may have run" although this attempt started nothing.
+// The home of the id is unreachable. Only it has a record of whether the id ran, so the
+// verdict is "may have run" although this attempt started nothing.
 func TestUnreachableHome(t *testing.T) {
 	address := startServer(t, Config{}, relayTo("127.0.0.1:1"))
 	response := send(t, "POST", address, pathChat, chatBodyWhole, HeaderClass, "letter", HeaderRequestID, "local-1")
 	refusal := wantRefusal(t, response, http.StatusServiceUnavailable, verdict.MayHaveRun, verdict.ReasonHomeUnreachable)
 	if refusal.RetryAfterMS == 0 {
-		t.Error("no time to come back")
+		t.Error("no retry_after_ms")
 	}
 }
 
@@ -87,50 +87,49 @@
 	wantRefusal(t, response, http.StatusGone, verdict.MayHaveRun, verdict.ReasonHomeGone)
 }
 
-// The home dies silently while the relayed request waits: its host is gone and
-// no packet says so. The fleet notices, and the caller is told instead of
-// waiting until TCP gives up.
-func TestHomeThatDiesWhileARequestWaits(t *testing.T) {
+// The home's host fails without closing its connections while a relayed request waits.
+// Once the fleet detects it, the caller must be refused instead of waiting until TCP
+// times out.
+func TestHomeGoneWhileARequestWaits(t *testing.T) {
 	waiting := make(chan struct{})
 	home := newFakeBackend(func(*Request, *answers.Log) { close(waiting) })
 	homeAddress := startServer(t, Config{}, home)
 	backend := relayTo("")
-	var dead atomic.Bool
+	var gone atomic.Bool
 	backend.home = func(string) (string, bool, *verdict.Error) {
-		if dead.Load() {
+		if gone.Load() {
 			return "", false, verdict.New(verdict.MayHaveRun, verdict.ReasonHomeGone, "gone")
 		}
 		return homeAddress, false, nil
 	}
-	address := startServer(t, Config{HomeCheck: time.Millisecond}, backend)
+	address := startServer(t, Config{HomeCheckInterval: time.Millisecond}, backend)
 	go func() {
 		<-waiting
-		dead.Store(true)
+		gone.Store(true)
 	}()
 	response := send(t, "POST", address, pathChat, chatBodyWhole, HeaderClass, "letter", HeaderRequestID, "local-1")
 	wantRefusal(t, response, http.StatusGone, verdict.MayHaveRun, verdict.ReasonHomeGone)
 }
 
-// The home is paused while the relayed request waits: its connections live and
-// bring nothing. The fleet takes it for dead, but it may wake and finish the
-// answer. So the caller is told to come back with the same id, and not that the
-// answer is lost.
-func TestHomeThatFallsSilentWhileARequestWaits(t *testing.T) {
+// The home is paused while a relayed request waits: its connections stay open and send
+// nothing. It may resume and finish the answer, so the caller must be refused with a
+// retry under the same id, and not with the loss of the answer.
+func TestUnresponsiveHomeWhileARequestWaits(t *testing.T) {
 	waiting := make(chan struct{})
 	home := newFakeBackend(func(*Request, *answers.Log) { close(waiting) })
 	homeAddress := startServer(t, Config{}, home)
 	backend := relayTo("")
-	var silent atomic.Bool
+	var unresponsive atomic.Bool
 	backend.home = func(string) (string, bool, *verdict.Error) {
-		if silent.Load() {
+		if unresponsive.Load() {
 			return "", false, verdict.New(verdict.MayHaveRun, verdict.ReasonHomeUnreachable, "silent").After(time.Second)
 		}
 		return homeAddress, false, nil
 	}
-	address := startServer(t, Config{HomeCheck: time.Millisecond}, backend)
+	address := startServer(t, Config{HomeCheckInterval: time.Millisecond}, backend)
 	go func() {
 		<-waiting
-		silent.Store(true)
+		unresponsive.Store(true)
 	}()
 	response := send(t, "POST", address, pathChat, chatBodyWhole, HeaderClass, "letter", HeaderRequestID, "local-1")
 	refusal := wantRefusal(t, response, http.StatusServiceUnavailable, verdict.MayHaveRun, verdict.ReasonHomeUnreachable)
@@ -139,8 +138,8 @@
 	}
 }
 
-// The caller of a relayed request leaves. The home must learn it, since it holds
-// the work.
+// The caller of a relayed request disconnects. The home must detect it, since the
+// request runs there.
 func TestCallerGoneReachesTheHome(t *testing.T) {
 	home := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
@@ -154,9 +153,9 @@
 	<-home.gone
 }
 
-// The home fails in the middle of a relayed stream. The caller sees the cut as
-// it would at the home.
-func TestCutIsRelayed(t *testing.T) {
+// An answer fails in the middle of a relayed stream. The caller must see the truncation
+// as it would at the home.
+func TestTruncationIsRelayed(t *testing.T) {
 	home := newFakeBackend(func(_ *Request, log *answers.Log) {
 		_ = log.Append(engineapi.TokenEvent{Offset: 0, Text: "a"})
 		log.Close(verdict.New(verdict.Ran, verdict.ReasonUpstreamLost, "engine lost"))
--- a/internal/instance/fleet_test.go
+++ b/internal/instance/fleet_test.go
@@ -316,7 +316,7 @@
 	err := f.engineError(a)
 	f.After(engineDelay, func() {
 		p.deliver(self, func() {
-			a.Progress.Token(p.clock())
+			a.Progress.RecordToken(p.clock())
 			p.inst.Node().AttemptEnded(p.clock(), a.Seq, a.Number, err)
 		})
 	})
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -106,7 +106,7 @@
 // checkPause requests a confirmation of the configuration as soon as the node holds
 // dispatch back.
 func (i *Instance) checkPause(now monotime.Instant) {
-	since, paused := i.node.Paused()
+	since, paused := i.node.AwaitingConfirmation()
 	if paused && !i.wasPaused {
 		i.conf.OnPaused(now, now.Sub(since), i.confEffects(now))
 	}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -11,15 +11,17 @@
 )
 
 const (
-	// maxResumes bounds resumptions of one attempt in a row without progress.
+	// maxResumes bounds the resumptions of one attempt. With the doubling backoff, four
+	// take at least 750 ms; a larger value delays the retry or the error.
 	maxResumes = 4
-	// resumeBackoff is the first wait before a resumption; it doubles.
+	// resumeBackoff is the wait before the first resumption. It doubles with each further
+	// one.
 	resumeBackoff = 50 * time.Millisecond
-	// attemptSeparator stands between a request id and the number of an attempt.
+	// attemptSeparator separates the request id from the attempt number in an attempt id.
 	attemptSeparator = "."
 )
 
-func (n *Node) attemptOf(r *request) Attempt {
+func (n *Node) currentAttempt(r *request) Attempt {
 	return Attempt{
 		Seq:       r.seq,
 		Number:    r.attempt,
@@ -31,9 +33,10 @@
 	}
 }
 
-// AttemptEnded tells how an attempt ended; err is nil for a whole answer.
+// AttemptEnded reports the end of an attempt; err is nil for a complete answer. Reports of
+// any attempt but the current one are ignored.
 func (n *Node) AttemptEnded(now monotime.Instant, seq uint64, number int, err *verdict.Error) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	r := n.requests[seq]
 	if r == nil || r.state != stateRunning || r.attempt != number {
@@ -44,10 +47,10 @@
 		n.finish(now, r, nil)
 		return
 	}
-	r.worst = verdict.Worst(r.worst, err.Verdict)
+	r.worstVerdict = verdict.Worst(r.worstVerdict, err.Verdict)
 	n.recordDecision(now, r, string(err.Reason), "attempt failed: "+err.Message, 0)
 	switch {
-	case err.Reason == verdict.ReasonCallerGone || err.Reason == verdict.ReasonDraining || r.gone && r.Class.Idempotent:
+	case err.Reason == verdict.ReasonCallerGone || err.Reason == verdict.ReasonDraining || r.callerGone && r.Class.Idempotent:
 		n.endAttempt(now, r, sched.Cancelled)
 		n.finish(now, r, n.finalError(r, err))
 	case err.Verdict != verdict.NotRun && n.canResume(r, err):
@@ -55,30 +58,30 @@
 	case n.canRetry(now, r, err):
 		n.retry(now, r, err)
 	default:
-		n.endAttempt(now, r, outcomeOf(err))
+		n.endAttempt(now, r, failureOutcome(err))
 		n.finish(now, r, n.finalError(r, err))
 	}
 }
 
-// outcomeOf tells the owner what to think of the engine.
-func outcomeOf(err *verdict.Error) sched.Outcome {
+// failureOutcome returns the outcome of a failed attempt that is reported to the owner.
+func failureOutcome(err *verdict.Error) sched.Outcome {
 	if err.Verdict == verdict.NotRun && err.Reason == verdict.ReasonUpstreamRefused {
 		return sched.Refused
 	}
 	return sched.Failed
 }
 
-// finalError carries the verdict over all attempts: an earlier one may have run
-// even if the last one did not.
+// finalError returns err with the worst verdict of all attempts: an earlier attempt may
+// have run even if the last one did not.
 func (n *Node) finalError(r *request, err *verdict.Error) *verdict.Error {
 	out := *err
-	out.Verdict = r.worst
+	out.Verdict = r.worstVerdict
 	return &out
 }
 
-// canResume reports whether the same run can go on over a new connection. Model
-// engines keep generating for a while after a connection is lost; application
-// servers do not, and asking one again would run the call twice.
+// canResume reports whether the same run can continue over a new connection. Model engines
+// keep generating for a while after a connection is lost. Application servers do not: a
+// second request would execute the call twice.
 func (n *Node) canResume(r *request, err *verdict.Error) bool {
 	lost := err.Reason == verdict.ReasonUpstreamLost || err.Reason == verdict.ReasonUpstreamSilent ||
 		err.Reason == verdict.ReasonConnect
@@ -93,48 +96,48 @@
 
 func (n *Node) resume(_ monotime.Instant, r *request) {
 	r.state = stateRunning
-	attempt := n.attemptOf(r)
+	attempt := n.currentAttempt(r)
 	attempt.Resume = true
 	attempt.Offset = r.tokens()
 	n.eff.Start(attempt)
 }
 
-// canRetry reports whether the request may start again elsewhere. A request
-// that is not idempotent may only when this attempt surely did not run. One of
-// which tokens were relayed may not: another run would give another text.
+// canRetry reports whether the request may be started again elsewhere. A request that is
+// not idempotent may be only if no attempt can have run. A request of which tokens were
+// relayed may not: another run would produce a different text.
 func (n *Node) canRetry(now monotime.Instant, r *request, err *verdict.Error) bool {
-	safe := r.worst == verdict.NotRun || r.Class.Idempotent
-	if !safe || r.late(now) || r.gone || r.tokens() > 0 || err.Reason == verdict.ReasonUpstreamError {
+	safe := r.worstVerdict == verdict.NotRun || r.Class.Idempotent
+	if !safe || r.late(now) || r.callerGone || r.tokens() > 0 || err.Reason == verdict.ReasonUpstreamError {
 		return false
 	}
-	return n.budget.take()
+	return n.budget.tryTake()
 }
 
 func (n *Node) retry(now monotime.Instant, r *request, err *verdict.Error) {
-	r.avoid = r.engine.ID
-	n.endAttempt(now, r, outcomeOf(err))
+	r.avoidEngine = r.engine.ID
+	n.endAttempt(now, r, failureOutcome(err))
 	r.engine = nil
 	n.counts.Retried++
-	n.acquire(now, r)
+	n.acquireSlot(now, r)
 }
 
-// endAttempt gives the slot of the attempt back.
+// endAttempt releases the slot of the attempt with its statistics.
 func (n *Node) endAttempt(now monotime.Instant, r *request, outcome sched.Outcome) {
 	n.chargeLimit(now, r)
 	tokens := r.tokens()
 	result := sched.Result{
 		Outcome: outcome,
-		Tokens:  tokens - r.charged,
+		Tokens:  tokens - r.reportedTokens,
 		Gap:     r.progress.MeanGap(),
 	}
-	if first := r.progress.First(); first != 0 {
+	if first := r.progress.FirstTokenAt(); first != 0 {
 		result.FirstToken = first.Sub(r.started)
 	}
-	r.charged = tokens
+	r.reportedTokens = tokens
 	if outcome == sched.Finished {
 		n.measures.Record(r.Class, tokens, now.Sub(r.started), result.FirstToken)
 	} else {
-		r.wasted += tokens
+		r.wastedTokens += tokens
 	}
 	n.release(now, r.owner, r.group.Name, r.seq, result)
 }
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -12,16 +12,17 @@
 	"basilrudder/internal/verdict"
 )
 
-// chargeInterval is the time between charges of tokens to customers' limits.
+// chargeInterval is the time between charges of tokens to customers' limits. A longer one
+// lets a customer exceed its token limit for longer.
 const chargeInterval = 250 * time.Millisecond
 
-// permits is the state of customers' limits at this node: what it holds, what
-// it issues as home, and the requests that wait for a permit.
+// permits is the state of customers' limits at this node: the permits it holds, those it
+// issues as home, and the requests that wait for one.
 type permits struct {
-	local   *limits.Local
-	home    *limits.Home
-	waiting []*request
-	charged monotime.Instant
+	local     *limits.Local
+	home      *limits.Home
+	waiting   []*request
+	chargedAt monotime.Instant
 }
 
 func newPermits() permits {
@@ -31,11 +32,11 @@
 // topTier is the tier that may overdraw its customer's limits.
 const topTier = 0
 
-// permit judges a new request before it is admitted.
-func (n *Node) permit(now monotime.Instant, in Request) (limits.Decision, *verdict.Error) {
+// checkLimits checks a new request against its customer's limits before admission.
+func (n *Node) checkLimits(now monotime.Instant, in Request) (limits.Decision, *verdict.Error) {
 	v, after := n.permits.local.Admit(now, in.Customer)
 	if v == limits.Waiting {
-		// The home may be this node, which answers at once.
+		// The home may be this node, which answers immediately.
 		n.askPermits(now)
 		v, after = n.permits.local.Recheck(now, in.Customer)
 	}
@@ -43,8 +44,8 @@
 	return v, rateError(v, after)
 }
 
-// overdraw admits a request of the top tier that its customer's lower work left
-// no permit for.
+// overdraw admits a request of the top tier when lower tiers of its customer have used up
+// the permits, as far as the limits allow an overdraft.
 func (n *Node) overdraw(now monotime.Instant, v limits.Decision, in Request) limits.Decision {
 	if v != limits.Refused || in.Class.TierFor(in.Customer) != topTier {
 		return v
@@ -63,22 +64,22 @@
 		"the customer's rate over all instances is used up").After(after)
 }
 
-// hold keeps a request until a permit comes.
-func (n *Node) hold(r *request) {
-	r.unpermitted = true
+// awaitPermit queues a request until a permit arrives.
+func (n *Node) awaitPermit(r *request) {
+	r.awaitingPermit = true
 	n.permits.waiting = append(n.permits.waiting, r)
 }
 
-// judgeWaiting asks again for the requests that wait for a permit. Each waits
-// for AnswerTimeout at most: then this node goes on without the home.
-func (n *Node) judgeWaiting(now monotime.Instant) {
+// recheckWaiting checks again the requests that wait for a permit. Each waits for
+// AnswerTimeout at most; then this node continues without the home.
+func (n *Node) recheckWaiting(now monotime.Instant) {
 	if len(n.permits.waiting) == 0 {
 		return
 	}
 	waiting := n.permits.waiting
 	n.permits.waiting = nil
 	for _, r := range waiting {
-		if !r.unpermitted || r.state != stateWaiting {
+		if !r.awaitingPermit || r.state != stateWaiting {
 			n.permits.local.CancelWait(r.Customer)
 			continue
 		}
@@ -90,22 +91,22 @@
 		case limits.Refused:
 			n.refuse(now, r, rateError(v, after))
 		default:
-			r.unpermitted = false
-			r.queued += now.Sub(r.arrived)
-			n.acquire(now, r)
+			r.awaitingPermit = false
+			r.queueTime += now.Sub(r.arrived)
+			n.acquireSlot(now, r)
 		}
 	}
 	n.askPermits(now)
 }
 
-// askPermits sends the asks that are due.
+// askPermits sends the requests for permits that are due.
 func (n *Node) askPermits(now monotime.Instant) {
-	n.permits.local.SendAsks(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendAsk(now, to, ask) })
+	n.permits.local.SendAsks(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendPermitAsk(now, to, ask) })
 }
 
-// homeOf returns the member that keeps the customer's limits. It follows the
-// membership alone and not the links that are down: two homes at a time issue
-// twice, and a holder without its home goes on with a share.
+// homeOf returns the member that keeps the customer's limits. It depends on the membership
+// alone and not on broken links: two homes at once would issue permits twice, while a
+// holder without its home continues with a share.
 func (n *Node) homeOf(customer *catalog.Customer) string {
 	if home := route.Home(customer.Hash, n.members); home != "" {
 		return home
@@ -113,23 +114,23 @@
 	return n.self()
 }
 
-func (n *Node) sendAsk(now monotime.Instant, to string, ask wire.PermitAsk) {
+func (n *Node) sendPermitAsk(now monotime.Instant, to string, ask wire.PermitAsk) {
 	if to != n.self() {
 		n.eff.Send(to, &wire.Envelope{PermitAsks: []wire.PermitAsk{ask}})
 		return
 	}
-	if give, ok := n.answerAsk(now, n.self(), ask); ok {
+	if give, ok := n.issuePermits(now, n.self(), ask); ok {
 		n.permits.local.OnGive(now, n.self(), give)
 	}
 }
 
 func (n *Node) onPermitAsk(now monotime.Instant, from string, ask wire.PermitAsk) {
-	if give, ok := n.answerAsk(now, from, ask); ok {
+	if give, ok := n.issuePermits(now, from, ask); ok {
 		n.eff.Send(from, &wire.Envelope{PermitGives: []wire.PermitGive{give}})
 	}
 }
 
-func (n *Node) answerAsk(now monotime.Instant, from string, ask wire.PermitAsk) (wire.PermitGive, bool) {
+func (n *Node) issuePermits(now monotime.Instant, from string, ask wire.PermitAsk) (wire.PermitGive, bool) {
 	cat := n.catalog.Load()
 	if cat == nil {
 		return wire.PermitGive{}, false
@@ -145,34 +146,34 @@
 	for _, give := range gives {
 		n.permits.local.OnGive(now, from, give)
 	}
-	n.judgeWaiting(now)
+	n.recheckWaiting(now)
 }
 
-// tickPermits does what is due.
+// tickPermits performs the timed work of the limits.
 func (n *Node) tickPermits(now monotime.Instant) {
-	if now.Sub(n.permits.charged) >= chargeInterval {
-		n.permits.charged = now
+	if now.Sub(n.permits.chargedAt) >= chargeInterval {
+		n.permits.chargedAt = now
 		for r := n.order.head; r != nil; r = r.next {
 			n.chargeLimit(now, r)
 		}
 	}
 	n.permits.home.Tick(now)
-	n.permits.local.Tick(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendAsk(now, to, ask) })
+	n.permits.local.Tick(now, n.homeOf, func(to string, ask wire.PermitAsk) { n.sendPermitAsk(now, to, ask) })
 	n.askPermits(now)
-	n.judgeWaiting(now)
+	n.recheckWaiting(now)
 }
 
-// chargeLimit charges the tokens since the last charge to the customer's limit.
+// chargeLimit charges the tokens relayed since the last charge to the customer's limit.
 func (n *Node) chargeLimit(now monotime.Instant, r *request) {
 	if r.Customer.TokensPerSecond <= 0 || r.progress == nil {
 		return
 	}
 	tokens := r.tokens()
-	n.permits.local.Charge(now, r.Customer, tokens-r.limited)
-	r.limited = tokens
+	n.permits.local.Charge(now, r.Customer, tokens-r.chargedTokens)
+	r.chargedTokens = tokens
 }
 
-// setPermitMembers follows the membership.
+// setPermitMembers applies a membership view to the limits.
 func (n *Node) setPermitMembers(now monotime.Instant, view *membership.View) {
 	live, known := ShareOf(view)
 	n.permits.local.SetMemberCount(known)
