--- a/internal/accounting/writer.go
+++ b/internal/accounting/writer.go
@@ -1,6 +1,6 @@
-// Package accounting writes what happened to each request as JSON lines and
-// counts it in expvar variables. Instances keep nothing, so these lines are the
-// only source of the reports.
+// Package accounting writes records of the events of each request as JSON lines and counts
+// them in expvar variables. Instances store no records, so these lines are the only source
+// of the reports.
 package accounting
 
 import (
@@ -19,37 +19,41 @@
 )
 
 const (
-	// queueLength is the number of lines that may wait for standard output.
-	queueLength = 4096
-	// bufferBytes is the size of the write buffer.
+	// queueCapacity is the number of lines that may wait for standard output. With a smaller
+	// queue a shorter stall loses marks and decisions and delays requests at their start and
+	// end; a larger one takes more memory.
+	queueCapacity = 4096
+	// bufferBytes is the size of the write buffer. A smaller buffer needs more write calls
+	// under load; a larger one takes more memory.
 	bufferBytes = 64 << 10
-	// lostMessage marks the lines that tell of lost marks and decisions.
+	// lostMessage is the message of lines that report the number of lost records. The report
+	// finds the lines by it.
 	lostMessage = "accounting_lost"
 )
 
-// Writer writes accounting records. Start and end lines wait for room in the
-// queue, since the report would be wrong without them. Marks and decisions do
-// not wait: when standard output stalls they are lost, counted and reported by
-// a line of their own. It is safe for concurrent use.
+// Writer writes accounting records. Start and end records block while the queue is full,
+// because the report would be wrong without them. Marks and decisions do not block: when
+// standard output stalls they are dropped and counted, and a separate line reports how many
+// were lost. It is safe for concurrent use.
 type Writer struct {
-	now     func() time.Time
-	queue   chan item
-	core    zapcore.Core
-	buffer  *bufio.Writer
-	metrics *metrics
-	lost    atomic.Int64
-	closing sync.RWMutex
-	closed  bool
-	stopped chan struct{}
+	now            func() time.Time
+	queue          chan queueItem
+	core           zapcore.Core
+	buffer         *bufio.Writer
+	metrics        *metrics
+	unreportedLost atomic.Int64
+	closeMu        sync.RWMutex
+	closed         bool
+	stopped        chan struct{}
 }
 
-// item is a record, or a request to flush.
-type item struct {
+// queueItem is a record, or a request to flush if flushed is set.
+type queueItem struct {
 	record  accounting.Record
 	flushed chan<- error
 }
 
-// NewWriter returns a Writer to out. now gives the wall-clock time of lines.
+// NewWriter returns a Writer to out. now returns the wall-clock time for the timestamps.
 // Close must be called to write the last lines.
 func NewWriter(out io.Writer, now func() time.Time) *Writer {
 	buffer := bufio.NewWriterSize(out, bufferBytes)
@@ -60,7 +64,7 @@
 	})
 	w := &Writer{
 		now:     now,
-		queue:   make(chan item, queueLength),
+		queue:   make(chan queueItem, queueCapacity),
 		core:    zapcore.NewCore(encoder, zapcore.AddSync(buffer), zapcore.InfoLevel),
 		buffer:  buffer,
 		metrics: newMetrics(),
@@ -70,94 +74,95 @@
 	return w
 }
 
-// Write queues a record and stamps it with the time unless it has one. It
-// reports whether the record was queued; only marks and decisions may be lost,
-// and any record after Close.
+// Write queues a record, and sets its timestamp if it has none. It reports whether the
+// record was queued. Only marks and decisions can be lost, and any record after Close.
 func (w *Writer) Write(record accounting.Record) bool {
-	w.closing.RLock()
-	defer w.closing.RUnlock()
+	w.closeMu.RLock()
+	defer w.closeMu.RUnlock()
 	if record.Ts == 0 {
-		record.Ts = seconds(w.now())
+		record.Ts = unixSeconds(w.now())
 	}
 	if w.closed {
-		w.lose()
+		w.countLost()
 		return false
 	}
 	if record.Kind == accounting.RecordKindStart || record.Kind == accounting.RecordKindEnd {
-		w.queue <- item{record: record}
+		w.queue <- queueItem{record: record}
 		return true
 	}
 	select {
-	case w.queue <- item{record: record}:
+	case w.queue <- queueItem{record: record}:
 		return true
 	default:
-		w.lose()
+		w.countLost()
 		return false
 	}
 }
 
-// Flush returns when all records queued before it are written.
+// Flush blocks until all records queued before it are written. It returns the error of the
+// write, and nil after Close.
 func (w *Writer) Flush() error {
-	w.closing.RLock()
-	defer w.closing.RUnlock()
+	w.closeMu.RLock()
+	defer w.closeMu.RUnlock()
 	if w.closed {
 		return nil
 	}
 	flushed := make(chan error, 1)
-	w.queue <- item{flushed: flushed}
+	w.queue <- queueItem{flushed: flushed}
 	return <-flushed
 }
 
-// Close writes the queued records and stops the writer.
+// Close writes the queued records, stops the writer and returns the error of the last
+// flush.
 func (w *Writer) Close() error {
-	w.closing.Lock()
+	w.closeMu.Lock()
 	if w.closed {
-		w.closing.Unlock()
+		w.closeMu.Unlock()
 		return nil
 	}
 	w.closed = true
 	close(w.queue)
-	w.closing.Unlock()
+	w.closeMu.Unlock()
 	<-w.stopped
-	if lost := w.lost.Swap(0); lost > 0 {
-		w.count(w.writeLost(lost))
+	if lost := w.unreportedLost.Swap(0); lost > 0 {
+		w.countError(w.writeLost(lost))
 	}
 	return w.flush()
 }
 
-// Vars returns the counters and gauges, to be published by expvar.
+// Vars returns the counters and gauges for publication by expvar.
 func (w *Writer) Vars() *expvar.Map {
 	return w.metrics.vars
 }
 
-func (w *Writer) lose() {
-	w.lost.Add(1)
+func (w *Writer) countLost() {
+	w.unreportedLost.Add(1)
 	w.metrics.lost.Add(1)
 }
 
-// run writes lines until the queue is closed. It flushes whenever the queue is
-// empty, so that a line waits for no later one.
+// run writes lines until the queue is closed. It flushes whenever the queue is empty, so
+// no line stays in the buffer until another one arrives.
 func (w *Writer) run() {
 	defer close(w.stopped)
 	for it := range w.queue {
 		w.writeItem(it)
 		if len(w.queue) == 0 {
-			w.count(w.flush())
+			w.countError(w.flush())
 		}
 	}
 }
 
-func (w *Writer) writeItem(it item) {
+func (w *Writer) writeItem(it queueItem) {
 	if it.flushed != nil {
 		it.flushed <- w.flush()
 		return
 	}
-	if lost := w.lost.Swap(0); lost > 0 {
-		w.count(w.writeLost(lost))
+	if lost := w.unreportedLost.Swap(0); lost > 0 {
+		w.countError(w.writeLost(lost))
 	}
 	w.metrics.observe(&it.record)
-	entry := zapcore.Entry{Time: wallTime(it.record.Ts), Message: message}
-	w.count(w.core.Write(entry, []zapcore.Field{zap.Inline((*fields)(&it.record))}))
+	entry := zapcore.Entry{Time: wallTime(it.record.Ts), Message: recordMessage}
+	w.countError(w.core.Write(entry, []zapcore.Field{zap.Inline((*recordMarshaler)(&it.record))}))
 }
 
 func (w *Writer) writeLost(lines int64) error {
@@ -169,14 +174,14 @@
 	return w.buffer.Flush()
 }
 
-// count keeps a failed write from being silent.
-func (w *Writer) count(err error) {
+// countError counts a failed write, which is not reported in any other way.
+func (w *Writer) countError(err error) {
 	if err != nil {
 		w.metrics.writeErrors.Add(1)
 	}
 }
 
-func seconds(t time.Time) float64 {
+func unixSeconds(t time.Time) float64 {
 	return float64(t.UnixNano()) / float64(time.Second)
 }
 
--- a/internal/callers/requests.go
+++ b/internal/callers/requests.go
@@ -89,7 +89,7 @@
 		return
 	}
 	f := s.follow(ctx, customer, id, log)
-	if streamed && log.About().Model != "" {
+	if streamed && log.Metadata().Model != "" {
 		s.answerStream(ctx, f, offset)
 		return
 	}
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -11,27 +11,27 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// stalled is an output that takes nothing until it is released.
-type stalled struct {
+// stalledOutput blocks writes until release is closed.
+type stalledOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
 	bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledOutput) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Buffer.Write(p)
 }
 
-// The reader of the log stops reading. Requests must go on, and once it reads
-// again it must see that lines are missing.
-func TestAStalledOutputLosesLinesAndSaysSo(t *testing.T) {
+// Guards against blocked callers and unreported losses when the reader of the log stops
+// reading: logging must not block, and once output continues a line must report the loss.
+func TestStalledOutputReportsLostLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stalled{release: make(chan struct{})}
+		out := &stalledOutput{release: make(chan struct{})}
 		log, sink := New(out, zapcore.InfoLevel)
-		for range queueLength + 100 {
+		for range queueCapacity + 100 {
 			log.Info("line")
 		}
 		close(out.release)
@@ -40,12 +40,12 @@
 		sink.Close()
 		text := out.String()
 		if !strings.Contains(text, "log_lines_lost") || !strings.Contains(text, `"msg":"after"`) {
-			t.Errorf("the loss or what followed it is not told in %d bytes", len(text))
+			t.Errorf("no line reports the loss, or the line after it is missing, in %d bytes", len(text))
 		}
 	})
 }
 
-func TestTheVolumeIsBounded(t *testing.T) {
+func TestLineRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		log, sink := New(&out, zapcore.InfoLevel)
