--- a/cmd/basilrudderd/main.go
+++ b/cmd/basilrudderd/main.go
@@ -80,7 +80,7 @@
 	}
 	ctx, drain := context.WithCancel(context.Background())
 	defer drain()
-	go followSignals(drain, d.Abort)
+	go handleSignals(drain, d.Abort)
 	err = d.Run(ctx)
 	if closeErr := records.Close(); err == nil {
 		err = closeErr
@@ -88,10 +88,10 @@
 	return err
 }
 
-// followSignals drains at the first SIGTERM or SIGINT and ends at once at the
+// handleSignals drains at the first SIGTERM or SIGINT and ends at once at the
 // second, still writing the accounting lines of what has ended. The third one
 // kills, should even that hang.
-func followSignals(drain, abort func()) {
+func handleSignals(drain, abort func()) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	<-signals
--- a/cmd/basilrudderd/relay.go
+++ b/cmd/basilrudderd/relay.go
@@ -24,9 +24,9 @@
 	Check    bool   `help:"Check the settings and exit."`
 }
 
-// collectPercent lets the heap grow to four times what lives before it is
+// gcPercent lets the heap grow to four times what lives before it is
 // collected: what lives is some 10 MB, and processor time is scarcer than memory.
-const collectPercent = 300
+const gcPercent = 300
 
 // Run implements the command.
 func (c *relayCommand) Run() error {
@@ -38,7 +38,7 @@
 	if c.Check {
 		return nil
 	}
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 	limitMemory()
 	level, err := zapcore.ParseLevel(string(s.Log.Level))
 	if err != nil {
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -27,8 +27,8 @@
 		WriteTimeout: adminTimeout,
 		Logger:       zap.NewStdLog(d.cfg.Log),
 	}
-	stop := context.AfterFunc(ctx, func() { _ = server.Shutdown() })
-	defer stop()
+	stopShutdown := context.AfterFunc(ctx, func() { _ = server.Shutdown() })
+	defer stopShutdown()
 	return server.Serve(d.cfg.Listeners.Admin)
 }
 
--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -20,20 +20,20 @@
 	"basilrudder/internal/verdict"
 )
 
-// homeRetry is when a caller whose request's home can't be reached should ask
+// homeRetryAfter is when a caller whose request's home can't be reached should ask
 // again.
-const homeRetry = time.Second
+const homeRetryAfter = time.Second
 
 // probeTimeout bounds the connection that tells whether a silent home has ended.
 const probeTimeout = 300 * time.Millisecond
 
 // backend serves the caller interface from the node.
 type backend struct {
-	self       reqid.Incarnation
-	dataCentre string
-	node       *node.Node
-	work       *dispatcher
-	store      *answers.Store
+	self        reqid.Incarnation
+	dataCentre  string
+	node        *node.Node
+	dispatcher  *dispatcher
+	answerStore *answers.Store
 }
 
 // Catalog implements callers.Backend.
@@ -44,7 +44,7 @@
 // Submit implements callers.Backend.
 func (b *backend) Submit(_ context.Context, in *callers.Request) (*answers.Log, string, *verdict.Error) {
 	now := monotime.Now()
-	id, err := b.idOf(in)
+	id, err := b.requestID(in)
 	if err != nil {
 		return nil, "", err
 	}
@@ -53,13 +53,13 @@
 		Fingerprint: in.Fingerprint,
 		Expires:     monotime.Instant(id.Expiry),
 	}
-	log, created, err := b.store.Begin(now, key, begin)
+	log, created, err := b.answerStore.Begin(now, key, begin)
 	if err != nil || !created {
 		return log, id.Text, err
 	}
 	if err := b.admit(now, in, key, log); err != nil {
 		log.Close(err)
-		b.store.Abandon(key)
+		b.answerStore.Abandon(key)
 		return nil, id.Text, err
 	}
 	return log, id.Text, nil
@@ -68,8 +68,8 @@
 // admit hands the request to the node. The node may start it before Submit
 // returns, so what the dispatcher needs is put down first.
 func (b *backend) admit(now monotime.Instant, in *callers.Request, key answers.Key, log *answers.Log) *verdict.Error {
-	h := &held{request: in, log: log, key: key}
-	if !b.work.hold(h) {
+	h := &activeRequest{request: in, log: log, key: key}
+	if !b.dispatcher.register(h) {
 		return verdict.New(verdict.MayHaveRun, verdict.ReasonUnknownRequest, "the request id is in use")
 	}
 	_, err := b.node.Submit(now, node.Request{
@@ -80,28 +80,28 @@
 		Prefix:       in.Prefix,
 	})
 	if err != nil {
-		b.work.drop(key.ID)
+		b.dispatcher.unregister(key.ID)
 		return err
 	}
 	return nil
 }
 
-// idOf returns the id under which the request runs. An id of the caller's own,
+// requestID returns the id under which the request runs. An id of the caller's own,
 // which the caller interface lets through for idempotent classes only, is
 // replaced: nothing depends on it.
-func (b *backend) idOf(in *callers.Request) (reqid.ID, *verdict.Error) {
+func (b *backend) requestID(in *callers.Request) (reqid.ID, *verdict.Error) {
 	if id, err := reqid.Parse(in.ID); err == nil {
 		return id, nil
 	}
-	id, err := reqid.Parse(b.mint())
+	id, err := reqid.Parse(b.newID())
 	if err != nil {
 		return reqid.ID{}, verdict.Wrap(verdict.NotRun, verdict.ReasonInternal, err)
 	}
 	return id, nil
 }
 
-// mint returns a new id bound to this process.
-func (b *backend) mint() string {
+// newID returns a new id bound to this process.
+func (b *backend) newID() string {
 	prefix, _ := b.self.Prefix(time.Now(), node.IDLifetime)
 	return prefix + newNonce()
 }
@@ -134,14 +134,14 @@
 // Refused implements callers.Backend.
 func (b *backend) Refused(customer *catalog.Customer, class *catalog.Class, id string, err *verdict.Error) {
 	if id == "" {
-		id = b.mint()
+		id = b.newID()
 	}
 	b.node.RecordRefused(monotime.Now(), node.Request{ID: id, Customer: customer, Class: class}, err)
 }
 
 // Find implements callers.Backend.
 func (b *backend) Find(customer, id string) (*answers.Log, bool) {
-	return b.store.Find(answers.Key{Customer: customer, ID: id})
+	return b.answerStore.Find(answers.Key{Customer: customer, ID: id})
 }
 
 // Home implements callers.Backend.
@@ -158,7 +158,7 @@
 		return "", false, homeUnreachable()
 	}
 	member, ok := view.Find(parsed.Instance)
-	missing, silent := view.FindMissing(parsed.Instance, parsed.Token)
+	missing, unresponsive := view.FindMissing(parsed.Instance, parsed.Token)
 	switch {
 	case ok && member.Incarnation == parsed.Token:
 		return member.CallerAddress, false, nil
@@ -166,7 +166,7 @@
 	// is said only of a process known to have ended: not of one that fell
 	// silent and may be paused or behind a partition, and not by an instance
 	// that has just started or woken and has not heard of the fleet yet.
-	case !view.Confirmed, silent && !hasEnded(missing.CallerAddress):
+	case !view.Confirmed, unresponsive && !hasExited(missing.CallerAddress):
 		return "", false, homeUnreachable()
 	default:
 		return "", false, verdict.New(verdict.MayHaveRun, verdict.ReasonHomeGone,
@@ -174,10 +174,10 @@
 	}
 }
 
-// hasEnded reports whether nothing listens at the address of a silent process
+// hasExited reports whether nothing listens at the address of a silent process
 // any more. A stopped process and one behind a partition do not refuse: their
 // host takes the connection, or nothing answers.
-func hasEnded(address string) bool {
+func hasExited(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, probeTimeout)
 	if err == nil {
 		_ = conn.Close()
@@ -188,5 +188,5 @@
 
 func homeUnreachable() *verdict.Error {
 	return verdict.New(verdict.MayHaveRun, verdict.ReasonHomeUnreachable,
-		"the process that the request id is bound to can't be reached now").After(homeRetry)
+		"the process that the request id is bound to can't be reached now").After(homeRetryAfter)
 }
--- a/internal/daemon/backend_test.go
+++ b/internal/daemon/backend_test.go
@@ -15,7 +15,7 @@
 // answer for lost, while the home wakes and finishes it. Only a process known
 // to have ended is gone: a newer one has its place, or nothing listens at its
 // address, or the fleet, heard since the start, does not know it.
-func TestHomeIsGoneOnlyWhenItHasEnded(t *testing.T) {
+func TestHomeGoneOnlyAfterProcessExit(t *testing.T) {
 	stopped, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -53,10 +53,10 @@
 	var out Listeners
 	var err error
 	for _, entry := range []struct {
-		address string
-		into    *net.Listener
+		address  string
+		listener *net.Listener
 	}{{s.Listen.Callers, &out.Callers}, {s.Listen.Peers, &out.Peers}, {s.Listen.Admin, &out.Admin}} {
-		if *entry.into, err = net.Listen("tcp", entry.address); err != nil {
+		if *entry.listener, err = net.Listen("tcp", entry.address); err != nil {
 			out.Close()
 			return Listeners{}, errors.Wrap(err, "listen")
 		}
@@ -90,20 +90,20 @@
 	*dispatcher
 	cfg Config
 	// ctx lasts from New to the end of Run.
-	ctx context.Context
-	end context.CancelFunc
-	// hurried ends when Abort is called.
-	hurried  context.Context
-	hurry    context.CancelFunc
-	instance *instance.Instance
-	links    *peer.Links
-	platform *platform.Client
-	callers  *callers.Server
-	store    *answers.Store
-	poll     *poller
-	orders   *orderer
-	self     reqid.Incarnation
-	tasks    sync.WaitGroup
+	ctx    context.Context
+	cancel context.CancelFunc
+	// aborted ends when Abort is called.
+	aborted     context.Context
+	abort       context.CancelFunc
+	instance    *instance.Instance
+	links       *peer.Links
+	platform    *platform.Client
+	callers     *callers.Server
+	answerStore *answers.Store
+	poller      *poller
+	orders      *orderSender
+	self        reqid.Incarnation
+	tasks       sync.WaitGroup
 }
 
 // New returns a daemon that does nothing until Run.
@@ -111,32 +111,32 @@
 	s := cfg.Settings
 	seed := rand.Uint64()
 	d := &Daemon{
-		cfg:      cfg,
-		self:     reqid.NewIncarnation(s.Instance.ID, time.Now(), rand.Uint32()),
-		platform: platform.New(platform.Config{Address: s.Platform.Address, Timeout: time.Duration(s.Platform.TimeoutMS) * time.Millisecond}),
-		store:    answers.NewStore(storeConfig(s, nil)),
+		cfg:         cfg,
+		self:        reqid.NewIncarnation(s.Instance.ID, time.Now(), rand.Uint32()),
+		platform:    platform.New(platform.Config{Address: s.Platform.Address, Timeout: time.Duration(s.Platform.TimeoutMS) * time.Millisecond}),
+		answerStore: answers.NewStore(answerStoreConfig(s, nil)),
 	}
-	d.ctx, d.end = context.WithCancel(context.Background())
-	d.hurried, d.hurry = context.WithCancel(d.ctx)
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	d.aborted, d.abort = context.WithCancel(d.ctx)
 	d.dispatcher = &dispatcher{
-		ctx:     d.ctx,
-		clients: upstream.New(upstream.Config{}),
-		store:   d.store,
-		records: cfg.Records,
-		send:    d.send,
-		held:    make(map[string]*held),
+		ctx:         d.ctx,
+		clients:     upstream.New(upstream.Config{}),
+		answerStore: d.answerStore,
+		records:     cfg.Records,
+		send:        d.send,
+		active:      make(map[string]*activeRequest),
 	}
 	d.instance = instance.New(monotime.Now(), d.instanceConfig(seed), d)
 	d.node = d.instance.Node()
-	d.poll = newPoller(d.node, d.clients, &d.tasks, seed)
-	d.orders = newOrderer(d.self.Instance, d.node, d.clients, &d.tasks, cfg.Log)
+	d.poller = newPoller(d.node, d.clients, &d.tasks, seed)
+	d.orders = newOrderSender(d.self.Instance, d.node, d.clients, &d.tasks, cfg.Log)
 	d.orders.send = d.send
 	var err error
 	if d.links, err = peer.New(d.peerConfig()); err != nil {
 		return nil, err
 	}
 	d.callers = callers.NewServer(d.callerConfig(), &backend{
-		self: d.self, dataCentre: s.Instance.DataCentre, node: d.node, work: d.dispatcher, store: d.store,
+		self: d.self, dataCentre: s.Instance.DataCentre, node: d.node, dispatcher: d.dispatcher, answerStore: d.answerStore,
 	})
 	return d, nil
 }
@@ -225,33 +225,33 @@
 
 func (d *Daemon) send(to string, env *wire.Envelope) {
 	if !d.links.Send(to, env) {
-		d.later(func() { d.instance.OnLinkDown(monotime.Now(), to) })
+		d.runAsync(func() { d.instance.OnLinkDown(monotime.Now(), to) })
 	}
 }
 
-// later runs do outside the locks that the caller holds.
-func (d *Daemon) later(do func()) {
-	d.tasks.Go(do)
+// runAsync runs do outside the locks that the caller holds.
+func (d *Daemon) runAsync(task func()) {
+	d.tasks.Go(task)
 }
 
 // Run serves until ctx ends and the drain is over, or until Abort. Requests that
 // were cut off make it return ErrCutOff.
 func (d *Daemon) Run(ctx context.Context) error {
-	defer d.publish()()
-	group, running := errgroup.WithContext(d.ctx)
-	group.Go(func() error { return d.links.Run(running) })
+	defer d.publishVars()()
+	group, groupCtx := errgroup.WithContext(d.ctx)
+	group.Go(func() error { return d.links.Run(groupCtx) })
 	group.Go(func() error { return d.callers.Serve(d.cfg.Listeners.Callers) })
-	group.Go(func() error { return d.serveAdmin(running) })
-	group.Go(func() error { return d.tick(running) })
+	group.Go(func() error { return d.serveAdmin(groupCtx) })
+	group.Go(func() error { return d.tick(groupCtx) })
 	group.Go(func() error {
-		defer d.end()
-		defer context.AfterFunc(running, d.hurry)()
+		defer d.cancel()
+		defer context.AfterFunc(groupCtx, d.abort)()
 		select {
 		case <-ctx.Done():
-			d.drain(d.hurried)
-		case <-d.hurried.Done():
+			d.drain(d.aborted)
+		case <-d.aborted.Done():
 		}
-		return d.cutOffRest()
+		return d.terminateRemaining()
 	})
 	err := group.Wait()
 	d.tasks.Wait()
@@ -269,8 +269,8 @@
 		case <-ticker.C:
 			now := monotime.Now()
 			d.instance.Tick(now)
-			d.store.Expire(now)
-			d.poll.tick(ctx, now)
+			d.answerStore.Expire(now)
+			d.poller.tick(ctx, now)
 			d.orders.tick(ctx, now)
 		}
 	}
@@ -307,8 +307,8 @@
 func (d *Daemon) Installed(cat *catalog.Catalog) {
 	d.cfg.Log.Info("configuration in force", zap.Uint64("revision", cat.Revision),
 		zap.Int("servers", len(cat.Servers)), zap.Int("customers", len(cat.Customers)))
-	d.store.Configure(monotime.Now(), storeConfig(d.cfg.Settings, cat))
-	d.later(func() { d.links.SetKeys(d.keys(cat)) })
+	d.answerStore.Configure(monotime.Now(), answerStoreConfig(d.cfg.Settings, cat))
+	d.runAsync(func() { d.links.SetKeys(d.keys(cat)) })
 }
 
 // Report implements instance.Effects. All but an installed revision wants
@@ -331,7 +331,7 @@
 	d.cfg.Log.Log(level, "configuration event", fields...)
 }
 
-func storeConfig(s *settings.Settings, cat *catalog.Catalog) answers.StoreConfig {
+func answerStoreConfig(s *settings.Settings, cat *catalog.Catalog) answers.StoreConfig {
 	const defaultKeep = time.Minute
 	cfg := answers.StoreConfig{
 		Keep:      defaultKeep,
--- a/internal/daemon/directory.go
+++ b/internal/daemon/directory.go
@@ -28,7 +28,7 @@
 	if view == nil {
 		return callerapi.Directory{Revision: int(cat.Revision), TTLS: 1}
 	}
-	own := 1 + (fullLoad-1)*math.Floor(b.node.Occupancy()*loadSteps)/loadSteps
+	ownLoad := 1 + (fullLoad-1)*math.Floor(b.node.Occupancy()*loadSteps)/loadSteps
 	return directory.Answer(directory.Query{
 		Catalog:    cat,
 		View:       view,
@@ -36,7 +36,7 @@
 		DataCentre: b.dataCentre,
 		Load: func(id string) float64 {
 			if id == b.self.Instance {
-				return own
+				return ownLoad
 			}
 			return 1
 		},
@@ -47,7 +47,7 @@
 // idPrefix binds request ids to a member for as long as the answer lives and
 // the request may be repeated after.
 func idPrefix(m membership.Member, ttl time.Duration) string {
-	bound := reqid.Incarnation{Instance: m.ID, Token: m.Incarnation}
-	prefix, _ := bound.Prefix(time.Now(), ttl+node.IDLifetime)
+	incarnation := reqid.Incarnation{Instance: m.ID, Token: m.Incarnation}
+	prefix, _ := incarnation.Prefix(time.Now(), ttl+node.IDLifetime)
 	return prefix
 }
--- a/internal/daemon/dispatcher.go
+++ b/internal/daemon/dispatcher.go
@@ -17,8 +17,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// held is a request of this instance with what a node does not need to know.
-type held struct {
+// activeRequest is a request of this instance with what a node does not need to know.
+type activeRequest struct {
 	request *callers.Request
 	log     *answers.Log
 	key     answers.Key
@@ -30,34 +30,34 @@
 // dispatcher carries out what the node decides: it runs attempts at upstreams
 // and relays their tokens into the answers' logs.
 type dispatcher struct {
-	ctx     context.Context
-	node    *node.Node
-	clients *upstream.Client
-	store   *answers.Store
-	records *accounting.Writer
-	send    func(to string, env *wire.Envelope)
+	ctx         context.Context
+	node        *node.Node
+	clients     *upstream.Client
+	answerStore *answers.Store
+	records     *accounting.Writer
+	send        func(to string, env *wire.Envelope)
 
 	mu       sync.Mutex
-	held     map[string]*held
+	active   map[string]*activeRequest
 	attempts sync.WaitGroup
 }
 
-// hold puts a request down before the node may start it, and reports whether its
+// register puts a request down before the node may start it, and reports whether its
 // id was free.
-func (d *dispatcher) hold(h *held) bool {
+func (d *dispatcher) register(h *activeRequest) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.held[h.key.ID] != nil {
+	if d.active[h.key.ID] != nil {
 		return false
 	}
-	d.held[h.key.ID] = h
+	d.active[h.key.ID] = h
 	return true
 }
 
-func (d *dispatcher) drop(id string) {
+func (d *dispatcher) unregister(id string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.held, id)
+	delete(d.active, id)
 }
 
 // Send implements node.Effects.
@@ -74,7 +74,7 @@
 func (d *dispatcher) Start(attempt node.Attempt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	h := d.held[attempt.RequestID]
+	h := d.active[attempt.RequestID]
 	if h == nil {
 		return
 	}
@@ -94,7 +94,7 @@
 func (d *dispatcher) CancelAttempt(requestID string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if h := d.held[requestID]; h != nil && h.cancel != nil {
+	if h := d.active[requestID]; h != nil && h.cancel != nil {
 		h.cancel(errCancelled)
 	}
 }
@@ -102,27 +102,27 @@
 // Finish implements node.Effects.
 func (d *dispatcher) Finish(requestID string, err *verdict.Error) {
 	d.mu.Lock()
-	h := d.held[requestID]
-	delete(d.held, requestID)
+	h := d.active[requestID]
+	delete(d.active, requestID)
 	d.mu.Unlock()
 	if h == nil {
 		return
 	}
 	h.log.Close(err)
 	if err != nil && err.Verdict == verdict.NotRun {
-		d.store.Abandon(h.key)
+		d.answerStore.Abandon(h.key)
 		return
 	}
-	d.store.Finish(monotime.Now(), h.key)
+	d.answerStore.Finish(monotime.Now(), h.key)
 }
 
 // run makes one attempt and returns how it ended.
-func (d *dispatcher) run(ctx context.Context, attempt node.Attempt, h *held) *verdict.Error {
+func (d *dispatcher) run(ctx context.Context, attempt node.Attempt, h *activeRequest) *verdict.Error {
 	target := targetOf(attempt.Engine)
 	if attempt.Engine.Server.Spec.Kind == inventory.ServerKindApplication {
 		return d.callService(ctx, target, attempt, h)
 	}
-	sink := &relay{log: h.log, progress: attempt.Progress}
+	sink := &answerSink{log: h.log, progress: attempt.Progress}
 	var err *verdict.Error
 	if attempt.Resume {
 		err = d.clients.Resume(ctx, target, attempt.ID, attempt.Offset, sink)
@@ -133,11 +133,11 @@
 	if ctx.Err() != nil {
 		d.cancelAtEngine(target, attempt.ID)
 	}
-	return d.cutOff(err)
+	return d.withDrainingReason(err)
 }
 
-// cutOff names the end of the process as the reason of an attempt that it ended.
-func (d *dispatcher) cutOff(err *verdict.Error) *verdict.Error {
+// withDrainingReason names the end of the process as the reason of an attempt that it ended.
+func (d *dispatcher) withDrainingReason(err *verdict.Error) *verdict.Error {
 	if err == nil || d.ctx.Err() == nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 	_ = d.clients.Cancel(ctx, target, id)
 }
 
-func (d *dispatcher) callService(ctx context.Context, target upstream.Target, attempt node.Attempt, h *held) *verdict.Error {
+func (d *dispatcher) callService(ctx context.Context, target upstream.Target, attempt node.Attempt, h *activeRequest) *verdict.Error {
 	service := h.request.Service
 	answer, err := d.clients.CallService(ctx, target, upstream.ServiceCall{
 		RequestID:   attempt.ID,
@@ -164,7 +164,7 @@
 		Body:        h.request.Body,
 	})
 	if err != nil {
-		return d.cutOff(err)
+		return d.withDrainingReason(err)
 	}
 	attempt.Progress.Token(monotime.Now())
 	out := answers.ServiceAnswer{Status: answer.Status, Body: answer.Body}
@@ -177,14 +177,14 @@
 	return nil
 }
 
-// relay copies tokens from an upstream into an answer.
-type relay struct {
+// answerSink copies tokens from an upstream into an answer.
+type answerSink struct {
 	log      *answers.Log
 	progress *node.Progress
 }
 
 // Token implements upstream.Sink.
-func (r *relay) Token(event engineapi.TokenEvent) error {
+func (r *answerSink) Token(event engineapi.TokenEvent) error {
 	if event.Offset < r.log.Len() {
 		return nil
 	}
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	drainPoll = 100 * time.Millisecond
-	// goodbyeWait lets the last news leave before the links close.
-	goodbyeWait = 100 * time.Millisecond
-	// lastAnswers is the time for refusals of requests that never started.
-	lastAnswers = 100 * time.Millisecond
+	drainPollInterval = 100 * time.Millisecond
+	// goodbyeDelay lets the last news leave before the links close.
+	goodbyeDelay = 100 * time.Millisecond
+	// refusalTimeout is the time for refusals of requests that never started.
+	refusalTimeout = 100 * time.Millisecond
 )
 
 // ErrCutOff says that the daemon ended with requests in flight.
@@ -37,29 +37,29 @@
 	sleep(ctx, d.directoryTTL())
 	d.node.Drain(monotime.Now())
 	for !d.node.Drained() && ctx.Err() == nil {
-		sleep(ctx, drainPoll)
+		sleep(ctx, drainPollInterval)
 	}
 	d.instance.Goodbye(monotime.Now())
-	sleep(ctx, goodbyeWait)
+	sleep(ctx, goodbyeDelay)
 	if ctx.Err() == nil {
 		// Requests that this instance passes on to others are in flight here too.
 		_ = d.callers.Shutdown(ctx)
 	}
 }
 
-// cutOffRest closes what is still open. After a drain that is nothing; else callers
+// terminateRemaining closes what is still open. After a drain that is nothing; else callers
 // are told that their requests did not run, or may have run. Waiting requests go
 // first: ending a running one frees a slot, which would start one of them.
-func (d *Daemon) cutOffRest() error {
-	left := d.node.Status(monotime.Now()).Requests
+func (d *Daemon) terminateRemaining() error {
+	remaining := d.node.Status(monotime.Now()).Requests
 	d.node.RefuseWaiting(monotime.Now())
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswers)
+	ctx, cancel := context.WithTimeout(context.Background(), refusalTimeout)
 	defer cancel()
 	open := errors.Is(d.callers.Shutdown(ctx), context.DeadlineExceeded)
 	d.cfg.Listeners.Close()
-	d.cfg.Log.Info("ended", zap.Int("cut_off", left), zap.Bool("connections_open", open))
-	if left > 0 || open {
-		return errors.Wrapf(ErrCutOff, "%d held here", left)
+	d.cfg.Log.Info("ended", zap.Int("cut_off", remaining), zap.Bool("connections_open", open))
+	if remaining > 0 || open {
+		return errors.Wrapf(ErrCutOff, "%d held here", remaining)
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 // Abort ends Run at once, without a drain or in the middle of one. Callers of
 // requests in flight are told that they may have run.
 func (d *Daemon) Abort() {
-	d.hurry()
+	d.abort()
 }
 
 func (d *Daemon) directoryTTL() time.Duration {
--- a/internal/daemon/keys_test.go
+++ b/internal/daemon/keys_test.go
@@ -13,7 +13,7 @@
 
 // Anybody can read the default key in the source. It opens links only as long as
 // no key is published; the key of the settings stays valid beside published ones.
-func TestDefaultPeerKeyEndsWithTheFirstPublishedOne(t *testing.T) {
+func TestDefaultPeerKeyRejectedOncePublished(t *testing.T) {
 	published := catalog.Compile(1, &inventory.Inventory{PeerKeys: []inventory.PeerKey{{ID: "new", Secret: "secret-of-the-fleet"}}})
 	own := settings.PeerSettings{KeyID: "own", Key: "secret-of-settings"}
 	for _, test := range []struct {
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -18,79 +18,79 @@
 )
 
 const (
-	// orderCallsAtOnce bounds the calls of the reconciler at a time.
-	orderCallsAtOnce = 8
+	// maxConcurrentOrderCalls bounds the calls of the reconciler at a time.
+	maxConcurrentOrderCalls = 8
 	// orderCallTimeout bounds one of them, below the reconciler's own patience.
 	orderCallTimeout = 2 * time.Second
-	// findPeers is how long an instance that has met no peer yet orders nothing.
+	// peerDiscoveryTimeout is how long an instance that has met no peer yet orders nothing.
 	// It would otherwise take itself for the owner of every engine at its start.
-	findPeers = 10 * time.Second
+	peerDiscoveryTimeout = 10 * time.Second
 )
 
 // weightStore is the name whose owner issues the permits for loads.
 var weightStore = &catalog.Group{Name: "weight-store"}
 
-// orderer keeps the engines of the groups that this instance owns at what the
+// orderSender keeps the engines of the groups that this instance owns at what the
 // configuration wants them to hold. Unlike the scheduling of a group, which
 // begins with the first request, orders are due for groups without traffic too.
-type orderer struct {
-	node    *node.Node
-	clients *upstream.Client
-	tasks   *sync.WaitGroup
-	send    func(to string, env *wire.Envelope)
-	log     *zap.Logger
-	slots   chan struct{}
-
-	mu       sync.Mutex
-	started  monotime.Instant // the first tick
-	rec      *orders.Reconciler
-	loads    *orders.LoadPermits
-	revision uint64
-	version  uint64
-	behind   bool
+type orderSender struct {
+	node      *node.Node
+	clients   *upstream.Client
+	tasks     *sync.WaitGroup
+	send      func(to string, env *wire.Envelope)
+	log       *zap.Logger
+	callSlots chan struct{}
+
+	mu          sync.Mutex
+	firstTick   monotime.Instant // the first tick
+	reconciler  *orders.Reconciler
+	loadPermits *orders.LoadPermits
+	revision    uint64
+	version     uint64
+	behind      bool
 }
 
-func newOrderer(self string, n *node.Node, clients *upstream.Client, tasks *sync.WaitGroup, log *zap.Logger) *orderer {
+func newOrderSender(self string, n *node.Node, clients *upstream.Client, tasks *sync.WaitGroup, log *zap.Logger) *orderSender {
 	loads := orders.NewLoadPermits(self, orders.DefaultLease)
-	return &orderer{
-		node:    n,
-		clients: clients,
-		tasks:   tasks,
-		log:     log,
-		slots:   make(chan struct{}, orderCallsAtOnce),
-		rec:     orders.New(orders.Config{}, loads),
-		loads:   loads,
+	return &orderSender{
+		node:        n,
+		clients:     clients,
+		tasks:       tasks,
+		log:         log,
+		callSlots:   make(chan struct{}, maxConcurrentOrderCalls),
+		reconciler:  orders.New(orders.Config{}, loads),
+		loadPermits: loads,
 	}
 }
 
 // tick makes the calls that are due. While the configuration is not confirmed
 // nothing is ordered, and what engines reported before is forgotten.
-func (o *orderer) tick(ctx context.Context, now monotime.Instant) {
+func (o *orderSender) tick(ctx context.Context, now monotime.Instant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.started == 0 {
-		o.started = now
+	if o.firstTick == 0 {
+		o.firstTick = now
 	}
-	if !o.node.MayOrder(now) || !o.metPeers(now) {
-		o.rec.OnPaused(now)
+	if !o.node.MayOrder(now) || !o.peerDiscoveryDone(now) {
+		o.reconciler.OnPaused(now)
 		return
 	}
-	o.update(now)
-	for _, action := range o.rec.Tick(now, nil) {
+	o.reconfigure(now)
+	for _, action := range o.reconciler.Tick(now, nil) {
 		o.tasks.Go(func() { o.run(ctx, action) })
 	}
-	if issuer, ask := o.loads.Tick(now); ask != nil {
+	if issuer, ask := o.loadPermits.Tick(now); ask != nil {
 		o.send(issuer, &wire.Envelope{LoadAsk: ask})
 	}
 }
 
-func (o *orderer) metPeers(now monotime.Instant) bool {
+func (o *orderSender) peerDiscoveryDone(now monotime.Instant) bool {
 	view := o.node.View()
-	return view != nil && (view.Confirmed || now.Sub(o.started) > findPeers)
+	return view != nil && (view.Confirmed || now.Sub(o.firstTick) > peerDiscoveryTimeout)
 }
 
-// update takes a new configuration or a new membership.
-func (o *orderer) update(now monotime.Instant) {
+// reconfigure takes a new configuration or a new membership.
+func (o *orderSender) reconfigure(now monotime.Instant) {
 	cat, view := o.node.Catalog(), o.node.View()
 	if cat == nil || view == nil || cat.Revision == o.revision && view.Version == o.version {
 		return
@@ -102,15 +102,15 @@
 		owns[group] = o.node.Owner(group) == self
 	}
 	live, total := node.ShareOf(view)
-	o.loads.SetIssuer(now, o.node.Owner(weightStore), cat.Rules.WeightLoadsAtOnce, live, total)
-	o.rec.Reconfigure(now, cat, func(e *catalog.Engine) bool { return owns[e.Server.Group] })
+	o.loadPermits.SetIssuer(now, o.node.Owner(weightStore), cat.Rules.WeightLoadsAtOnce, live, total)
+	o.reconciler.Reconfigure(now, cat, func(e *catalog.Engine) bool { return owns[e.Server.Group] })
 }
 
 // run makes one call. A pause of the process between the decision and this
 // point would make an order stale, so that the question is asked again here.
-func (o *orderer) run(ctx context.Context, action orders.Action) {
-	o.slots <- struct{}{}
-	defer func() { <-o.slots }()
+func (o *orderSender) run(ctx context.Context, action orders.Action) {
+	o.callSlots <- struct{}{}
+	defer func() { <-o.callSlots }()
 	ctx, cancel := context.WithTimeout(ctx, orderCallTimeout)
 	defer cancel()
 	report, err := o.call(ctx, action)
@@ -118,17 +118,17 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err != nil {
-		o.rec.OnFailure(now, action.Engine.ID)
+		o.reconciler.OnFailure(now, action.Engine.ID)
 		return
 	}
-	o.rec.OnReport(now, action.Engine.ID, report)
-	o.noticeBehind()
+	o.reconciler.OnReport(now, action.Engine.ID, report)
+	o.logBehind()
 }
 
 // errStale ends an order that was overtaken.
 var errStale = verdict.New(verdict.NotRun, verdict.ReasonPaused, "the order was overtaken by a pause or a newer revision")
 
-func (o *orderer) call(ctx context.Context, action orders.Action) (engineapi.OrderAnswer, *verdict.Error) {
+func (o *orderSender) call(ctx context.Context, action orders.Action) (engineapi.OrderAnswer, *verdict.Error) {
 	target := targetOf(action.Engine)
 	if action.Kind == orders.Observe {
 		return o.clients.Holdings(ctx, target)
@@ -142,10 +142,10 @@
 	return o.clients.Order(ctx, target, action.Order)
 }
 
-// noticeBehind tells operators once that engines know a newer revision: no
+// logBehind tells operators once that engines know a newer revision: no
 // orders go out until this instance has it too.
-func (o *orderer) noticeBehind() {
-	behind := o.rec.Behind()
+func (o *orderSender) logBehind() {
+	behind := o.reconciler.Behind()
 	if behind && !o.behind {
 		o.log.Warn("engines have seen a newer revision; no orders are sent", zap.Uint64("revision", o.revision))
 	}
@@ -153,19 +153,19 @@
 }
 
 // onEnvelope takes the parts of a peer's message that concern loads.
-func (o *orderer) onEnvelope(now monotime.Instant, from string, env *wire.Envelope) {
+func (o *orderSender) onEnvelope(now monotime.Instant, from string, env *wire.Envelope) {
 	if env.LoadAsk == nil && env.LoadGive == nil {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if env.LoadGive != nil {
-		o.loads.OnGive(now, from, env.LoadGive)
+		o.loadPermits.OnGive(now, from, env.LoadGive)
 	}
 	if env.LoadAsk == nil {
 		return
 	}
-	if give := o.loads.OnAsk(now, from, env.LoadAsk); give != nil {
+	if give := o.loadPermits.OnAsk(now, from, env.LoadAsk); give != nil {
 		o.send(from, &wire.Envelope{LoadGive: give})
 	}
 }
@@ -179,8 +179,8 @@
 	Loads orders.LoadPermitStats `json:"loads"`
 }
 
-func (o *orderer) status(now monotime.Instant) OrderStatus {
+func (o *orderSender) status(now monotime.Instant) OrderStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return OrderStatus{Stats: o.rec.Stats(), Behind: o.rec.Behind(), Loads: o.loads.Stats(now)}
+	return OrderStatus{Stats: o.reconciler.Stats(), Behind: o.reconciler.Behind(), Loads: o.loadPermits.Stats(now)}
 }
--- a/internal/daemon/orders_test.go
+++ b/internal/daemon/orders_test.go
@@ -23,32 +23,32 @@
 	"basilrudder/internal/upstream"
 )
 
-// orderBench is an instance alone before one engine that ignores fencing
+// orderFixture is an instance alone before one engine that ignores fencing
 // numbers. Its time is the test's.
-type orderBench struct {
+type orderFixture struct {
 	t       *testing.T
 	now     monotime.Instant
 	node    *node.Node
-	orderer *orderer
+	sender  *orderSender
 	tasks   sync.WaitGroup
 	server  *engine.Server
 	address string
 	target  upstream.Target
 }
 
-func newOrderBench(t *testing.T) *orderBench {
+func newOrderFixture(t *testing.T) *orderFixture {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &orderBench{t: t, now: monotime.Now(), address: ln.Addr().String()}
+	b := &orderFixture{t: t, now: monotime.Now(), address: ln.Addr().String()}
 	b.server = engine.New(engine.Config{Engines: []engine.EngineConfig{{Model: enginemodel.Config{Name: "e"}}}})
 	go func() { _ = b.server.Serve(ln) }()
 	b.target = upstream.Target{Address: b.address, Server: "s", Engine: "e"}
 	b.node = node.New(node.Config{Self: reqid.Incarnation{Instance: "a", Token: "1"}}, &dispatcher{})
-	b.orderer = newOrderer("a", b.node, upstream.New(upstream.Config{}), &b.tasks, zap.NewNop())
-	b.orderer.send = func(string, *wire.Envelope) {}
+	b.sender = newOrderSender("a", b.node, upstream.New(upstream.Config{}), &b.tasks, zap.NewNop())
+	b.sender.send = func(string, *wire.Envelope) {}
 	b.install(1)
 	b.node.SetView(b.now, &membership.View{Confirmed: true, Live: []membership.Member{{ID: "a"}}, Known: 1})
 	b.node.Confirm(b.now, b.now)
@@ -58,7 +58,7 @@
 
 // install puts a revision in force that wants the model in the version of its
 // number.
-func (b *orderBench) install(revision uint64) {
+func (b *orderFixture) install(revision uint64) {
 	inv := &inventory.Inventory{
 		Models: []inventory.Model{{Name: "m", Version: string(rune('0' + revision))}},
 		Rules:  &inventory.Rules{WeightLoadsAtOnce: 1},
@@ -71,15 +71,15 @@
 }
 
 // run lets time pass, with every call ended before it goes on.
-func (b *orderBench) run(d time.Duration) {
+func (b *orderFixture) run(d time.Duration) {
 	for end := b.now.Add(d); b.now < end; b.now = b.now.Add(node.TickInterval) {
 		b.node.Tick(b.now)
-		b.orderer.tick(b.t.Context(), b.now)
+		b.sender.tick(b.t.Context(), b.now)
 		b.tasks.Wait()
 	}
 }
 
-func (b *orderBench) wantHolds(model string) {
+func (b *orderFixture) wantHolds(model string) {
 	b.t.Helper()
 	if diff := cmp.Diff([]string{model}, b.server.Engine("e").Holds().Models); diff != "" {
 		b.t.Errorf("models (-want +got):\n%s", diff)
@@ -90,8 +90,8 @@
 // the change to it, which another instance orders. On waking it still believes
 // in version 1, and the engine would obey. It must not order until somebody has
 // confirmed a configuration, also when nobody does for long.
-func TestNoOrdersAfterAPauseUntilConfirmed(t *testing.T) {
-	b := newOrderBench(t)
+func TestNoOrdersAfterPauseUntilConfirmed(t *testing.T) {
+	b := newOrderFixture(t)
 	b.run(2 * orders.DefaultLease)
 	b.wantHolds("m@1")
 	b.now = b.now.Add(time.Minute)
@@ -99,14 +99,14 @@
 	if _, err := other.Order(t.Context(), b.target, engineapi.Order{Fence: 2, Engine: "e", Models: []string{"m@2"}}); err != nil {
 		t.Fatal(err)
 	}
-	calls := b.orderer.clients.Counters().Of(upstream.KindOrder).Calls
+	calls := b.sender.clients.Counters().Of(upstream.KindOrder).Calls
 	b.run(time.Minute)
 	b.wantHolds("m@2")
 	b.install(2)
 	b.node.Confirm(b.now, b.now)
 	b.run(time.Minute)
 	b.wantHolds("m@2")
-	if after := b.orderer.clients.Counters().Of(upstream.KindOrder).Calls; after != calls {
+	if after := b.sender.clients.Counters().Of(upstream.KindOrder).Calls; after != calls {
 		t.Errorf("%d orders after the pause, want none", after-calls)
 	}
 }
@@ -114,14 +114,14 @@
 // What operators see: an engine cut off with a stale instance is not made to
 // change for ever. Nobody confirms the instance's configuration any more; after
 // a while it must take itself for the one that is wrong.
-func TestNoOrdersWithoutConfirmationForLong(t *testing.T) {
-	b := newOrderBench(t)
+func TestNoOrdersWhenConfirmationExpires(t *testing.T) {
+	b := newOrderFixture(t)
 	b.run(10 * time.Minute)
-	calls := b.orderer.clients.Counters().Of(upstream.KindOrder).Calls
+	calls := b.sender.clients.Counters().Of(upstream.KindOrder).Calls
 	b.server.Engine("e").Crash()
 	b.server.Engine("e").Restart()
 	b.run(10 * time.Minute)
-	if after := b.orderer.clients.Counters().Of(upstream.KindOrder).Calls; after != calls {
+	if after := b.sender.clients.Counters().Of(upstream.KindOrder).Calls; after != calls {
 		t.Errorf("%d orders by a configuration that nobody confirmed for ten minutes", after-calls)
 	}
 }
--- a/internal/daemon/poll.go
+++ b/internal/daemon/poll.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// pollsAtOnce bounds the engines asked at a time for each kind of hint.
-	pollsAtOnce = 8
+	// maxConcurrentPolls bounds the engines asked at a time for each kind of hint.
+	maxConcurrentPolls = 8
 	// pollTimeout bounds one question to an engine.
 	pollTimeout = time.Second
 )
@@ -27,22 +27,22 @@
 	clients *upstream.Client
 	tasks   *sync.WaitGroup
 
-	mu    sync.Mutex
-	load  *hints.Schedule
-	cache *hints.Schedule
-	// after is the next cache event to ask an engine for. A new owner asks for
+	mu            sync.Mutex
+	loadSchedule  *hints.Schedule
+	cacheSchedule *hints.Schedule
+	// nextEvent is the next cache event to ask an engine for. A new owner asks for
 	// all that the engine still has, once.
-	after map[string]int
+	nextEvent map[string]int
 }
 
 func newPoller(n *node.Node, clients *upstream.Client, tasks *sync.WaitGroup, seed uint64) *poller {
 	return &poller{
-		node:    n,
-		clients: clients,
-		tasks:   tasks,
-		load:    hints.NewSchedule(hints.LoadEvery, seed),
-		cache:   hints.NewSchedule(hints.CacheEvery, seed),
-		after:   make(map[string]int),
+		node:          n,
+		clients:       clients,
+		tasks:         tasks,
+		loadSchedule:  hints.NewSchedule(hints.LoadEvery, seed),
+		cacheSchedule: hints.NewSchedule(hints.CacheEvery, seed),
+		nextEvent:     make(map[string]int),
 	}
 }
 
@@ -54,37 +54,37 @@
 	}
 	ids := p.node.OwnedEngines()
 	p.mu.Lock()
-	load := p.load.Due(now, ids, pollsAtOnce, nil)
-	cache := p.cache.Due(now, ids, pollsAtOnce, nil)
+	load := p.loadSchedule.Due(now, ids, maxConcurrentPolls, nil)
+	cache := p.cacheSchedule.Due(now, ids, maxConcurrentPolls, nil)
 	p.mu.Unlock()
-	p.each(ctx, cat, p.load, load, p.askLoad)
-	p.each(ctx, cat, p.cache, cache, p.askCache)
+	p.pollEach(ctx, cat, p.loadSchedule, load, p.pollLoad)
+	p.pollEach(ctx, cat, p.cacheSchedule, cache, p.pollCacheEvents)
 }
 
-type question func(ctx context.Context, target upstream.Target, id string) *verdict.Error
+type pollFunc func(ctx context.Context, target upstream.Target, id string) *verdict.Error
 
-func (p *poller) each(ctx context.Context, cat *catalog.Catalog, schedule *hints.Schedule, ids []string, ask question) {
+func (p *poller) pollEach(ctx context.Context, cat *catalog.Catalog, schedule *hints.Schedule, ids []string, poll pollFunc) {
 	for _, id := range ids {
 		engine := cat.Engines[id]
 		if engine == nil {
-			p.done(schedule, id, false)
+			p.recordResult(schedule, id, false)
 			continue
 		}
 		p.tasks.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 			defer cancel()
-			p.done(schedule, id, ask(ctx, targetOf(engine), id) == nil)
+			p.recordResult(schedule, id, poll(ctx, targetOf(engine), id) == nil)
 		})
 	}
 }
 
-func (p *poller) done(schedule *hints.Schedule, id string, ok bool) {
+func (p *poller) recordResult(schedule *hints.Schedule, id string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	schedule.Done(monotime.Now(), id, ok)
 }
 
-func (p *poller) askLoad(ctx context.Context, target upstream.Target, id string) *verdict.Error {
+func (p *poller) pollLoad(ctx context.Context, target upstream.Target, id string) *verdict.Error {
 	report, err := p.clients.LoadReport(ctx, target)
 	if err == nil {
 		p.node.LoadReport(monotime.Now(), id, report)
@@ -92,9 +92,9 @@
 	return err
 }
 
-func (p *poller) askCache(ctx context.Context, target upstream.Target, id string) *verdict.Error {
+func (p *poller) pollCacheEvents(ctx context.Context, target upstream.Target, id string) *verdict.Error {
 	p.mu.Lock()
-	after := p.after[id]
+	after := p.nextEvent[id]
 	p.mu.Unlock()
 	events, err := p.clients.CacheEvents(ctx, target, after)
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 	p.node.CacheEvents(monotime.Now(), id, events)
 	p.mu.Lock()
-	p.after[id] = events.Next
+	p.nextEvent[id] = events.Next
 	p.mu.Unlock()
 	return nil
 }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -90,12 +90,12 @@
 }
 
 func (d *Daemon) configStatus(now monotime.Instant) ConfigStatus {
-	belief := d.instance.Status(now)
+	state := d.instance.Status(now)
 	status := ConfigStatus{
-		ConfirmedAgeS: ageSeconds(belief.ConfirmedAge),
-		PlatformAgeS:  ageSeconds(belief.PlatformAge),
-		Reader:        belief.Reader,
-		Stats:         belief.Conf,
+		ConfirmedAgeS: ageSeconds(state.ConfirmedAge),
+		PlatformAgeS:  ageSeconds(state.PlatformAge),
+		Reader:        state.Reader,
+		Stats:         state.Conf,
 	}
 	if cat := d.node.Catalog(); cat != nil {
 		status.Revision = cat.Revision
@@ -104,14 +104,14 @@
 }
 
 func (d *Daemon) memberCounts(now monotime.Instant) MemberCounts {
-	belief := d.instance.Status(now)
+	state := d.instance.Status(now)
 	return MemberCounts{
-		Version:      belief.View.Version,
-		Known:        belief.View.Known,
-		LiveCount:    len(belief.View.Live),
-		LeavingCount: len(belief.View.Leaving),
-		Confirmed:    belief.View.Confirmed,
-		Stats:        belief.Members,
+		Version:      state.View.Version,
+		Known:        state.View.Known,
+		LiveCount:    len(state.View.Live),
+		LeavingCount: len(state.View.Leaving),
+		Confirmed:    state.View.Confirmed,
+		Stats:        state.Members,
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,10 +15,10 @@
 const PeerKeyVariable = "BASILRUDDER_PEER_KEY"
 
 const (
-	schemaRef       = "settings.json"
-	environmentFile = "environment"
-	minKeyLength    = 16
-	maxPort         = 65535
+	schemaRef         = "settings.json"
+	environmentSource = "environment"
+	minKeyLength      = 16
+	maxPort           = 65535
 )
 
 // Load reads and checks the settings file at path. env looks an environment
@@ -37,12 +37,12 @@
 	if problems := schema.Decode(schemaRef, name, data, out); len(problems) > 0 {
 		return nil, problems
 	}
-	keyFile := name
+	keySource := name
 	if key := env(PeerKeyVariable); key != "" {
 		out.Peers.Key = key
-		keyFile = environmentFile
+		keySource = environmentSource
 	}
-	problems := check(name, keyFile, out)
+	problems := validate(name, keySource, out)
 	if len(problems) > 0 {
 		problems.Sort()
 		return nil, problems
@@ -50,7 +50,7 @@
 	return out, nil
 }
 
-func check(name, keyFile string, s *settings.Settings) schema.Problems {
+func validate(name, keySource string, s *settings.Settings) schema.Problems {
 	var problems schema.Problems
 	addresses := []struct{ key, value string }{
 		{"listen.callers", s.Listen.Callers},
@@ -74,7 +74,7 @@
 			Expected: "a host and a port from 1 to 65535, like 10.0.0.1:8080",
 		})
 	}
-	return append(problems, checkKey(name, keyFile, s.Peers)...)
+	return append(problems, validateKey(name, keySource, s.Peers)...)
 }
 
 func validAddress(address string) bool {
@@ -86,13 +86,13 @@
 	return err == nil && number >= 1 && number <= maxPort
 }
 
-// checkKey refuses a key without an id: links would name the key "", which no
+// validateKey refuses a key without an id: links would name the key "", which no
 // published key has, and the instance would stay alone when the key rotates.
-func checkKey(name, keyFile string, peers settings.PeerSettings) schema.Problems {
+func validateKey(name, keySource string, peers settings.PeerSettings) schema.Problems {
 	var problems schema.Problems
 	if peers.Key != "" && len(peers.Key) < minKeyLength {
 		problems = append(problems, schema.Problem{
-			File:     keyFile,
+			File:     keySource,
 			Key:      "peers.key",
 			Value:    schema.HiddenValue,
 			Expected: "text of at least 16 characters",
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-func TestAbsentTablesHaveTheirDefaults(t *testing.T) {
-	got, problems := Parse("s.toml", []byte(minimal), noEnv)
+func TestMissingTablesGetDefaults(t *testing.T) {
+	got, problems := Parse("s.toml", []byte(minimalSettings), noEnv)
 	if len(problems) > 0 {
 		t.Fatal(problems)
 	}
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestEnvironmentGoesBeforeTheFile(t *testing.T) {
+func TestEnvironmentOverridesFile(t *testing.T) {
 	env := func(name string) string {
 		if name == PeerKeyVariable {
 			return "from-the-environment"
@@ -52,7 +52,7 @@
 	}
 }
 
-const minimal = `
+const minimalSettings = `
 [instance]
 id = "entry-1"
 data_centre = "dc-1"
@@ -64,26 +64,26 @@
 address = "10.0.0.9:80"
 `
 
-func TestBrokenSettings(t *testing.T) {
+func TestInvalidSettingsAreReported(t *testing.T) {
 	shortKey := func(string) string { return "short" }
 	cases := []struct {
 		name, data string
 		env        func(string) string
 		want       string
 	}{
-		{"unknown key", minimal + "[limits]\nbody_byte = 1\n", noEnv,
+		{"unknown key", minimalSettings + "[limits]\nbody_byte = 1\n", noEnv,
 			"s.toml: limits.body_byte: 1: expected one of the keys body_bytes, connections, drain_s, header_bytes, kept_answer_bytes, read_timeout_ms, requests, write_stall_ms"},
-		{"impossible value", minimal + "timeout_ms = 0\n", noEnv,
+		{"impossible value", minimalSettings + "timeout_ms = 0\n", noEnv,
 			"s.toml: platform.timeout_ms: 0: expected an integer from 10 to 60000"},
-		{"wrong type", minimal + "[limits]\nrequests = \"all\"\n", noEnv,
+		{"wrong type", minimalSettings + "[limits]\nrequests = \"all\"\n", noEnv,
 			`s.toml: limits.requests: "all": expected an integer of at least 1`},
-		{"port", minimal + "[peers]\nseeds = [\"10.0.0.2:81\", \"10.0.0.3:99999\"]\n", noEnv,
+		{"port", minimalSettings + "[peers]\nseeds = [\"10.0.0.2:81\", \"10.0.0.3:99999\"]\n", noEnv,
 			`s.toml: peers.seeds[1]: "10.0.0.3:99999": expected a host and a port from 1 to 65535, like 10.0.0.1:8080`},
-		{"key without id", minimal + "[peers]\nkey = \"0123456789abcdef\"\n", noEnv,
+		{"key without id", minimalSettings + "[peers]\nkey = \"0123456789abcdef\"\n", noEnv,
 			"s.toml: peers.key_id: (missing): expected the id of the key, because a key is given"},
-		{"short key in the environment", minimal + "[peers]\nkey_id = \"k\"\n", shortKey,
+		{"short key in the environment", minimalSettings + "[peers]\nkey_id = \"k\"\n", shortKey,
 			"environment: peers.key: (hidden): expected text of at least 16 characters"},
-		{"level", minimal + "[log]\nlevel = \"loud\"\n", noEnv,
+		{"level", minimalSettings + "[log]\nlevel = \"loud\"\n", noEnv,
 			`s.toml: log.level: "loud": expected one of "debug", "info", "warn", "error"`},
 		{"missing parts", "[instance]\nid = \"entry-1\"\n[platform]\naddress = \"10.0.0.9:80\"\n", noEnv,
 			"s.toml: instance.data_centre: (missing): expected text matching ^[a-z0-9][a-z0-9._-]{0,62}$\ns.toml: listen: (missing): expected a table"},
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestMissingFile(t *testing.T) {
+func TestMissingFileIsReported(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "none.toml")
 	_, problems := Load(path, os.Getenv)
 	if len(problems) != 1 || problems[0].File != path {
--- a/tools/fleet/profile.go
+++ b/tools/fleet/profile.go
@@ -49,7 +49,7 @@
 	{"scheduling of groups", true, regexp.MustCompile(`internal/sched\.`)},
 	{"configuration", true, regexp.MustCompile(`internal/(confsync|inventory|catalog)\.`)},
 	{"membership", true, regexp.MustCompile(`internal/membership\.`)},
-	{"orders and hints of engines", true, regexp.MustCompile(`internal/orders\.|internal/hints\.|daemon\.\(\*(poller|orderer|engineOrders)|upstream\.\(\*Client\)\.(Load|CacheEvents|Order|Holds)`)},
+	{"orders and hints of engines", true, regexp.MustCompile(`internal/orders\.|internal/hints\.|daemon\.\(\*(poller|orderer|orderSender|engineOrders)|upstream\.\(\*Client\)\.(Load|CacheEvents|Order|Holds)`)},
 	{"ticks", true, regexp.MustCompile(`daemon\.\(\*Daemon\)\.tick`)},
 	{"accounting", false, regexp.MustCompile(`internal/accounting\.`)},
 	{"counting relayed tokens", false, regexp.MustCompile(`node\.\(\*Progress\)\.Token`)},
