--- a/cmd/basilrudder/main.go
+++ b/cmd/basilrudder/main.go
@@ -1,5 +1,5 @@
-// Command basilrudder is for operators: it checks inventories, reads reports
-// and runs trials.
+// Command basilrudder is the operators' tool. It validates inventories, shows the state of
+// instances, prints reports and runs trials.
 package main
 
 import (
--- a/cmd/basilrudderd/main.go
+++ b/cmd/basilrudderd/main.go
@@ -1,4 +1,4 @@
-// Command basilrudderd is one instance of the router.
+// Command basilrudderd runs one instance of the router.
 package main
 
 import (
@@ -30,7 +30,7 @@
 	Relay relayCommand `cmd:"" help:"Relay requests on the users' platform."`
 }
 
-// serveCommand runs an instance with the product's own interface.
+// serveCommand runs an instance that serves basilrudder's own caller interface.
 type serveCommand struct {
 	Settings string `arg:"" help:"Settings file (TOML)." type:"path"`
 	LogLevel string `help:"Overrides log.level." enum:",debug,info,warn,error" default:"" env:"BASILRUDDER_LOG_LEVEL"`
@@ -46,7 +46,7 @@
 	}
 }
 
-// Run implements the command.
+// Run executes the command. It exits with exitBadInput if the settings are invalid.
 func (c *serveCommand) Run() error {
 	s, problems := checked.Load(c.Settings, os.Getenv)
 	if len(problems) > 0 {
@@ -62,7 +62,8 @@
 	return run(s)
 }
 
-// run serves until the first SIGTERM or SIGINT and its drain.
+// run serves requests until the drain that the first SIGTERM or SIGINT starts has finished,
+// or until the second signal.
 func run(s *settings.Settings) error {
 	limitMemory()
 	log, err := newLog(string(s.Log.Level))
@@ -88,9 +89,9 @@
 	return err
 }
 
-// handleSignals drains at the first SIGTERM or SIGINT and ends at once at the
-// second, still writing the accounting lines of what has ended. The third one
-// kills, should even that hang.
+// handleSignals starts the drain at the first SIGTERM or SIGINT and aborts at the second;
+// accounting lines of finished requests are still written. It then restores the default
+// handling, so that a third signal kills the process if the shutdown hangs.
 func handleSignals(drain, abort func()) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -101,7 +102,8 @@
 	abort()
 }
 
-// newLog writes to standard error; standard output carries accounting alone.
+// newLog returns a logger that writes to standard error. Standard output is reserved for
+// accounting lines.
 func newLog(level string) (*zap.Logger, error) {
 	parsed, err := zapcore.ParseLevel(level)
 	if err != nil {
--- a/cmd/basilrudderd/memory.go
+++ b/cmd/basilrudderd/memory.go
@@ -7,16 +7,16 @@
 
 const (
 	memoryLimitVariable = "GOMEMLIMIT"
-	// memoryLimit is in bytes. Putting a changed inventory of 27,000 customers
-	// in force doubles the live heap for a moment, and the collector would let
-	// it double again before it runs. The limit makes it run earlier instead,
-	// and leaves room below the 128 MB an instance may take for what the limit
-	// does not count: the program's text. It is soft: an instance whose settings
-	// let it keep far more answers needs a higher one in the environment.
+	// memoryLimit is the default soft memory limit in bytes. Installing a changed
+	// inventory of 27,000 customers briefly doubles the live heap, and without a limit the
+	// garbage collector would let the heap double again before it runs. The limit makes it
+	// run earlier. It is below the 128 MB that an instance may use because it does not
+	// count the program's text. An instance whose settings allow it to keep far more
+	// answers needs a higher limit in the environment, or it collects garbage constantly.
 	memoryLimit = 112_000_000
 )
 
-// limitMemory bounds the heap unless the operator has set a bound.
+// limitMemory sets the soft memory limit unless the operator has set GOMEMLIMIT.
 func limitMemory() {
 	if os.Getenv(memoryLimitVariable) == "" {
 		debug.SetMemoryLimit(memoryLimit)
--- a/cmd/basilrudderd/relay.go
+++ b/cmd/basilrudderd/relay.go
@@ -24,11 +24,12 @@
 	Check    bool   `help:"Check the settings and exit."`
 }
 
-// gcPercent lets the heap grow to four times what lives before it is
-// collected: what lives is some 10 MB, and processor time is scarcer than memory.
+// gcPercent lets the heap grow to four times the live heap before a collection. The live
+// heap is about 10 MB, and CPU time is scarcer than memory: a lower value costs more CPU
+// time, a higher one more memory.
 const gcPercent = 300
 
-// Run implements the command.
+// Run executes the command. It exits with exitBadInput if the settings are invalid.
 func (c *relayCommand) Run() error {
 	s, problems := gateway.LoadSettings(c.Settings)
 	if len(problems) > 0 {
@@ -75,8 +76,8 @@
 	return s, nil
 }
 
-// reloadOnSignal takes changed settings at a SIGHUP at once; without one they
-// are noticed within a second.
+// reloadOnSignal reloads the settings at once on SIGHUP. Without a signal, the gateway
+// detects changed settings within a second.
 func reloadOnSignal(g *gateway.Gateway) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -13,12 +13,14 @@
 )
 
 const (
+	// adminTimeout bounds reading a request and writing its response. A longer one lets
+	// a stalled client hold its connection for longer.
 	adminTimeout = 5 * time.Second
 	pathVars     = "/debug/vars"
 	pathStatus   = "/v1/status"
 )
 
-// serveAdmin serves metrics and what the instance believes.
+// serveAdmin serves metrics and the status of the instance until ctx is cancelled.
 func (d *Daemon) serveAdmin(ctx context.Context) error {
 	server := &fasthttp.Server{
 		Handler:      d.admin,
--- a/internal/daemon/backend.go
+++ b/internal/daemon/backend.go
@@ -20,14 +20,17 @@
 	"basilrudder/internal/verdict"
 )
 
-// homeRetryAfter is when a caller whose request's home can't be reached should ask
-// again.
+// homeRetryAfter is the Retry-After for callers when the home of their request is
+// unreachable: the process that the request id is bound to. A shorter one adds retries, a
+// longer one delays the caller after the home has become reachable.
 const homeRetryAfter = time.Second
 
-// probeTimeout bounds the connection that tells whether a silent home has ended.
+// probeTimeout bounds the connection attempt that determines whether an unresponsive home
+// has exited. The caller waits for it. If it is too short, a home that has exited is
+// reported as unreachable instead of gone.
 const probeTimeout = 300 * time.Millisecond
 
-// backend serves the caller interface from the node.
+// backend implements callers.Backend with the node and the stored answers.
 type backend struct {
 	self        reqid.Incarnation
 	dataCentre  string
@@ -65,8 +68,8 @@
 	return log, id.Text, nil
 }
 
-// admit hands the request to the node. The node may start it before Submit
-// returns, so what the dispatcher needs is put down first.
+// admit submits the request to the node. The request is registered with the dispatcher
+// first because the node may start it before Submit returns.
 func (b *backend) admit(now monotime.Instant, in *callers.Request, key answers.Key, log *answers.Log) *verdict.Error {
 	h := &activeRequest{request: in, log: log, key: key}
 	if !b.dispatcher.register(h) {
@@ -86,9 +89,9 @@
 	return nil
 }
 
-// requestID returns the id under which the request runs. An id of the caller's own,
-// which the caller interface lets through for idempotent classes only, is
-// replaced: nothing depends on it.
+// requestID returns the id under which the request runs. An id of the caller's own making
+// is replaced by a new one. The caller interface accepts such ids for idempotent classes
+// only, where nothing depends on the id.
 func (b *backend) requestID(in *callers.Request) (reqid.ID, *verdict.Error) {
 	if id, err := reqid.Parse(in.ID); err == nil {
 		return id, nil
@@ -100,7 +103,7 @@
 	return id, nil
 }
 
-// newID returns a new id bound to this process.
+// newID returns a new request id bound to this process.
 func (b *backend) newID() string {
 	prefix, _ := b.self.Prefix(time.Now(), node.IDLifetime)
 	return prefix + newNonce()
@@ -108,8 +111,8 @@
 
 var nonceEncoding = base32.HexEncoding.WithPadding(base32.NoPadding)
 
-// newNonce returns a random nonce. It need not be a secret: an answer is given
-// to its customer's credential only.
+// newNonce returns a random nonce. It need not be secret because an answer is returned only
+// to the credential of its customer.
 func newNonce() string {
 	var raw [10]byte
 	binary.LittleEndian.PutUint64(raw[:], rand.Uint64())
@@ -162,10 +165,10 @@
 	switch {
 	case ok && member.Incarnation == parsed.Token:
 		return member.CallerAddress, false, nil
-	// "Gone" is final for the caller, who then takes the answer for lost. So it
-	// is said only of a process known to have ended: not of one that fell
-	// silent and may be paused or behind a partition, and not by an instance
-	// that has just started or woken and has not heard of the fleet yet.
+	// "Gone" is final: the caller then treats the answer as lost. It is returned only for a
+	// process that has certainly exited. An unresponsive process may be paused or on the
+	// other side of a partition, and an instance without a confirmed view, after its start
+	// or a pause, may not have received the member yet.
 	case !view.Confirmed, unresponsive && !hasExited(missing.CallerAddress):
 		return "", false, homeUnreachable()
 	default:
@@ -174,9 +177,9 @@
 	}
 }
 
-// hasExited reports whether nothing listens at the address of a silent process
-// any more. A stopped process and one behind a partition do not refuse: their
-// host takes the connection, or nothing answers.
+// hasExited reports whether nothing listens at the address of an unresponsive process. The
+// connection is refused only then: for a stopped process the host accepts it, and across
+// a partition the attempt times out.
 func hasExited(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, probeTimeout)
 	if err == nil {
--- a/internal/daemon/backend_test.go
+++ b/internal/daemon/backend_test.go
@@ -10,11 +10,11 @@
 	"basilrudder/internal/verdict"
 )
 
-// A caller asks another instance for the answer of a request whose home sleeps
-// or stands beyond a partition. Told that the home is gone, it would take the
-// answer for lost, while the home wakes and finishes it. Only a process known
-// to have ended is gone: a newer one has its place, or nothing listens at its
-// address, or the fleet, heard since the start, does not know it.
+// A caller asks another instance for the answer of a request whose home is paused or on the
+// other side of a partition. If the home were reported as gone, the caller would treat the
+// answer as lost although the home recovers and finishes it. A process is gone only if it
+// was replaced by a newer one, nothing listens at its address, or the fleet's view,
+// confirmed since the start, does not contain it.
 func TestHomeGoneOnlyAfterProcessExit(t *testing.T) {
 	stopped, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,12 +32,12 @@
 		want verdict.Reason
 	}{
 		{"no view yet", "b:1:zz:n", nil, verdict.ReasonHomeUnreachable},
-		{"nobody heard since the start", "b:1:zz:n", &membership.View{}, verdict.ReasonHomeUnreachable},
+		{"view not confirmed since the start", "b:1:zz:n", &membership.View{}, verdict.ReasonHomeUnreachable},
 		{"alive", "b:1:zz:n", &membership.View{Confirmed: true, Live: []membership.Member{member("b", "1")}}, ""},
 		{"leaving", "b:1:zz:n", &membership.View{Confirmed: true, Leaving: []membership.Member{member("b", "1")}}, ""},
-		{"silent", "b:1:zz:n", &membership.View{Confirmed: true, Missing: []membership.Member{member("b", "1")}}, verdict.ReasonHomeUnreachable},
-		{"silent, and nothing listens", "b:1:zz:n", &membership.View{Confirmed: true, Missing: []membership.Member{ended}}, verdict.ReasonHomeGone},
-		{"an older process, the newer silent", "b:1:zz:n", &membership.View{Confirmed: true, Missing: []membership.Member{member("b", "2")}}, verdict.ReasonHomeGone},
+		{"unresponsive", "b:1:zz:n", &membership.View{Confirmed: true, Missing: []membership.Member{member("b", "1")}}, verdict.ReasonHomeUnreachable},
+		{"unresponsive, nothing listens", "b:1:zz:n", &membership.View{Confirmed: true, Missing: []membership.Member{ended}}, verdict.ReasonHomeGone},
+		{"older process, newer one unresponsive", "b:1:zz:n", &membership.View{Confirmed: true, Missing: []membership.Member{member("b", "2")}}, verdict.ReasonHomeGone},
 		{"replaced", "b:1:zz:n", &membership.View{Confirmed: true, Live: []membership.Member{member("b", "2")}}, verdict.ReasonHomeGone},
 		{"unknown", "c:1:zz:n", &membership.View{Confirmed: true, Live: []membership.Member{member("b", "1")}}, verdict.ReasonHomeGone},
 	} {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires an instance to its I/O: listeners for callers, peers and
-// operators, links to peers, clients of upstreams and of the platform.
+// Package daemon connects an instance to its I/O: the listeners for callers, peers and
+// operators, the links to peers, and the clients of upstreams and the platform.
 package daemon
 
 import (
@@ -34,21 +34,23 @@
 )
 
 const (
-	// cancelTimeout bounds telling an engine to stop.
+	// cancelTimeout bounds a request to an engine to cancel a run. If it is too short for
+	// an engine, the run goes on until the time allowed for a resumption has passed; a
+	// larger value delays the end of the attempt when the engine does not respond.
 	cancelTimeout = 2 * time.Second
-	// defaultKeyID and defaultKey sign links until the configuration names keys.
-	// The key is published, so it keeps out mistakes and no attacker.
+	// defaultKeyID and defaultKey authenticate links until the configuration has keys. The
+	// key is public: it prevents accidental connections but not attacks.
 	defaultKeyID = "bootstrap"
 	defaultKey   = "basilrudder-bootstrap-key"
 )
 
 // Listeners are the open sockets of a daemon.
 type Listeners struct {
-	// Callers, Peers and Admin accept connections of each kind.
+	// Callers, Peers and Admin accept the connections of callers, peers and operators.
 	Callers, Peers, Admin net.Listener
 }
 
-// Listen opens the sockets that the settings name.
+// Listen opens the sockets given in the settings. If one fails, it closes the others.
 func Listen(s *settings.Settings) (Listeners, error) {
 	var out Listeners
 	var err error
@@ -75,13 +77,13 @@
 
 // Config configures a Daemon.
 type Config struct {
-	// Settings that were checked.
+	// Settings must be validated.
 	Settings *settings.Settings
-	// Listeners are open.
+	// Listeners must be open.
 	Listeners Listeners
-	// Records takes the accounting lines.
+	// Records receives the accounting lines.
 	Records *accounting.Writer
-	// Log takes everything else.
+	// Log receives all other log lines.
 	Log *zap.Logger
 }
 
@@ -89,10 +91,10 @@
 type Daemon struct {
 	*dispatcher
 	cfg Config
-	// ctx lasts from New to the end of Run.
+	// ctx is valid from New to the end of Run; cancel ends it.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// aborted ends when Abort is called.
+	// aborted is cancelled by Abort, or when a part of Run fails.
 	aborted     context.Context
 	abort       context.CancelFunc
 	instance    *instance.Instance
@@ -106,7 +108,7 @@
 	tasks       sync.WaitGroup
 }
 
-// New returns a daemon that does nothing until Run.
+// New returns a daemon that serves nothing until Run is called.
 func New(cfg Config) (*Daemon, error) {
 	s := cfg.Settings
 	seed := rand.Uint64()
@@ -193,10 +195,10 @@
 	}
 }
 
-// keys returns the published keys and the one from the settings, which stays
-// valid so that a new process can reach its peers before it has a configuration.
-// The default key is public: once keys are published it is accepted no longer,
-// or anybody could speak as an instance.
+// keys returns the published keys and the key from the settings. The latter stays valid so
+// that a new process can connect to its peers before it has a configuration. The public
+// default key is not accepted once keys are published: anyone could pose as an instance
+// with it.
 func (d *Daemon) keys(cat *catalog.Catalog) []peer.Key {
 	var keys []peer.Key
 	if cat != nil {
@@ -229,13 +231,14 @@
 	}
 }
 
-// runAsync runs do outside the locks that the caller holds.
+// runAsync runs task in a goroutine of its own, without the locks that the caller holds.
 func (d *Daemon) runAsync(task func()) {
 	d.tasks.Go(task)
 }
 
-// Run serves until ctx ends and the drain is over, or until Abort. Requests that
-// were cut off make it return ErrCutOff.
+// Run serves until ctx is cancelled and the drain has finished, or until Abort. It returns
+// ErrCutOff if requests were still in flight, or connections of callers still open, at
+// the end.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.publishVars()()
 	group, groupCtx := errgroup.WithContext(d.ctx)
@@ -311,9 +314,9 @@
 	d.runAsync(func() { d.links.SetKeys(d.keys(cat)) })
 }
 
-// Report implements instance.Effects. All but an installed revision wants
-// somebody's eyes; one that was refused or that exists twice stays out of force
-// until somebody publishes again.
+// Report implements instance.Effects. All events other than an installed revision need an
+// operator's attention. A revision that was refused, or that exists with different contents,
+// is not installed until a revision is published again.
 func (d *Daemon) Report(event confsync.Event) {
 	level := zapcore.WarnLevel
 	switch event.Kind {
@@ -325,7 +328,7 @@
 	fields := []zap.Field{zap.String("kind", string(event.Kind)), zap.Uint64("revision", event.Revision),
 		zap.String("hash", event.Hash), zap.String("from", event.From)}
 	if event.Err != nil {
-		// The text alone: an error's fields in JSON lose what it wraps.
+		// Only the text is logged: the JSON encoding of an error loses the wrapped errors.
 		fields = append(fields, zap.String("error", event.Err.Error()))
 	}
 	d.cfg.Log.Log(level, "configuration event", fields...)
--- a/internal/daemon/directory.go
+++ b/internal/daemon/directory.go
@@ -13,16 +13,19 @@
 )
 
 const (
-	// loadSteps coarsens this instance's load, so that answers stay the same
-	// while it varies a little.
+	// loadSteps is the number of steps to which this instance's load is rounded down. With
+	// more steps, directory answers change with small variations of the load; with fewer,
+	// callers are directed elsewhere only when the instance is nearly full.
 	loadSteps = 4
-	// fullLoad is the load of an instance that holds all the requests it may.
+	// fullLoad is the load of an instance that holds as many requests as its settings
+	// allow, relative to 1 for an idle one. The larger it is, the fewer callers are
+	// directed to a full instance.
 	fullLoad = 4
 )
 
-// Directory implements callers.Backend. An instance knows its own load only;
-// since callers mostly ask one of the instances they use, that is the load that
-// matters: one that is full sends its own callers elsewhere.
+// Directory implements callers.Backend. Only the instance's own load is available; the
+// others count as idle. That is sufficient because callers mostly ask one of the instances
+// that they use: a full instance directs its own callers to others.
 func (b *backend) Directory(customer *catalog.Customer) callerapi.Directory {
 	cat, view := b.node.Catalog(), b.node.View()
 	if view == nil {
@@ -44,8 +47,8 @@
 	})
 }
 
-// idPrefix binds request ids to a member for as long as the answer lives and
-// the request may be repeated after.
+// idPrefix returns a prefix that binds request ids to a member. It is valid while the
+// directory answer is, and for as long afterwards as a request may be repeated.
 func idPrefix(m membership.Member, ttl time.Duration) string {
 	incarnation := reqid.Incarnation{Instance: m.ID, Token: m.Incarnation}
 	prefix, _ := incarnation.Prefix(time.Now(), ttl+node.IDLifetime)
--- a/internal/daemon/dispatcher.go
+++ b/internal/daemon/dispatcher.go
@@ -17,18 +17,18 @@
 	"basilrudder/internal/verdict"
 )
 
-// activeRequest is a request of this instance with what a node does not need to know.
+// activeRequest holds the parts of an unfinished request that the node does not need.
 type activeRequest struct {
 	request *callers.Request
 	log     *answers.Log
 	key     answers.Key
 
-	// cancel stops the running attempt; nil before the first.
+	// cancel cancels the running attempt; nil before the first attempt.
 	cancel context.CancelCauseFunc
 }
 
-// dispatcher carries out what the node decides: it runs attempts at upstreams
-// and relays their tokens into the answers' logs.
+// dispatcher implements node.Effects. It runs attempts at upstreams and copies their tokens
+// to the logs of the answers.
 type dispatcher struct {
 	ctx         context.Context
 	node        *node.Node
@@ -42,8 +42,8 @@
 	attempts sync.WaitGroup
 }
 
-// register puts a request down before the node may start it, and reports whether its
-// id was free.
+// register adds a request before the node may start it. It returns false if the id is in
+// use.
 func (d *dispatcher) register(h *activeRequest) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -87,7 +87,7 @@
 	})
 }
 
-// errCancelled is the cause of a cancelled attempt.
+// errCancelled is the cancellation cause of an attempt whose caller disconnected.
 var errCancelled = verdict.New(verdict.MayHaveRun, verdict.ReasonCallerGone, "cancelled because the caller left")
 
 // CancelAttempt implements node.Effects.
@@ -116,7 +116,7 @@
 	d.answerStore.Finish(monotime.Now(), h.key)
 }
 
-// run makes one attempt and returns how it ended.
+// run executes one attempt and returns its error, or nil if it completed.
 func (d *dispatcher) run(ctx context.Context, attempt node.Attempt, h *activeRequest) *verdict.Error {
 	target := targetOf(attempt.Engine)
 	if attempt.Engine.Server.Spec.Kind == inventory.ServerKindApplication {
@@ -136,7 +136,8 @@
 	return d.withDrainingReason(err)
 }
 
-// withDrainingReason names the end of the process as the reason of an attempt that it ended.
+// withDrainingReason sets the reason of a failed attempt to draining if the daemon is
+// stopping, since that ended the attempt.
 func (d *dispatcher) withDrainingReason(err *verdict.Error) *verdict.Error {
 	if err == nil || d.ctx.Err() == nil {
 		return err
@@ -146,8 +147,8 @@
 	return &out
 }
 
-// cancelAtEngine tells the engine to stop: closing the connection alone leaves
-// it generating for the time in which a resumption may come.
+// cancelAtEngine cancels the run at the engine. Closing the connection is not sufficient:
+// the engine would continue to generate while a resumption is still possible.
 func (d *dispatcher) cancelAtEngine(target upstream.Target, id string) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(d.ctx), cancelTimeout)
 	defer cancel()
@@ -177,7 +178,8 @@
 	return nil
 }
 
-// answerSink copies tokens from an upstream into an answer.
+// answerSink appends the tokens of an upstream to the log of an answer. Tokens that the log
+// already has, which a resumption may repeat, are skipped.
 type answerSink struct {
 	log      *answers.Log
 	progress *node.Progress
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -11,21 +11,27 @@
 )
 
 const (
+	// drainPollInterval is how often a drain checks whether requests remain. It delays the
+	// end of a drain by up to its value.
 	drainPollInterval = 100 * time.Millisecond
-	// goodbyeDelay lets the last news leave before the links close.
+	// goodbyeDelay is the time to send the last updates to peers before the links close. If
+	// it is too short, peers do not receive them; each drain takes longer by its value.
 	goodbyeDelay = 100 * time.Millisecond
-	// refusalTimeout is the time for refusals of requests that never started.
+	// refusalTimeout bounds the time for sending the last answers, such as refusals of
+	// requests that never started. Callers that have not received theirs by then find
+	// their connection closed; a larger value delays the exit while connections are open.
 	refusalTimeout = 100 * time.Millisecond
 )
 
-// ErrCutOff says that the daemon ended with requests in flight.
+// ErrCutOff reports that the daemon stopped while requests were in flight or connections of
+// callers were open.
 var ErrCutOff = errors.New("requests in flight were cut off")
 
-// drain goes on until no request is in flight. First the instance announces that
-// it leaves, so that directory answers no longer name it, and goes on serving
-// until the last answer that named it has expired. Then it refuses new requests
-// and waits for those it holds, however long they take, unless the settings
-// bound the drain. docs/design/drain.md tells why.
+// drain returns when no request is in flight, ctx is cancelled, or the limit in the settings
+// is reached. The instance first announces that it leaves, which removes it from directory
+// answers, and serves until the last answer that contains it has expired. It then refuses
+// new requests and waits for the remaining ones, without a time limit unless the settings
+// give one. docs/design/drain.md gives the reasons.
 func (d *Daemon) drain(ctx context.Context) {
 	if limit := d.cfg.Settings.Limits.DrainS; limit > 0 {
 		var cancel context.CancelFunc
@@ -42,14 +48,15 @@
 	d.instance.Goodbye(monotime.Now())
 	sleep(ctx, goodbyeDelay)
 	if ctx.Err() == nil {
-		// Requests that this instance passes on to others are in flight here too.
+		// Requests that this instance forwards to other instances are also in flight here.
 		_ = d.callers.Shutdown(ctx)
 	}
 }
 
-// terminateRemaining closes what is still open. After a drain that is nothing; else callers
-// are told that their requests did not run, or may have run. Waiting requests go
-// first: ending a running one frees a slot, which would start one of them.
+// terminateRemaining ends the remaining requests and closes the listeners. After a complete
+// drain no requests remain; otherwise their callers receive a refusal that says whether the
+// request did not run or may have run. Waiting requests are refused first, because the end
+// of a running request frees a slot, in which a waiting one would start.
 func (d *Daemon) terminateRemaining() error {
 	remaining := d.node.Status(monotime.Now()).Requests
 	d.node.RefuseWaiting(monotime.Now())
@@ -59,13 +66,13 @@
 	d.cfg.Listeners.Close()
 	d.cfg.Log.Info("ended", zap.Int("cut_off", remaining), zap.Bool("connections_open", open))
 	if remaining > 0 || open {
-		return errors.Wrapf(ErrCutOff, "%d held here", remaining)
+		return errors.Wrapf(ErrCutOff, "%d requests remaining", remaining)
 	}
 	return nil
 }
 
-// Abort ends Run at once, without a drain or in the middle of one. Callers of
-// requests in flight are told that they may have run.
+// Abort ends Run at once, without a drain or during one. Callers of running requests
+// receive a refusal that says that the request may have run.
 func (d *Daemon) Abort() {
 	d.abort()
 }
--- a/internal/daemon/keys_test.go
+++ b/internal/daemon/keys_test.go
@@ -11,8 +11,8 @@
 	"basilrudder/internal/schema/settings"
 )
 
-// Anybody can read the default key in the source. It opens links only as long as
-// no key is published; the key of the settings stays valid beside published ones.
+// The default key is public in the source, so it must be rejected once keys are published.
+// The key from the settings stays valid alongside published keys.
 func TestDefaultPeerKeyRejectedOncePublished(t *testing.T) {
 	published := catalog.Compile(1, &inventory.Inventory{PeerKeys: []inventory.PeerKey{{ID: "new", Secret: "secret-of-the-fleet"}}})
 	own := settings.PeerSettings{KeyID: "own", Key: "secret-of-settings"}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -7,18 +7,17 @@
 	"basilrudder/internal/monotime"
 )
 
-// publishedVars holds the variables of the daemons of this process by instance id.
-// expvar panics when a name is publishedVars twice, and one process may run several
-// daemons, also two of one id while the older one drains. So the process
-// publishes one map, and each daemon has its place there while it runs.
+// publishedVars holds the variables of the daemons of this process by instance id. expvar
+// panics if a name is published twice, and a process may run several daemons, including two
+// with the same id while the older one drains. The process therefore publishes one map, and
+// each daemon has an entry in it while it runs.
 var publishedVars = struct {
 	sync.Mutex
 	vars *expvar.Map
 }{vars: expvar.NewMap("basilrudder")}
 
-// vars returns what the daemon measures, each part beside what it measures.
-// The accounting counters are those of the writer, which daemons of one
-// process may share.
+// vars returns the daemon's variables, grouped by component. The accounting counters are
+// those of the writer, which daemons of one process may share.
 func (d *Daemon) vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
 	vars.Set("accounting", d.cfg.Records.Vars())
@@ -33,7 +32,8 @@
 	return vars
 }
 
-// publishVars puts the variables up and returns how to take them down.
+// publishVars publishes the daemon's variables. The returned function removes them, unless
+// another daemon with the same id has replaced them.
 func (d *Daemon) publishVars() (withdraw func()) {
 	vars := d.vars()
 	publishedVars.Lock()
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -18,21 +18,27 @@
 )
 
 const (
-	// maxConcurrentOrderCalls bounds the calls of the reconciler at a time.
+	// maxConcurrentOrderCalls limits the concurrent calls of the reconciler to engines. A
+	// smaller value delays orders when engines respond slowly; a larger one opens more
+	// connections at once.
 	maxConcurrentOrderCalls = 8
-	// orderCallTimeout bounds one of them, below the reconciler's own patience.
+	// orderCallTimeout bounds one call. It must be below orders.DefaultTimeout, or the
+	// reconciler repeats a call whose result is still due.
 	orderCallTimeout = 2 * time.Second
-	// peerDiscoveryTimeout is how long an instance that has met no peer yet orders nothing.
-	// It would otherwise take itself for the owner of every engine at its start.
+	// peerDiscoveryTimeout is how long an instance without a confirmed view of the fleet
+	// sends no orders after its start. With a shorter time it would act as the owner of
+	// every engine before it has found its peers; a longer one delays the orders of an
+	// instance that is alone.
 	peerDiscoveryTimeout = 10 * time.Second
 )
 
-// weightStore is the name whose owner issues the permits for loads.
+// weightStore is a pseudo group. Its owner issues the permits for loading weights from the
+// weight store.
 var weightStore = &catalog.Group{Name: "weight-store"}
 
-// orderSender keeps the engines of the groups that this instance owns at what the
-// configuration wants them to hold. Unlike the scheduling of a group, which
-// begins with the first request, orders are due for groups without traffic too.
+// orderSender orders the engines of the groups that this instance owns to hold the models
+// that the configuration assigns to them. Scheduling of a group begins with its first
+// request, but orders are also sent for groups without traffic.
 type orderSender struct {
 	node      *node.Node
 	clients   *upstream.Client
@@ -42,7 +48,7 @@
 	callSlots chan struct{}
 
 	mu          sync.Mutex
-	firstTick   monotime.Instant // the first tick
+	firstTick   monotime.Instant
 	reconciler  *orders.Reconciler
 	loadPermits *orders.LoadPermits
 	revision    uint64
@@ -63,8 +69,8 @@
 	}
 }
 
-// tick makes the calls that are due. While the configuration is not confirmed
-// nothing is ordered, and what engines reported before is forgotten.
+// tick starts the calls that are due. While the configuration is not confirmed, no orders
+// are sent and the engines' earlier reports are discarded.
 func (o *orderSender) tick(ctx context.Context, now monotime.Instant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -89,7 +95,7 @@
 	return view != nil && (view.Confirmed || now.Sub(o.firstTick) > peerDiscoveryTimeout)
 }
 
-// reconfigure takes a new configuration or a new membership.
+// reconfigure applies a new configuration or a new view of the fleet, if there is one.
 func (o *orderSender) reconfigure(now monotime.Instant) {
 	cat, view := o.node.Catalog(), o.node.View()
 	if cat == nil || view == nil || cat.Revision == o.revision && view.Version == o.version {
@@ -106,8 +112,8 @@
 	o.reconciler.Reconfigure(now, cat, func(e *catalog.Engine) bool { return owns[e.Server.Group] })
 }
 
-// run makes one call. A pause of the process between the decision and this
-// point would make an order stale, so that the question is asked again here.
+// run makes one call and applies its result. The order may have become stale if the process
+// paused since the decision, so call checks again that it may be sent.
 func (o *orderSender) run(ctx context.Context, action orders.Action) {
 	o.callSlots <- struct{}{}
 	defer func() { <-o.callSlots }()
@@ -125,8 +131,8 @@
 	o.logBehind()
 }
 
-// errStale ends an order that was overtaken.
-var errStale = verdict.New(verdict.NotRun, verdict.ReasonPaused, "the order was overtaken by a pause or a newer revision")
+// errStale reports an order that was not sent because it is stale.
+var errStale = verdict.New(verdict.NotRun, verdict.ReasonPaused, "the order is stale after a pause or a newer revision")
 
 func (o *orderSender) call(ctx context.Context, action orders.Action) (engineapi.OrderAnswer, *verdict.Error) {
 	target := targetOf(action.Engine)
@@ -142,8 +148,8 @@
 	return o.clients.Order(ctx, target, action.Order)
 }
 
-// logBehind tells operators once that engines know a newer revision: no
-// orders go out until this instance has it too.
+// logBehind logs a warning, once, when engines have received a newer revision. No orders are
+// sent until this instance has that revision.
 func (o *orderSender) logBehind() {
 	behind := o.reconciler.Behind()
 	if behind && !o.behind {
@@ -152,7 +158,7 @@
 	o.behind = behind
 }
 
-// onEnvelope takes the parts of a peer's message that concern loads.
+// onEnvelope handles the load permit messages in an envelope from a peer.
 func (o *orderSender) onEnvelope(now monotime.Instant, from string, env *wire.Envelope) {
 	if env.LoadAsk == nil && env.LoadGive == nil {
 		return
@@ -170,12 +176,12 @@
 	}
 }
 
-// OrderStatus is the belief about orders to engines.
+// OrderStatus is the state of the orders to engines.
 type OrderStatus struct {
 	orders.Stats
-	// Behind says that engines have seen a newer revision than this instance.
+	// Behind reports that engines have received a newer revision than this instance's.
 	Behind bool `json:"behind"`
-	// Loads from the weight store.
+	// Loads is the state of the permits for loads from the weight store.
 	Loads orders.LoadPermitStats `json:"loads"`
 }
 
--- a/internal/daemon/orders_test.go
+++ b/internal/daemon/orders_test.go
@@ -23,8 +23,8 @@
 	"basilrudder/internal/upstream"
 )
 
-// orderFixture is an instance alone before one engine that ignores fencing
-// numbers. Its time is the test's.
+// orderFixture is a single instance with one engine that ignores fencing numbers. The test
+// controls its time.
 type orderFixture struct {
 	t       *testing.T
 	now     monotime.Instant
@@ -56,8 +56,7 @@
 	return b
 }
 
-// install puts a revision in force that wants the model in the version of its
-// number.
+// install installs a revision that assigns the model version with the revision's number.
 func (b *orderFixture) install(revision uint64) {
 	inv := &inventory.Inventory{
 		Models: []inventory.Model{{Name: "m", Version: string(rune('0' + revision))}},
@@ -70,7 +69,7 @@
 	b.node.SetCatalog(b.now, catalog.Compile(revision, inv))
 }
 
-// run lets time pass, with every call ended before it goes on.
+// run advances the time by d in ticks and waits for all calls after each tick.
 func (b *orderFixture) run(d time.Duration) {
 	for end := b.now.Add(d); b.now < end; b.now = b.now.Add(node.TickInterval) {
 		b.node.Tick(b.now)
@@ -86,10 +85,10 @@
 	}
 }
 
-// What operators see: the engine keeps version 2. An instance sleeps through
-// the change to it, which another instance orders. On waking it still believes
-// in version 1, and the engine would obey. It must not order until somebody has
-// confirmed a configuration, also when nobody does for long.
+// Another instance orders version 2 while this instance is paused. After the pause this
+// instance still has the configuration with version 1, and the engine would obey its orders.
+// It must send none until a configuration is confirmed, even if that takes long. Otherwise
+// the engine would return to version 1.
 func TestNoOrdersAfterPauseUntilConfirmed(t *testing.T) {
 	b := newOrderFixture(t)
 	b.run(2 * orders.DefaultLease)
@@ -111,9 +110,9 @@
 	}
 }
 
-// What operators see: an engine cut off with a stale instance is not made to
-// change for ever. Nobody confirms the instance's configuration any more; after
-// a while it must take itself for the one that is wrong.
+// An instance with a stale configuration and an engine are isolated from the rest of the
+// fleet. When its configuration has not been confirmed for a while, the instance must send
+// no more orders. Otherwise it would keep changing the engine to the stale state.
 func TestNoOrdersWhenConfirmationExpires(t *testing.T) {
 	b := newOrderFixture(t)
 	b.run(10 * time.Minute)
@@ -122,6 +121,6 @@
 	b.server.Engine("e").Restart()
 	b.run(10 * time.Minute)
 	if after := b.sender.clients.Counters().Of(upstream.KindOrder).Calls; after != calls {
-		t.Errorf("%d orders by a configuration that nobody confirmed for ten minutes", after-calls)
+		t.Errorf("%d orders from a configuration not confirmed for ten minutes", after-calls)
 	}
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -10,7 +10,9 @@
 	"basilrudder/internal/monotime"
 )
 
-// platformTimeout bounds a read of a value, besides the client's own timeout.
+// platformTimeout bounds a call to the platform, in addition to the client's own timeout.
+// Watches may take their wait time on top of it: without the margin, a watch that returns
+// at the end of its wait would be reported as failed.
 const platformTimeout = 5 * time.Second
 
 // Watch implements instance.Effects.
@@ -42,7 +44,7 @@
 	d.call(platformTimeout, func(ctx context.Context) {
 		list, skipped, err := d.platform.Instances(ctx)
 		if skipped > 0 {
-			d.cfg.Log.Warn("instance list has entries that are not valid", zap.Int("skipped", skipped))
+			d.cfg.Log.Warn("instance list contains invalid entries", zap.Int("skipped", skipped))
 		}
 		d.instance.OnInstances(monotime.Now(), call, list, err)
 	})
--- a/internal/daemon/poll.go
+++ b/internal/daemon/poll.go
@@ -14,14 +14,17 @@
 )
 
 const (
-	// maxConcurrentPolls bounds the engines asked at a time for each kind of hint.
+	// maxConcurrentPolls limits the engines polled at the same time for each kind of hint.
+	// A smaller value delays the hints of an owner of many engines; a larger one opens
+	// more connections at once.
 	maxConcurrentPolls = 8
-	// pollTimeout bounds one question to an engine.
+	// pollTimeout bounds one poll of an engine. A longer one lets unresponsive engines
+	// delay the polls of others; a shorter one loses the hints of slow engines.
 	pollTimeout = time.Second
 )
 
-// poller asks the engines of the owned groups for load reports and cache
-// events. Other instances do not ask: the owner is the one that chooses.
+// poller polls the engines of the groups that this instance owns for load reports and cache
+// events. Only the owner polls because only the owner chooses engines for requests.
 type poller struct {
 	node    *node.Node
 	clients *upstream.Client
@@ -30,8 +33,8 @@
 	mu            sync.Mutex
 	loadSchedule  *hints.Schedule
 	cacheSchedule *hints.Schedule
-	// nextEvent is the next cache event to ask an engine for. A new owner asks for
-	// all that the engine still has, once.
+	// nextEvent maps an engine id to the next cache event to request. A new owner starts at
+	// 0 and so receives all events that the engine still has, once.
 	nextEvent map[string]int
 }
 
@@ -46,7 +49,7 @@
 	}
 }
 
-// tick asks the engines that are due.
+// tick polls the engines that are due.
 func (p *poller) tick(ctx context.Context, now monotime.Instant) {
 	cat := p.node.Catalog()
 	if cat == nil {
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -10,66 +10,70 @@
 	"basilrudder/internal/peer"
 )
 
-// Status is what an instance believes and how old each belief is.
+// Status is the state of an instance as it sees it, with the age of each part.
 type Status struct {
-	// Instance and Incarnation name the process.
+	// Instance and Incarnation identify the process.
 	Instance    string `json:"instance"`
 	Incarnation string `json:"incarnation"`
-	// DataCentre the instance stands in.
+	// DataCentre is the data centre in which the instance is located.
 	DataCentre string `json:"data_centre"`
 	// UptimeS is the age of the process in seconds.
 	UptimeS float64 `json:"uptime_s"`
-	// Node is what it believes of its requests and groups.
+	// Node is the state of the instance's requests and groups.
 	Node node.Status `json:"node"`
-	// Config is what it believes of the configuration.
+	// Config is the state of the configuration.
 	Config ConfigStatus `json:"config"`
-	// Members it believes to live.
+	// Members is the instance's view of the fleet.
 	Members MemberStatus `json:"members"`
-	// Orders to engines.
+	// Orders is the state of the orders to engines.
 	Orders OrderStatus `json:"orders"`
-	// Links that are open.
+	// Links lists the open links to peers.
 	Links []peer.Peer `json:"links"`
 }
 
-// ConfigStatus is the belief about the configuration.
+// ConfigStatus is the state of the configuration.
 type ConfigStatus struct {
-	// Revision in force.
+	// Revision is the revision in force; 0 if there is none.
 	Revision uint64 `json:"revision"`
-	// ConfirmedAgeS is the age of the last confirmation in seconds; -1 for never.
+	// ConfirmedAgeS is the time since the revision was last confirmed in seconds, or -1 if
+	// it never was.
 	ConfirmedAgeS float64 `json:"confirmed_age_s"`
-	// PlatformAgeS is the age of the platform's last word in seconds; -1 for never.
+	// PlatformAgeS is the time since the platform last confirmed the revision, to this
+	// instance or to one that it received this from, in seconds; -1 if unknown.
 	PlatformAgeS float64 `json:"platform_age_s"`
-	// Reader says whether the instance watches the platform.
+	// Reader reports whether the instance watches the platform.
 	Reader bool `json:"reader"`
-	// Stats counts events.
+	// Stats counts configuration events.
 	Stats confsync.Stats `json:"stats"`
 }
 
-// MemberStatus is the belief about the fleet.
+// MemberStatus is an instance's view of the fleet.
 type MemberStatus struct {
 	MemberCounts
-	// Live and Leaving name members.
+	// Live and Leaving list the members in these states.
 	Live    []membership.Member `json:"live"`
 	Leaving []membership.Member `json:"leaving"`
 }
 
-// MemberCounts is the belief about the fleet without its names, which a fleet
-// of hundreds would make too long for a metric.
+// MemberCounts summarizes an instance's view of the fleet without the list of members,
+// which would be too long for a metric in a fleet of hundreds.
 type MemberCounts struct {
-	// Version grows with each change.
+	// Version increases with each change of the view.
 	Version uint64 `json:"version"`
-	// Known counts members that live here or elsewhere.
+	// Known counts the live members and those that are unreachable but assumed to run in
+	// another part of the fleet.
 	Known int `json:"known"`
-	// LiveCount and LeavingCount count members.
+	// LiveCount and LeavingCount count the members in these states.
 	LiveCount    int `json:"live_count"`
 	LeavingCount int `json:"leaving_count"`
-	// Confirmed says whether a peer has answered since the start or a pause.
+	// Confirmed reports whether a peer has answered since the start or the last pause of
+	// the process.
 	Confirmed bool `json:"confirmed"`
-	// Stats counts events.
+	// Stats counts membership events.
 	Stats membership.Stats `json:"stats"`
 }
 
-// Status returns what the instance believes.
+// Status returns the state of the instance at now.
 func (d *Daemon) Status(now monotime.Instant) Status {
 	view := d.instance.Status(now).View
 	return Status{
@@ -122,7 +126,7 @@
 	return age.Seconds()
 }
 
-// StatusNow returns what the instance believes at this moment.
+// StatusNow returns the current state of the instance.
 func (d *Daemon) StatusNow() Status {
 	return d.Status(monotime.Now())
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings of one daemon.
+// Package settings loads and validates the settings of a daemon.
 package settings
 
 import (
@@ -10,8 +10,8 @@
 	"basilrudder/schema"
 )
 
-// PeerKeyVariable names the environment variable that goes before peers.key,
-// so that the secret need not stand in a file.
+// PeerKeyVariable is the environment variable that overrides peers.key, so that the secret
+// need not be stored in a file.
 const PeerKeyVariable = "BASILRUDDER_PEER_KEY"
 
 const (
@@ -21,8 +21,8 @@
 	maxPort           = 65535
 )
 
-// Load reads and checks the settings file at path. env looks an environment
-// variable up, like os.Getenv. It returns the settings, or every problem.
+// Load reads and validates the settings file at path. env returns the value of an
+// environment variable, like os.Getenv. Load returns either the settings or all problems.
 func Load(path string, env func(string) string) (*settings.Settings, schema.Problems) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return Parse(path, data, env)
 }
 
-// Parse is Load for a file already read; name stands in problems.
+// Parse is like Load for the content of a file. Problems refer to the file by name.
 func Parse(name string, data []byte, env func(string) string) (*settings.Settings, schema.Problems) {
 	out := &settings.Settings{}
 	if problems := schema.Decode(schemaRef, name, data, out); len(problems) > 0 {
@@ -86,8 +86,9 @@
 	return err == nil && number >= 1 && number <= maxPort
 }
 
-// validateKey refuses a key without an id: links would name the key "", which no
-// published key has, and the instance would stay alone when the key rotates.
+// validateKey rejects keys that are too short and keys without an id. Without an id, links
+// would name the key "". No published key has that id, so the instance would be unable to
+// connect to its peers after a key rotation.
 func validateKey(name, keySource string, peers settings.PeerSettings) schema.Problems {
 	var problems schema.Problems
 	if peers.Key != "" && len(peers.Key) < minKeyLength {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -92,7 +92,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, problems := Parse("s.toml", []byte(c.data), c.env)
 			if got != nil {
-				t.Error("broken settings were returned")
+				t.Error("invalid settings were returned")
 			}
 			_, lines, _ := strings.Cut(problems.Error(), "\n")
 			if diff := cmp.Diff(c.want, lines); diff != "" {
