--- a/internal/callers/chatbody.go
+++ b/internal/callers/chatbody.go
@@ -13,16 +13,19 @@
 )
 
 const (
-	// bytesPerToken estimates prompt tokens from the size of the messages.
+	// bytesPerToken estimates prompt tokens from the size of the messages: if it is too
+	// large, prompts are underestimated.
 	bytesPerToken = 4
-	// maxPromptTokens bounds what a caller may state.
+	// maxPromptTokens is the largest prompt_tokens that a caller may give. Longer
+	// prompts are refused.
 	maxPromptTokens = 1 << 24
-	// prefixBase is the base in which a prefix made here is written.
+	// prefixBase is the number base of a generated prefix. Changing it changes the
+	// prefixes, and with them the keys of engine caches.
 	prefixBase = 16
 )
 
-// chatBody is what the router reads of a chat completion request. The rest goes
-// to the engine as it is.
+// chatBody holds the members of a chat completion request that are read here. The other
+// members are passed to the engine unchanged.
 type chatBody struct {
 	Model               string            `json:"model"`
 	Messages            []json.RawMessage `json:"messages"`
@@ -33,30 +36,30 @@
 	Prefix              string            `json:"prefix"`
 }
 
-// chatRequest is a parsed body.
+// chatRequest is a parsed and completed chat completion request.
 type chatRequest struct {
-	body         []byte // to send upstream, a copy
+	body         []byte // sent upstream; a copy
 	stream       bool
 	promptTokens int
 	maxTokens    int
 	prefix       uint64
 }
 
-// parseChat checks the body of a chat completion request of the class.
+// parseChat parses and checks the body of a chat completion request of the class.
 func parseChat(raw []byte, class *catalog.Class) (chatRequest, *verdict.Error) {
 	var body chatBody
 	if err := json.Unmarshal(raw, &body); err != nil {
-		return chatRequest{}, badBody("the body is not a chat completion request: " + err.Error())
+		return chatRequest{}, badRequest("the body is not a chat completion request: " + err.Error())
 	}
 	if len(body.Messages) == 0 {
-		return chatRequest{}, badBody("messages must hold at least one message")
+		return chatRequest{}, badRequest("messages must hold at least one message")
 	}
 	if body.Model != "" && body.Model != class.Target {
-		return chatRequest{}, badBody(fmt.Sprintf("model is %q, but the class %q is served by %q",
+		return chatRequest{}, badRequest(fmt.Sprintf("model is %q, but the class %q is served by %q",
 			body.Model, class.Name, class.Target))
 	}
 	prefix := cachePrefix(&body)
-	// Engines name the key of a prefix in their cache events by the same hash.
+	// Engines use the same hash of the prefix as the key in their cache events.
 	request := chatRequest{stream: body.Stream, prefix: xxhash.Sum64String(prefix)}
 	var err *verdict.Error
 	if request.promptTokens, err = promptTokens(&body); err != nil {
@@ -69,14 +72,14 @@
 	return request, nil
 }
 
-func badBody(message string) *verdict.Error {
+func badRequest(message string) *verdict.Error {
 	return verdict.New(verdict.NotRun, verdict.ReasonBadRequest, message)
 }
 
 func promptTokens(body *chatBody) (int, *verdict.Error) {
 	if stated := body.PromptTokens; stated != nil {
 		if *stated < 0 || *stated > maxPromptTokens {
-			return 0, badBody("prompt_tokens is out of range")
+			return 0, badRequest("prompt_tokens is out of range")
 		}
 		return *stated, nil
 	}
@@ -87,29 +90,29 @@
 	return size / bytesPerToken, nil
 }
 
-// maxTokens returns the bound of the answer. A request for more than the class
-// allows is refused, since a shorter answer would look like a whole one.
+// maxTokens returns the maximum number of tokens of the answer. A request for more than
+// the class allows is refused: a shorter answer would look complete.
 func maxTokens(body *chatBody, class *catalog.Class) (int, *verdict.Error) {
-	asked := body.MaxCompletionTokens
-	if asked == nil {
-		asked = body.MaxTokens
+	requested := body.MaxCompletionTokens
+	if requested == nil {
+		requested = body.MaxTokens
 	}
-	if asked == nil {
+	if requested == nil {
 		return class.MaxOutputTokens, nil
 	}
-	if *asked < 1 {
-		return 0, badBody("max_tokens must be at least 1")
+	if *requested < 1 {
+		return 0, badRequest("max_tokens must be at least 1")
 	}
-	if class.MaxOutputTokens > 0 && *asked > class.MaxOutputTokens {
-		return 0, badBody(fmt.Sprintf("max_tokens is %d, but the class %q allows %d",
-			*asked, class.Name, class.MaxOutputTokens))
+	if class.MaxOutputTokens > 0 && *requested > class.MaxOutputTokens {
+		return 0, badRequest(fmt.Sprintf("max_tokens is %d, but the class %q allows %d",
+			*requested, class.Name, class.MaxOutputTokens))
 	}
-	return *asked, nil
+	return *requested, nil
 }
 
-// cachePrefix names the leading part of the prompt: as the caller does, else by
-// a hash of the first message, which holds the instructions that many requests
-// share.
+// cachePrefix returns the caller's name for the leading part of the prompt. If there is
+// none, it returns a hash of the first message, which holds the instructions that many
+// requests share.
 func cachePrefix(body *chatBody) string {
 	if body.Prefix != "" {
 		return body.Prefix
@@ -117,14 +120,14 @@
 	return strconv.FormatUint(xxhash.Sum64(body.Messages[0]), prefixBase)
 }
 
-// completeBody copies the body and adds what the caller left out and the engine
-// needs. The members go last, since readers of JSON take the last of two equal
-// names and a caller may have sent an empty one. The object is known to have
-// members, since messages is one.
+// completeBody returns a copy of the body with the members added that the engine needs
+// and the caller left out. They are appended at the end: JSON parsers use the last of
+// two equal names, and the caller may have sent an empty one. The leading comma is valid
+// because the object has at least the member messages.
 func completeBody(raw []byte, body *chatBody, prefix string, maxTokens int, class *catalog.Class) []byte {
-	const roomForMembers = 96
+	const addedCapacity = 96
 	end := bytes.LastIndexByte(raw, '}')
-	out := make([]byte, 0, len(raw)+len(class.Target)+roomForMembers)
+	out := make([]byte, 0, len(raw)+len(class.Target)+addedCapacity)
 	out = append(out, raw[:end]...)
 	if body.Model == "" {
 		out = append(out, `,"model":`...)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// refusedConnections is the number of connections above the limit that are
-	// still read, so that their callers get a typed refusal instead of a reset.
-	refusedConnections = 64
-	// writePiece is the most that is written under one write deadline, in bytes.
-	writePiece = 16 << 10
+	// excessConnections is the number of connections above the limit whose requests are
+	// still read and refused with a verdict. Callers beyond it get a reset instead.
+	excessConnections = 64
+	// maxWriteSize is the maximum number of bytes written under one write deadline. With
+	// larger writes, a slow caller that does accept bytes may exceed the deadline.
+	maxWriteSize = 16 << 10
 )
 
-// longAgo is a deadline that ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a read deadline that interrupts a read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// listener wraps accepted connections and bounds their number.
+// listener wraps accepted connections and limits their number.
 type listener struct {
 	net.Listener
 	server *Server
@@ -37,19 +38,19 @@
 		}
 		limit := int64(l.server.cfg.Connections)
 		open := l.open.Add(1)
-		if open > limit+refusedConnections {
+		if open > limit+excessConnections {
 			l.open.Add(-1)
 			l.server.counts.connectionsRefused.Add(1)
 			_ = accepted.Close()
 			continue
 		}
 		l.server.counts.connections.Add(1)
-		watchSilence(accepted, l.server.cfg.WriteStall)
+		setTCPTimeouts(accepted, l.server.cfg.WriteStall)
 		return &conn{
-			Conn:      accepted,
-			stall:     l.server.cfg.WriteStall,
-			overLimit: open > limit,
-			closed:    l.connClosed,
+			Conn:         accepted,
+			stallTimeout: l.server.cfg.WriteStall,
+			overLimit:    open > limit,
+			onClose:      l.connClosed,
 		}, nil
 	}
 }
@@ -59,37 +60,37 @@
 	l.server.counts.connections.Add(-1)
 }
 
-// conn is a caller's connection. While a handler waits for an answer, nothing
-// reads from the connection and the server would not learn that the caller is
-// gone: the work would go on for nobody. So a background read waits for the
-// end of the connection meanwhile. It may instead get the first byte of a
-// pipelined request, which is kept for the next Read.
+// conn is a caller's connection. While a handler waits for an answer, the server reads
+// nothing and would not detect that the caller has disconnected: the request would run
+// although nobody waits for it. A background read therefore waits for the end of the
+// connection. If it reads the first byte of a pipelined request instead, the byte is
+// kept for the next Read.
 //
-// Read, Write, watch and unwatch are called by the goroutine that serves the
+// Read, Write, watch and unwatch must be called by the goroutine that serves the
 // connection.
 type conn struct {
 	net.Conn
-	stall     time.Duration
-	overLimit bool
-	closed    func()
-	isClosed  atomic.Bool
-
-	watching chan struct{} // closed when the background read has ended
-	ahead    [1]byte
-	hasAhead bool
-
-	writeFailed atomic.Bool
-	mu          sync.Mutex // Close may come from a shutdown
-	deliveries  []func(whole bool)
+	stallTimeout time.Duration
+	overLimit    bool
+	onClose      func()
+	isClosed     atomic.Bool
+
+	watchDone chan struct{} // closed when the background read ends
+	peeked    [1]byte
+	hasPeeked bool
+
+	writeFailed       atomic.Bool
+	mu                sync.Mutex // guards deliveryCallbacks: a shutdown may call Close
+	deliveryCallbacks []func(whole bool)
 }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
-	// The server reads again only after it flushed the last response.
-	c.settle()
-	if c.hasAhead && len(p) > 0 {
-		c.hasAhead = false
-		p[0] = c.ahead[0]
+	// The server reads again only after it has flushed the last response.
+	c.reportDeliveries()
+	if c.hasPeeked && len(p) > 0 {
+		c.hasPeeked = false
+		p[0] = c.peeked[0]
 		return 1, nil
 	}
 	return c.Conn.Read(p)
@@ -97,20 +98,20 @@
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
-	n, err := writePieces(c.Conn, p, c.stall)
+	n, err := writeWithStallTimeout(c.Conn, p, c.stallTimeout)
 	if err != nil {
 		c.writeFailed.Store(true)
 	}
 	return n, err
 }
 
-// writePieces renews the deadline for each piece, so that it bounds the time
-// without progress and not the size of an answer.
-func writePieces(c net.Conn, p []byte, stall time.Duration) (int, error) {
+// writeWithStallTimeout writes p in pieces and renews the write deadline for each one.
+// The deadline thus bounds the time without progress instead of the size of an answer.
+func writeWithStallTimeout(c net.Conn, p []byte, stallTimeout time.Duration) (int, error) {
 	written := 0
 	for {
-		piece := p[written:min(written+writePiece, len(p))]
-		if err := c.SetWriteDeadline(time.Now().Add(stall)); err != nil {
+		piece := p[written:min(written+maxWriteSize, len(p))]
+		if err := c.SetWriteDeadline(time.Now().Add(stallTimeout)); err != nil {
 			return written, err
 		}
 		n, err := c.Write(piece)
@@ -125,64 +126,64 @@
 func (c *conn) Close() error {
 	err := c.Conn.Close()
 	if c.isClosed.CompareAndSwap(false, true) {
-		c.closed()
+		c.onClose()
 	}
-	c.settle()
+	c.reportDeliveries()
 	return err
 }
 
-// watch calls gone, once, when the caller closes or loses the connection before
+// watch calls onGone, at most once, if the caller closes or loses the connection before
 // unwatch.
-func (c *conn) watch(gone func()) {
-	// The deadline for reading the request still stands.
+func (c *conn) watch(onGone func()) {
+	// The deadline for reading the request is still set.
 	if err := c.SetReadDeadline(time.Time{}); err != nil {
-		gone()
+		onGone()
 		return
 	}
-	if c.hasAhead {
+	if c.hasPeeked {
 		return
 	}
-	c.watching = make(chan struct{})
-	go c.readAhead(gone)
+	c.watchDone = make(chan struct{})
+	go c.awaitClose(onGone)
 }
 
-func (c *conn) readAhead(gone func()) {
-	defer close(c.watching)
-	n, err := c.Conn.Read(c.ahead[:])
+func (c *conn) awaitClose(onGone func()) {
+	defer close(c.watchDone)
+	n, err := c.Conn.Read(c.peeked[:])
 	if n == 1 {
-		c.hasAhead = true
+		c.hasPeeked = true
 		return
 	}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		gone()
+		onGone()
 	}
 }
 
-// unwatch ends watch and returns when nothing reads the connection any more.
+// unwatch ends watch and waits until the background read has returned.
 func (c *conn) unwatch() {
-	if c.watching == nil {
+	if c.watchDone == nil {
 		return
 	}
-	_ = c.SetReadDeadline(longAgo)
-	<-c.watching
-	c.watching = nil
+	_ = c.SetReadDeadline(pastDeadline)
+	<-c.watchDone
+	c.watchDone = nil
 	_ = c.SetReadDeadline(time.Time{})
 }
 
-// onDelivery calls f when the response being prepared has been written, with
-// whether all of it was. The server tells a handler nothing of that, but it
-// flushes a response before it reads the next request or closes.
+// onDelivery registers f to be called once the current response has been written, with
+// complete set if all of it was. The HTTP server does not report this to handlers, but
+// it flushes a response before it reads the next request or closes the connection.
 func (c *conn) onDelivery(f func(whole bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deliveries = append(c.deliveries, f)
+	c.deliveryCallbacks = append(c.deliveryCallbacks, f)
 }
 
-func (c *conn) settle() {
+func (c *conn) reportDeliveries() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, f := range c.deliveries {
+	for _, f := range c.deliveryCallbacks {
 		f(!c.writeFailed.Load())
 	}
-	c.deliveries = c.deliveries[:0]
+	c.deliveryCallbacks = c.deliveryCallbacks[:0]
 }
--- a/internal/daemon/dispatcher.go
+++ b/internal/daemon/dispatcher.go
@@ -167,7 +167,7 @@
 	if err != nil {
 		return d.withDrainingReason(err)
 	}
-	attempt.Progress.Token(monotime.Now())
+	attempt.Progress.RecordToken(monotime.Now())
 	out := answers.ServiceAnswer{Status: answer.Status, Body: answer.Body}
 	for _, header := range answer.Headers {
 		out.Headers = append(out.Headers, answers.Header{Name: header.Name, Value: header.Value})
@@ -193,6 +193,6 @@
 	if err := r.log.Append(event); err != nil {
 		return err
 	}
-	r.progress.Token(monotime.Now())
+	r.progress.RecordToken(monotime.Now())
 	return nil
 }
--- a/internal/daemon/orders.go
+++ b/internal/daemon/orders.go
@@ -77,7 +77,7 @@
 	if o.firstTick == 0 {
 		o.firstTick = now
 	}
-	if !o.node.MayOrder(now) || !o.peerDiscoveryDone(now) {
+	if !o.node.MaySendOrders(now) || !o.peerDiscoveryDone(now) {
 		o.reconciler.OnPaused(now)
 		return
 	}
@@ -140,7 +140,7 @@
 		return o.clients.Holdings(ctx, target)
 	}
 	cat := o.node.Catalog()
-	if !o.node.MayOrder(monotime.Now()) || cat.Revision != uint64(action.Order.Fence) {
+	if !o.node.MaySendOrders(monotime.Now()) || cat.Revision != uint64(action.Order.Fence) {
 		return engineapi.OrderAnswer{}, errStale
 	}
 	o.log.Info("order to engine", zap.String("engine", action.Engine.ID),
--- a/internal/node/record.go
+++ b/internal/node/record.go
@@ -9,7 +9,8 @@
 	"basilrudder/internal/verdict"
 )
 
-// finish ends the work on a request and hands the rest to its caller.
+// finish ends the processing of a request and keeps its answer for delivery if there is
+// one.
 func (n *Node) finish(now monotime.Instant, r *request, err *verdict.Error) {
 	delete(n.requests, r.seq)
 	delete(n.byID, r.ID)
@@ -29,48 +30,48 @@
 	n.eff.Finish(r.ID, err)
 }
 
-// nothingToDeliver reports whether no caller will come for the answer. Work that
-// was cancelled because its caller left or the process ends has none; were it kept like an answer, a
-// drain would wait for it and a crash meanwhile would leave it unaccounted.
+// nothingToDeliver reports whether no caller will fetch the answer. Work that was
+// cancelled because its caller left or the process ends has none. If it were kept like an
+// answer, a drain would wait for it, and a crash meanwhile would leave it unaccounted.
 func nothingToDeliver(err *verdict.Error) bool {
 	return err != nil && (err.Verdict == verdict.NotRun ||
 		err.Reason == verdict.ReasonCallerGone || err.Reason == verdict.ReasonDraining)
 }
 
-// Delivered tells that the end of an answer was written to its caller. Only now
-// is the request accounted: an answer that is ready and reaches nobody is waste.
+// Delivered reports that the end of an answer was written to its caller. The request is
+// accounted only now: an answer that reaches nobody is waste.
 func (n *Node) Delivered(now monotime.Instant, id string) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	if r := n.undelivered[id]; r != nil {
 		r.delivered = r.err == nil
-		n.settle(now, r)
+		n.accountEnded(now, r)
 	}
 }
 
-// settle accounts a request that ended.
-func (n *Node) settle(now monotime.Instant, r *request) {
+// accountEnded accounts a request that ended and drops its answer.
+func (n *Node) accountEnded(now monotime.Instant, r *request) {
 	delete(n.undelivered, r.ID)
 	n.ended.remove(r)
 	n.recordEnd(now, r)
 }
 
-// settleOld accounts requests whose answer is no longer kept for their callers.
-func (n *Node) settleOld(now monotime.Instant) {
+// accountExpired accounts requests whose answer is no longer kept for their callers.
+func (n *Node) accountExpired(now monotime.Instant) {
 	cat := n.catalog.Load()
 	if cat == nil {
 		return
 	}
 	keep := time.Duration(cat.Rules.AnswerKeepS) * time.Second
 	for n.ended.head != nil && now.Sub(n.ended.head.ended) > keep {
-		n.settle(now, n.ended.head)
+		n.accountEnded(now, n.ended.head)
 	}
 }
 
-// RecordRefused accounts a request that was refused before Submit. Its class may
-// be nil when the caller named none that exists.
+// RecordRefused accounts a request that was refused before Submit. Its class may be nil if
+// the caller named an unknown one.
 func (n *Node) RecordRefused(now monotime.Instant, in Request, err *verdict.Error) {
-	n.enter(now)
+	n.lockAndDetectPause(now)
 	defer n.mu.Unlock()
 	n.recordRefused(now, in, err)
 }
@@ -88,7 +89,7 @@
 	n.recordEnd(now, r)
 }
 
-func (n *Node) recordOf(r *request, kind accounting.RecordKind) accounting.Record {
+func (n *Node) newRecord(r *request, kind accounting.RecordKind) accounting.Record {
 	rec := accounting.Record{
 		Kind:         kind,
 		Instance:     n.cfg.Self.Instance,
@@ -117,50 +118,50 @@
 }
 
 func (n *Node) recordStart(_ monotime.Instant, r *request) {
-	n.eff.Record(n.recordOf(r, accounting.RecordKindStart))
+	n.eff.Record(n.newRecord(r, accounting.RecordKindStart))
 }
 
-// recordDecision records a step for explain; age is how old the knowledge was
-// that the decision used.
+// recordDecision records a step for explain; age is the age of the state that the decision
+// used.
 func (n *Node) recordDecision(now monotime.Instant, r *request, reason, message string, age time.Duration) {
-	rec := n.recordOf(r, accounting.RecordKindDecision)
+	rec := n.newRecord(r, accounting.RecordKindDecision)
 	rec.Reason = reason
 	rec.Message = message
-	rec.AgeMS = millis(age)
-	rec.TotalMS = millis(now.Sub(r.arrived))
+	rec.AgeMS = durationToMS(age)
+	rec.TotalMS = durationToMS(now.Sub(r.arrived))
 	n.eff.Record(rec)
 }
 
-// markLong records marks for requests that run.
-func (n *Node) markLong(now monotime.Instant) {
+// recordMarks writes intermediate records of long requests.
+func (n *Node) recordMarks(now monotime.Instant) {
 	for r := n.order.head; r != nil; r = r.next {
 		if now.Sub(r.arrived) < markAfter || now.Sub(r.marked) < markEvery {
 			continue
 		}
 		r.marked = now
-		rec := n.recordOf(r, accounting.RecordKindMark)
-		rec.TotalMS = millis(now.Sub(r.arrived))
+		rec := n.newRecord(r, accounting.RecordKindMark)
+		rec.TotalMS = durationToMS(now.Sub(r.arrived))
 		n.eff.Record(rec)
 	}
 }
 
 const (
-	// markAfter and markEvery pace the marks of long requests, so that a crash
-	// loses at most that much of what is known of them.
+	// markAfter and markEvery are the age of the first mark and the interval of the
+	// further marks of a long request. A crash loses at most that much of its accounting.
 	markAfter = 10 * time.Second
 	markEvery = 30 * time.Second
 )
 
 func (n *Node) recordEnd(now monotime.Instant, r *request) {
 	err := r.err
-	rec := n.recordOf(r, accounting.RecordKindEnd)
-	rec.TotalMS = millis(now.Sub(r.arrived))
-	rec.QueueMS = millis(r.queued)
-	rec.WastedTokens = r.wasted
+	rec := n.newRecord(r, accounting.RecordKindEnd)
+	rec.TotalMS = durationToMS(now.Sub(r.arrived))
+	rec.QueueMS = durationToMS(r.queueTime)
+	rec.WastedTokens = r.wastedTokens
 	if r.progress != nil {
-		rec.GapP95MS = millis(r.progress.GapP95())
-		if first := r.progress.First(); first != 0 {
-			rec.FirstTokenMS = millis(first.Sub(r.arrived))
+		rec.GapP95MS = durationToMS(r.progress.GapP95())
+		if first := r.progress.FirstTokenAt(); first != 0 {
+			rec.FirstTokenMS = durationToMS(first.Sub(r.arrived))
 		}
 	}
 	if err != nil {
@@ -169,13 +170,13 @@
 		rec.Message = err.Message
 		rec.RetryAfterMS = int(err.RetryAfter / time.Millisecond)
 		if r.seq != 0 {
-			n.counts.failed(err)
+			n.counts.addFailed(err)
 		}
 	} else {
 		rec.Verdict = verdict.TextRan
 		rec.Delivered = r.delivered
 		rec.OnTime = r.delivered && onTime(now, r)
-		n.counts.served(rec.OnTime)
+		n.counts.addServed(rec.OnTime)
 	}
 	if r.progress != nil && !r.delivered {
 		rec.WastedTokens = r.tokens()
@@ -190,13 +191,13 @@
 	if class.Deadline > 0 && total > class.Deadline {
 		return false
 	}
-	if class.FirstToken > 0 && r.progress.First().Sub(r.arrived) > class.FirstToken {
+	if class.FirstToken > 0 && r.progress.FirstTokenAt().Sub(r.arrived) > class.FirstToken {
 		return false
 	}
 	return class.TokenGap == 0 || r.progress.GapP95() <= class.TokenGap
 }
 
-func millis(d time.Duration) float64 {
+func durationToMS(d time.Duration) float64 {
 	return float64(d) / float64(time.Millisecond)
 }
 
@@ -206,16 +207,16 @@
 	Admitted uint64
 	// Refused requests that were never admitted.
 	Refused uint64
-	// NotRun, MayHaveRun and RanFailed count requests that ended without a whole
+	// NotRun, MayHaveRun and RanFailed count requests that ended without a complete
 	// answer, by verdict.
 	NotRun, MayHaveRun, RanFailed uint64
-	// Served counts whole answers; OnTime those of them that met their targets.
+	// Served counts complete answers; OnTime those that met their targets.
 	Served, OnTime uint64
 	// Retried counts attempts after the first.
 	Retried uint64
 }
 
-func (c *Counts) failed(err *verdict.Error) {
+func (c *Counts) addFailed(err *verdict.Error) {
 	switch err.Verdict {
 	case verdict.NotRun:
 		c.NotRun++
@@ -226,7 +227,7 @@
 	}
 }
 
-func (c *Counts) served(onTime bool) {
+func (c *Counts) addServed(onTime bool) {
 	c.Served++
 	if onTime {
 		c.OnTime++
