--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires an instance to its I/O: listeners for callers, peers and
-// operators, links to peers, clients of upstreams and of the platform.
+// Package daemon connects an instance to its I/O: the listeners for callers, peers and
+// operators, the links to peers, and the clients of upstreams and the platform.
 package daemon
 
 import (
@@ -34,29 +34,31 @@
 )
 
 const (
-	// cancelTimeout bounds telling an engine to stop.
+	// cancelTimeout bounds a request to an engine to cancel a run. If it is too short for
+	// an engine, the run goes on until the time allowed for a resumption has passed; a
+	// larger value delays the end of the attempt when the engine does not respond.
 	cancelTimeout = 2 * time.Second
-	// defaultKeyID and defaultKey sign links until the configuration names keys.
-	// The key is published, so it keeps out mistakes and no attacker.
+	// defaultKeyID and defaultKey authenticate links until the configuration has keys. The
+	// key is public: it prevents accidental connections but not attacks.
 	defaultKeyID = "bootstrap"
 	defaultKey   = "basilrudder-bootstrap-key"
 )
 
 // Listeners are the open sockets of a daemon.
 type Listeners struct {
-	// Callers, Peers and Admin accept connections of each kind.
+	// Callers, Peers and Admin accept the connections of callers, peers and operators.
 	Callers, Peers, Admin net.Listener
 }
 
-// Listen opens the sockets that the settings name.
+// Listen opens the sockets given in the settings. If one fails, it closes the others.
 func Listen(s *settings.Settings) (Listeners, error) {
 	var out Listeners
 	var err error
 	for _, entry := range []struct {
-		address string
-		into    *net.Listener
+		address  string
+		listener *net.Listener
 	}{{s.Listen.Callers, &out.Callers}, {s.Listen.Peers, &out.Peers}, {s.Listen.Admin, &out.Admin}} {
-		if *entry.into, err = net.Listen("tcp", entry.address); err != nil {
+		if *entry.listener, err = net.Listen("tcp", entry.address); err != nil {
 			out.Close()
 			return Listeners{}, errors.Wrap(err, "listen")
 		}
@@ -75,13 +77,13 @@
 
 // Config configures a Daemon.
 type Config struct {
-	// Settings that were checked.
+	// Settings must be validated.
 	Settings *settings.Settings
-	// Listeners are open.
+	// Listeners must be open.
 	Listeners Listeners
-	// Records takes the accounting lines.
+	// Records receives the accounting lines.
 	Records *accounting.Writer
-	// Log takes everything else.
+	// Log receives all other log lines.
 	Log *zap.Logger
 }
 
@@ -89,54 +91,54 @@
 type Daemon struct {
 	*dispatcher
 	cfg Config
-	// ctx lasts from New to the end of Run.
-	ctx context.Context
-	end context.CancelFunc
-	// hurried ends when Abort is called.
-	hurried  context.Context
-	hurry    context.CancelFunc
-	instance *instance.Instance
-	links    *peer.Links
-	platform *platform.Client
-	callers  *callers.Server
-	store    *answers.Store
-	poll     *poller
-	orders   *orderer
-	self     reqid.Incarnation
-	tasks    sync.WaitGroup
+	// ctx is valid from New to the end of Run; cancel ends it.
+	ctx    context.Context
+	cancel context.CancelFunc
+	// aborted is cancelled by Abort, or when a part of Run fails.
+	aborted     context.Context
+	abort       context.CancelFunc
+	instance    *instance.Instance
+	links       *peer.Links
+	platform    *platform.Client
+	callers     *callers.Server
+	answerStore *answers.Store
+	poller      *poller
+	orders      *orderSender
+	self        reqid.Incarnation
+	tasks       sync.WaitGroup
 }
 
-// New returns a daemon that does nothing until Run.
+// New returns a daemon that serves nothing until Run is called.
 func New(cfg Config) (*Daemon, error) {
 	s := cfg.Settings
 	seed := rand.Uint64()
 	d := &Daemon{
-		cfg:      cfg,
-		self:     reqid.NewIncarnation(s.Instance.ID, time.Now(), rand.Uint32()),
-		platform: platform.New(platform.Config{Address: s.Platform.Address, Timeout: time.Duration(s.Platform.TimeoutMS) * time.Millisecond}),
-		store:    answers.NewStore(storeConfig(s, nil)),
+		cfg:         cfg,
+		self:        reqid.NewIncarnation(s.Instance.ID, time.Now(), rand.Uint32()),
+		platform:    platform.New(platform.Config{Address: s.Platform.Address, Timeout: time.Duration(s.Platform.TimeoutMS) * time.Millisecond}),
+		answerStore: answers.NewStore(answerStoreConfig(s, nil)),
 	}
-	d.ctx, d.end = context.WithCancel(context.Background())
-	d.hurried, d.hurry = context.WithCancel(d.ctx)
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	d.aborted, d.abort = context.WithCancel(d.ctx)
 	d.dispatcher = &dispatcher{
-		ctx:     d.ctx,
-		clients: upstream.New(upstream.Config{}),
-		store:   d.store,
-		records: cfg.Records,
-		send:    d.send,
-		held:    make(map[string]*held),
+		ctx:         d.ctx,
+		clients:     upstream.New(upstream.Config{}),
+		answerStore: d.answerStore,
+		records:     cfg.Records,
+		send:        d.send,
+		active:      make(map[string]*activeRequest),
 	}
 	d.instance = instance.New(monotime.Now(), d.instanceConfig(seed), d)
 	d.node = d.instance.Node()
-	d.poll = newPoller(d.node, d.clients, &d.tasks, seed)
-	d.orders = newOrderer(d.self.Instance, d.node, d.clients, &d.tasks, cfg.Log)
+	d.poller = newPoller(d.node, d.clients, &d.tasks, seed)
+	d.orders = newOrderSender(d.self.Instance, d.node, d.clients, &d.tasks, cfg.Log)
 	d.orders.send = d.send
 	var err error
 	if d.links, err = peer.New(d.peerConfig()); err != nil {
 		return nil, err
 	}
 	d.callers = callers.NewServer(d.callerConfig(), &backend{
-		self: d.self, dataCentre: s.Instance.DataCentre, node: d.node, work: d.dispatcher, store: d.store,
+		self: d.self, dataCentre: s.Instance.DataCentre, node: d.node, dispatcher: d.dispatcher, answerStore: d.answerStore,
 	})
 	return d, nil
 }
@@ -193,10 +195,10 @@
 	}
 }
 
-// keys returns the published keys and the one from the settings, which stays
-// valid so that a new process can reach its peers before it has a configuration.
-// The default key is public: once keys are published it is accepted no longer,
-// or anybody could speak as an instance.
+// keys returns the published keys and the key from the settings. The latter stays valid so
+// that a new process can connect to its peers before it has a configuration. The public
+// default key is not accepted once keys are published: anyone could pose as an instance
+// with it.
 func (d *Daemon) keys(cat *catalog.Catalog) []peer.Key {
 	var keys []peer.Key
 	if cat != nil {
@@ -225,33 +227,34 @@
 
 func (d *Daemon) send(to string, env *wire.Envelope) {
 	if !d.links.Send(to, env) {
-		d.later(func() { d.instance.OnLinkDown(monotime.Now(), to) })
+		d.runAsync(func() { d.instance.OnLinkDown(monotime.Now(), to) })
 	}
 }
 
-// later runs do outside the locks that the caller holds.
-func (d *Daemon) later(do func()) {
-	d.tasks.Go(do)
+// runAsync runs task in a goroutine of its own, without the locks that the caller holds.
+func (d *Daemon) runAsync(task func()) {
+	d.tasks.Go(task)
 }
 
-// Run serves until ctx ends and the drain is over, or until Abort. Requests that
-// were cut off make it return ErrCutOff.
+// Run serves until ctx is cancelled and the drain has finished, or until Abort. It returns
+// ErrCutOff if requests were still in flight, or connections of callers still open, at
+// the end.
 func (d *Daemon) Run(ctx context.Context) error {
-	defer d.publish()()
-	group, running := errgroup.WithContext(d.ctx)
-	group.Go(func() error { return d.links.Run(running) })
+	defer d.publishVars()()
+	group, groupCtx := errgroup.WithContext(d.ctx)
+	group.Go(func() error { return d.links.Run(groupCtx) })
 	group.Go(func() error { return d.callers.Serve(d.cfg.Listeners.Callers) })
-	group.Go(func() error { return d.serveAdmin(running) })
-	group.Go(func() error { return d.tick(running) })
+	group.Go(func() error { return d.serveAdmin(groupCtx) })
+	group.Go(func() error { return d.tick(groupCtx) })
 	group.Go(func() error {
-		defer d.end()
-		defer context.AfterFunc(running, d.hurry)()
+		defer d.cancel()
+		defer context.AfterFunc(groupCtx, d.abort)()
 		select {
 		case <-ctx.Done():
-			d.drain(d.hurried)
-		case <-d.hurried.Done():
+			d.drain(d.aborted)
+		case <-d.aborted.Done():
 		}
-		return d.cutOffRest()
+		return d.terminateRemaining()
 	})
 	err := group.Wait()
 	d.tasks.Wait()
@@ -269,8 +272,8 @@
 		case <-ticker.C:
 			now := monotime.Now()
 			d.instance.Tick(now)
-			d.store.Expire(now)
-			d.poll.tick(ctx, now)
+			d.answerStore.Expire(now)
+			d.poller.tick(ctx, now)
 			d.orders.tick(ctx, now)
 		}
 	}
@@ -307,13 +310,13 @@
 func (d *Daemon) Installed(cat *catalog.Catalog) {
 	d.cfg.Log.Info("configuration in force", zap.Uint64("revision", cat.Revision),
 		zap.Int("servers", len(cat.Servers)), zap.Int("customers", len(cat.Customers)))
-	d.store.Configure(monotime.Now(), storeConfig(d.cfg.Settings, cat))
-	d.later(func() { d.links.SetKeys(d.keys(cat)) })
+	d.answerStore.Configure(monotime.Now(), answerStoreConfig(d.cfg.Settings, cat))
+	d.runAsync(func() { d.links.SetKeys(d.keys(cat)) })
 }
 
-// Report implements instance.Effects. All but an installed revision wants
-// somebody's eyes; one that was refused or that exists twice stays out of force
-// until somebody publishes again.
+// Report implements instance.Effects. All events other than an installed revision need an
+// operator's attention. A revision that was refused, or that exists with different contents,
+// is not installed until a revision is published again.
 func (d *Daemon) Report(event confsync.Event) {
 	level := zapcore.WarnLevel
 	switch event.Kind {
@@ -325,13 +328,13 @@
 	fields := []zap.Field{zap.String("kind", string(event.Kind)), zap.Uint64("revision", event.Revision),
 		zap.String("hash", event.Hash), zap.String("from", event.From)}
 	if event.Err != nil {
-		// The text alone: an error's fields in JSON lose what it wraps.
+		// Only the text is logged: the JSON encoding of an error loses the wrapped errors.
 		fields = append(fields, zap.String("error", event.Err.Error()))
 	}
 	d.cfg.Log.Log(level, "configuration event", fields...)
 }
 
-func storeConfig(s *settings.Settings, cat *catalog.Catalog) answers.StoreConfig {
+func answerStoreConfig(s *settings.Settings, cat *catalog.Catalog) answers.StoreConfig {
 	const defaultKeep = time.Minute
 	cfg := answers.StoreConfig{
 		Retention: defaultKeep,
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -7,25 +7,24 @@
 	"basilrudder/internal/monotime"
 )
 
-// published holds the variables of the daemons of this process by instance id.
-// expvar panics when a name is published twice, and one process may run several
-// daemons, also two of one id while the older one drains. So the process
-// publishes one map, and each daemon has its place there while it runs.
-var published = struct {
+// publishedVars holds the variables of the daemons of this process by instance id. expvar
+// panics if a name is published twice, and a process may run several daemons, including two
+// with the same id while the older one drains. The process therefore publishes one map, and
+// each daemon has an entry in it while it runs.
+var publishedVars = struct {
 	sync.Mutex
 	vars *expvar.Map
 }{vars: expvar.NewMap("basilrudder")}
 
-// vars returns what the daemon measures, each part beside what it measures.
-// The accounting counters are those of the writer, which daemons of one
-// process may share.
+// vars returns the daemon's variables, grouped by component. The accounting counters are
+// those of the writer, which daemons of one process may share.
 func (d *Daemon) vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
 	vars.Set("accounting", d.cfg.Records.Vars())
 	vars.Set("callers", d.callers.Vars())
 	vars.Set("links", d.links.Counters())
 	vars.Set("upstream", d.clients.Counters())
-	vars.Set("answers", expvar.Func(func() any { return d.store.Stats() }))
+	vars.Set("answers", expvar.Func(func() any { return d.answerStore.Stats() }))
 	vars.Set("node", expvar.Func(func() any { return d.node.Status(monotime.Now()) }))
 	vars.Set("config", expvar.Func(func() any { return d.configStatus(monotime.Now()) }))
 	vars.Set("members", expvar.Func(func() any { return d.memberCounts(monotime.Now()) }))
@@ -33,17 +32,18 @@
 	return vars
 }
 
-// publish puts the variables up and returns how to take them down.
-func (d *Daemon) publish() (withdraw func()) {
+// publishVars publishes the daemon's variables. The returned function removes them, unless
+// another daemon with the same id has replaced them.
+func (d *Daemon) publishVars() (withdraw func()) {
 	vars := d.vars()
-	published.Lock()
-	defer published.Unlock()
-	published.vars.Set(d.self.Instance, vars)
+	publishedVars.Lock()
+	defer publishedVars.Unlock()
+	publishedVars.vars.Set(d.self.Instance, vars)
 	return func() {
-		published.Lock()
-		defer published.Unlock()
-		if published.vars.Get(d.self.Instance) == expvar.Var(vars) {
-			published.vars.Delete(d.self.Instance)
+		publishedVars.Lock()
+		defer publishedVars.Unlock()
+		if publishedVars.vars.Get(d.self.Instance) == expvar.Var(vars) {
+			publishedVars.vars.Delete(d.self.Instance)
 		}
 	}
 }
--- a/internal/daemon/poll.go
+++ b/internal/daemon/poll.go
@@ -14,39 +14,42 @@
 )
 
 const (
-	// pollsAtOnce bounds the engines asked at a time for each kind of hint.
-	pollsAtOnce = 8
-	// pollTimeout bounds one question to an engine.
+	// maxConcurrentPolls limits the engines polled at the same time for each kind of hint.
+	// A smaller value delays the hints of an owner of many engines; a larger one opens
+	// more connections at once.
+	maxConcurrentPolls = 8
+	// pollTimeout bounds one poll of an engine. A longer one lets unresponsive engines
+	// delay the polls of others; a shorter one loses the hints of slow engines.
 	pollTimeout = time.Second
 )
 
-// poller asks the engines of the owned groups for load reports and cache
-// events. Other instances do not ask: the owner is the one that chooses.
+// poller polls the engines of the groups that this instance owns for load reports and cache
+// events. Only the owner polls because only the owner chooses engines for requests.
 type poller struct {
 	node    *node.Node
 	clients *upstream.Client
 	tasks   *sync.WaitGroup
 
-	mu    sync.Mutex
-	load  *hints.Schedule
-	cache *hints.Schedule
-	// after is the next cache event to ask an engine for. A new owner asks for
-	// all that the engine still has, once.
-	after map[string]int
+	mu            sync.Mutex
+	loadSchedule  *hints.Schedule
+	cacheSchedule *hints.Schedule
+	// nextEvent maps an engine id to the next cache event to request. A new owner starts at
+	// 0 and so receives all events that the engine still has, once.
+	nextEvent map[string]int
 }
 
 func newPoller(n *node.Node, clients *upstream.Client, tasks *sync.WaitGroup, seed uint64) *poller {
 	return &poller{
-		node:    n,
-		clients: clients,
-		tasks:   tasks,
-		load:    hints.NewSchedule(hints.LoadEvery, seed),
-		cache:   hints.NewSchedule(hints.CacheEvery, seed),
-		after:   make(map[string]int),
+		node:          n,
+		clients:       clients,
+		tasks:         tasks,
+		loadSchedule:  hints.NewSchedule(hints.LoadEvery, seed),
+		cacheSchedule: hints.NewSchedule(hints.CacheEvery, seed),
+		nextEvent:     make(map[string]int),
 	}
 }
 
-// tick asks the engines that are due.
+// tick polls the engines that are due.
 func (p *poller) tick(ctx context.Context, now monotime.Instant) {
 	cat := p.node.Catalog()
 	if cat == nil {
@@ -54,37 +57,37 @@
 	}
 	ids := p.node.OwnedEngines()
 	p.mu.Lock()
-	load := p.load.Due(now, ids, pollsAtOnce, nil)
-	cache := p.cache.Due(now, ids, pollsAtOnce, nil)
+	load := p.loadSchedule.Due(now, ids, maxConcurrentPolls, nil)
+	cache := p.cacheSchedule.Due(now, ids, maxConcurrentPolls, nil)
 	p.mu.Unlock()
-	p.each(ctx, cat, p.load, load, p.askLoad)
-	p.each(ctx, cat, p.cache, cache, p.askCache)
+	p.pollEach(ctx, cat, p.loadSchedule, load, p.pollLoad)
+	p.pollEach(ctx, cat, p.cacheSchedule, cache, p.pollCacheEvents)
 }
 
-type question func(ctx context.Context, target upstream.Target, id string) *verdict.Error
+type pollFunc func(ctx context.Context, target upstream.Target, id string) *verdict.Error
 
-func (p *poller) each(ctx context.Context, cat *catalog.Catalog, schedule *hints.Schedule, ids []string, ask question) {
+func (p *poller) pollEach(ctx context.Context, cat *catalog.Catalog, schedule *hints.Schedule, ids []string, poll pollFunc) {
 	for _, id := range ids {
 		engine := cat.Engines[id]
 		if engine == nil {
-			p.done(schedule, id, false)
+			p.recordResult(schedule, id, false)
 			continue
 		}
 		p.tasks.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 			defer cancel()
-			p.done(schedule, id, ask(ctx, targetOf(engine), id) == nil)
+			p.recordResult(schedule, id, poll(ctx, targetOf(engine), id) == nil)
 		})
 	}
 }
 
-func (p *poller) done(schedule *hints.Schedule, id string, ok bool) {
+func (p *poller) recordResult(schedule *hints.Schedule, id string, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	schedule.Done(monotime.Now(), id, ok)
 }
 
-func (p *poller) askLoad(ctx context.Context, target upstream.Target, id string) *verdict.Error {
+func (p *poller) pollLoad(ctx context.Context, target upstream.Target, id string) *verdict.Error {
 	report, err := p.clients.LoadReport(ctx, target)
 	if err == nil {
 		p.node.LoadReport(monotime.Now(), id, report)
@@ -92,9 +95,9 @@
 	return err
 }
 
-func (p *poller) askCache(ctx context.Context, target upstream.Target, id string) *verdict.Error {
+func (p *poller) pollCacheEvents(ctx context.Context, target upstream.Target, id string) *verdict.Error {
 	p.mu.Lock()
-	after := p.after[id]
+	after := p.nextEvent[id]
 	p.mu.Unlock()
 	events, err := p.clients.CacheEvents(ctx, target, after)
 	if err != nil {
@@ -102,7 +105,7 @@
 	}
 	p.node.CacheEvents(monotime.Now(), id, events)
 	p.mu.Lock()
-	p.after[id] = events.Next
+	p.nextEvent[id] = events.Next
 	p.mu.Unlock()
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the settings of one daemon.
+// Package settings loads and validates the settings of a daemon.
 package settings
 
 import (
@@ -10,19 +10,19 @@
 	"basilrudder/schema"
 )
 
-// PeerKeyVariable names the environment variable that goes before peers.key,
-// so that the secret need not stand in a file.
+// PeerKeyVariable is the environment variable that overrides peers.key, so that the secret
+// need not be stored in a file.
 const PeerKeyVariable = "BASILRUDDER_PEER_KEY"
 
 const (
-	schemaRef       = "settings.json"
-	environmentFile = "environment"
-	minKeyLength    = 16
-	maxPort         = 65535
+	schemaRef         = "settings.json"
+	environmentSource = "environment"
+	minKeyLength      = 16
+	maxPort           = 65535
 )
 
-// Load reads and checks the settings file at path. env looks an environment
-// variable up, like os.Getenv. It returns the settings, or every problem.
+// Load reads and validates the settings file at path. env returns the value of an
+// environment variable, like os.Getenv. Load returns either the settings or all problems.
 func Load(path string, env func(string) string) (*settings.Settings, schema.Problems) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -31,18 +31,18 @@
 	return Parse(path, data, env)
 }
 
-// Parse is Load for a file already read; name stands in problems.
+// Parse is like Load for the content of a file. Problems refer to the file by name.
 func Parse(name string, data []byte, env func(string) string) (*settings.Settings, schema.Problems) {
 	out := &settings.Settings{}
 	if problems := schema.Decode(schemaRef, name, data, out); len(problems) > 0 {
 		return nil, problems
 	}
-	keyFile := name
+	keySource := name
 	if key := env(PeerKeyVariable); key != "" {
 		out.Peers.Key = key
-		keyFile = environmentFile
+		keySource = environmentSource
 	}
-	problems := check(name, keyFile, out)
+	problems := validate(name, keySource, out)
 	if len(problems) > 0 {
 		problems.Sort()
 		return nil, problems
@@ -50,7 +50,7 @@
 	return out, nil
 }
 
-func check(name, keyFile string, s *settings.Settings) schema.Problems {
+func validate(name, keySource string, s *settings.Settings) schema.Problems {
 	var problems schema.Problems
 	addresses := []struct{ key, value string }{
 		{"listen.callers", s.Listen.Callers},
@@ -74,7 +74,7 @@
 			Expected: "a host and a port from 1 to 65535, like 10.0.0.1:8080",
 		})
 	}
-	return append(problems, checkKey(name, keyFile, s.Peers)...)
+	return append(problems, validateKey(name, keySource, s.Peers)...)
 }
 
 func validAddress(address string) bool {
@@ -86,13 +86,14 @@
 	return err == nil && number >= 1 && number <= maxPort
 }
 
-// checkKey refuses a key without an id: links would name the key "", which no
-// published key has, and the instance would stay alone when the key rotates.
-func checkKey(name, keyFile string, peers settings.PeerSettings) schema.Problems {
+// validateKey rejects keys that are too short and keys without an id. Without an id, links
+// would name the key "". No published key has that id, so the instance would be unable to
+// connect to its peers after a key rotation.
+func validateKey(name, keySource string, peers settings.PeerSettings) schema.Problems {
 	var problems schema.Problems
 	if peers.Key != "" && len(peers.Key) < minKeyLength {
 		problems = append(problems, schema.Problem{
-			File:     keyFile,
+			File:     keySource,
 			Key:      "peers.key",
 			Value:    schema.HiddenValue,
 			Expected: "text of at least 16 characters",
