--- a/tools/fleet/fleet_test.go
+++ b/tools/fleet/fleet_test.go
@@ -2,7 +2,11 @@
 
 import (
 	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"math"
+	"path/filepath"
 	"strings"
 	"testing"
 	"time"
@@ -121,3 +125,63 @@
 		t.Errorf("control is %v%% of a core, want 0.6", out.Control)
 	}
 }
+
+// Guards against a rename of a type or method that leaves its stacks in another role: the
+// methods of the table must be declared, and be sorted into their role.
+func TestMethodsNamedByRolesAreDeclaredAndSorted(t *testing.T) {
+	const orders, counting = "orders and hints of engines", "counting relayed tokens"
+	for _, row := range []struct{ dir, pkg, receiver, method, role string }{
+		{".", "main", "loadRun", "feed", "stand-ins and callers of the measurement"},
+		{"../../internal/daemon", "basilrudder/internal/daemon", "poller", "tick", orders},
+		{"../../internal/daemon", "basilrudder/internal/daemon", "orderSender", "tick", orders},
+		{"../../internal/upstream", "basilrudder/internal/upstream", "Client", "LoadReport", orders},
+		{"../../internal/upstream", "basilrudder/internal/upstream", "Client", "CacheEvents", orders},
+		{"../../internal/upstream", "basilrudder/internal/upstream", "Client", "Order", orders},
+		{"../../internal/upstream", "basilrudder/internal/upstream", "Client", "Holdings", orders},
+		{"../../internal/daemon", "basilrudder/internal/daemon", "Daemon", "tick", "ticks"},
+		{"../../internal/node", "basilrudder/internal/node", "Progress", "RecordToken", counting},
+		{"../../internal/node", "basilrudder/internal/node", "Progress", "Tokens", counting},
+	} {
+		name := fmt.Sprintf("(*%s).%s", row.receiver, row.method)
+		if !declaredMethods(t, row.dir)[name] {
+			t.Errorf("%s has no method %s", row.pkg, name)
+		}
+		out := profileResult{Daemons: 1, Seconds: 1}
+		out.sort([]byte("     100ms   syscall.Syscall\n             " + row.pkg + "." + name + "\n"))
+		if _, ok := out.Percent[row.role]; !ok || len(out.Percent) != 1 {
+			t.Errorf("%s.%s is sorted into %v, want %q", row.pkg, name, out.Percent, row.role)
+		}
+	}
+}
+
+// declaredMethods returns the methods with pointer receivers that the non-test files of a
+// directory declare, as "(*Type).Method".
+func declaredMethods(t *testing.T, dir string) map[string]bool {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(dir, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	methods := make(map[string]bool)
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, decl := range file.Decls {
+			f, ok := decl.(*ast.FuncDecl)
+			if !ok || f.Recv == nil {
+				continue
+			}
+			if pointer, ok := f.Recv.List[0].Type.(*ast.StarExpr); ok {
+				if receiver, ok := pointer.X.(*ast.Ident); ok {
+					methods[fmt.Sprintf("(*%s).%s", receiver.Name, f.Name.Name)] = true
+				}
+			}
+		}
+	}
+	return methods
+}
