--- a/internal/confsync/fetch.go
+++ b/internal/confsync/fetch.go
@@ -15,9 +15,9 @@
 	manifest  *platformapi.Manifest
 	// items holds the manifest alone at first, then the values that are missing.
 	items []*item
-	// held holds the available values by hash. Those of the revision in force need no
+	// available holds the available values by hash. Those of the revision in force need no
 	// transfer.
-	held map[string][]byte
+	available map[string][]byte
 }
 
 // item is the transfer of one value or of the manifest.
@@ -131,14 +131,14 @@
 	if c.fetch != nil && (c.fetch.manifest != nil || !best.outranks(c.fetch.candidate)) {
 		return
 	}
-	held := make(map[string][]byte, len(c.current.chunks))
+	available := make(map[string][]byte, len(c.current.chunks))
 	for hash, data := range c.current.chunks {
-		held[hash] = data
+		available[hash] = data
 	}
 	for hash, data := range c.retained {
-		held[hash] = data
+		available[hash] = data
 	}
-	c.fetch = &fetch{candidate: best, held: held}
+	c.fetch = &fetch{candidate: best, available: available}
 	if best.raw != nil {
 		c.useManifest(c.fetch, best.raw, eff)
 		return
@@ -151,7 +151,7 @@
 	c.retained = make(map[string][]byte)
 	for _, it := range f.items {
 		if it.done && !it.isManifest() {
-			c.retained[it.hash] = f.held[it.hash]
+			c.retained[it.hash] = f.available[it.hash]
 		}
 	}
 }
@@ -171,7 +171,7 @@
 	f.items = nil
 	listed := make(map[string]bool)
 	for _, chunk := range manifest.Chunks {
-		if _, ok := f.held[chunk.SHA256]; ok || listed[chunk.SHA256] {
+		if _, ok := f.available[chunk.SHA256]; ok || listed[chunk.SHA256] {
 			continue
 		}
 		listed[chunk.SHA256] = true
@@ -271,5 +271,5 @@
 		c.useManifest(f, it.data, eff)
 		return
 	}
-	f.held[it.hash] = it.data
+	f.available[it.hash] = it.data
 }
--- a/internal/confsync/revision.go
+++ b/internal/confsync/revision.go
@@ -81,7 +81,7 @@
 	files := make([]inventory.File, 0, len(f.manifest.Chunks))
 	chunks := make(map[string][]byte, len(f.manifest.Chunks))
 	for _, chunk := range f.manifest.Chunks {
-		data := f.held[chunk.SHA256]
+		data := f.available[chunk.SHA256]
 		chunks[chunk.SHA256] = data
 		files = append(files, inventory.File{Name: chunk.Key, Data: data})
 	}
--- a/internal/daemon/dispatcher.go
+++ b/internal/daemon/dispatcher.go
@@ -186,13 +186,13 @@
 }
 
 // Token implements upstream.Sink.
-func (r *answerSink) Token(event engineapi.TokenEvent) error {
-	if event.Offset < r.log.Len() {
+func (s *answerSink) Token(event engineapi.TokenEvent) error {
+	if event.Offset < s.log.Len() {
 		return nil
 	}
-	if err := r.log.Append(event); err != nil {
+	if err := s.log.Append(event); err != nil {
 		return err
 	}
-	r.progress.RecordToken(monotime.Now())
+	s.progress.RecordToken(monotime.Now())
 	return nil
 }
--- a/internal/inventory/check.go
+++ b/internal/inventory/check.go
@@ -208,12 +208,12 @@
 	if c.tiers[tier] {
 		return
 	}
-	known := make([]int, 0, len(c.tiers))
+	numbers := make([]int, 0, len(c.tiers))
 	for number := range c.tiers {
-		known = append(known, number)
+		numbers = append(numbers, number)
 	}
-	sort.Ints(known)
-	c.report(at, strconv.Itoa(tier), fmt.Sprintf("one of the tiers %v", known))
+	sort.Ints(numbers)
+	c.report(at, strconv.Itoa(tier), fmt.Sprintf("one of the tiers %v", numbers))
 }
 
 func (c *checker) checkCustomers(part *decodedFile) {
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -19,19 +19,19 @@
 }
 
 func (n *Node) waitEstimateOf(now monotime.Instant, r *request) waitEstimate {
-	backlog, age, known := n.picker.LastBacklog(now, r.group.Name, r.tier)
-	if !known {
+	backlog, age, reported := n.picker.LastBacklog(now, r.group.Name, r.tier)
+	if !reported {
 		return waitEstimate{}
 	}
 	return waitEstimate{backlog: backlog, reported: true, age: age}
 }
 
 // String describes the estimate for an operator.
-func (b waitEstimate) String() string {
-	if !b.reported {
+func (e waitEstimate) String() string {
+	if !e.reported {
 		return "no wait was known of the group"
 	}
-	return fmt.Sprintf("the group was believed to have a wait of %v, as told %v before", roundMS(b.backlog), roundMS(b.age))
+	return fmt.Sprintf("the group was believed to have a wait of %v, as told %v before", roundMS(e.backlog), roundMS(e.age))
 }
 
 func (n *Node) grantExplanation(now monotime.Instant, r *request) string {
--- a/internal/node/permits.go
+++ b/internal/node/permits.go
@@ -175,9 +175,9 @@
 
 // setPermitMembers applies a membership view to the limits.
 func (n *Node) setPermitMembers(now monotime.Instant, view *membership.View) {
-	live, known := ShareOf(view)
-	n.permits.local.SetMemberCount(known)
-	n.permits.home.SetMembers(now, live, known, func(customer uint64) bool {
+	live, total := ShareOf(view)
+	n.permits.local.SetMemberCount(total)
+	n.permits.home.SetMembers(now, live, total, func(customer uint64) bool {
 		return route.Home(customer, n.members) == n.self()
 	})
 }
--- a/internal/peer/links_test.go
+++ b/internal/peer/links_test.go
@@ -351,7 +351,7 @@
 	l := &link{links: links, peer: Identity{ID: "b"}}
 	onDemand := l.timeout()
 	links.SetTargets([]Target{{ID: "b", Address: "127.0.0.1:1"}})
-	if wanted := l.timeout(); wanted != links.cfg.Timing.PeerTimeout || onDemand != onDemandFactor*wanted {
-		t.Errorf("timeout of %v on demand and %v for a target", onDemand, wanted)
+	if targetTimeout := l.timeout(); targetTimeout != links.cfg.Timing.PeerTimeout || onDemand != onDemandFactor*targetTimeout {
+		t.Errorf("timeout of %v on demand and %v for a target", onDemand, targetTimeout)
 	}
 }
--- a/internal/sched/headroom.go
+++ b/internal/sched/headroom.go
@@ -33,17 +33,17 @@
 // requests with short deadlines close a pool to lower tiers.
 const budgetWeight = 0.05
 
-func (w *heldSlots) add(hold float64) {
-	w.count++
-	w.perSecond += 1 / max(hold, minHoldSeconds)
+func (h *heldSlots) add(hold float64) {
+	h.count++
+	h.perSecond += 1 / max(hold, minHoldSeconds)
 }
 
-func (w *heldSlots) remove(hold float64, now monotime.Instant) {
-	w.ended.add(now, 1)
-	w.count--
-	w.perSecond = max(0, w.perSecond-1/max(hold, minHoldSeconds))
-	if w.count == 0 {
-		w.perSecond = 0
+func (h *heldSlots) remove(hold float64, now monotime.Instant) {
+	h.ended.add(now, 1)
+	h.count--
+	h.perSecond = max(0, h.perSecond-1/max(hold, minHoldSeconds))
+	if h.count == 0 {
+		h.perSecond = 0
 	}
 }
 
@@ -55,17 +55,17 @@
 // seconds: estimated from the mean slot times, and at most as many as came free recently.
 // Requests that all started a moment ago end later than their mean suggests; relying on
 // the mean alone would leave no headroom in a group that fills within a second.
-func (w *heldSlots) expectedFree(budget float64, now monotime.Instant) float64 {
-	if w.count == 0 {
+func (h *heldSlots) expectedFree(budget float64, now monotime.Instant) float64 {
+	if h.count == 0 {
 		return 0
 	}
-	n := float64(w.count)
-	recent, _ := w.ended.get(now)
-	return min(n*(1-math.Exp(-budget*w.perSecond/n)), recent*budget)
+	n := float64(h.count)
+	recent, _ := h.ended.get(now)
+	return min(n*(1-math.Exp(-budget*h.perSecond/n)), recent*budget)
 }
 
-func (w *heldSlots) recordBudget(d time.Duration) {
-	w.budget.add(max(d.Seconds(), 0), budgetWeight)
+func (h *heldSlots) recordBudget(d time.Duration) {
+	h.budget.add(max(d.Seconds(), 0), budgetWeight)
 }
 
 // mayTakeSlot reports whether a request of the tier that is expected to hold its slot for
