--- a/internal/confsync/confsync.go
+++ b/internal/confsync/confsync.go
@@ -1,5 +1,5 @@
 // Package confsync decides which revision of the configuration is in force at one
-// instance and how the instance learns of newer ones. In each data centre a few readers
+// instance and how the instance obtains newer ones. In each data centre a few readers
 // keep a long poll (watch) open at the platform; all other instances (learners) fetch
 // from their neighbours. The highest revision wins, whatever its source. A revision takes
 // effect completely or not at all, and is never replaced by a lower one.
--- a/internal/confsync/fetch.go
+++ b/internal/confsync/fetch.go
@@ -15,8 +15,8 @@
 	manifest  *platformapi.Manifest
 	// items holds the manifest alone at first, then the values that are missing.
 	items []*item
-	// available holds the available values by hash. Those of the revision in force need no
-	// transfer.
+	// available holds values by hash that need no further transfer: those of the revision
+	// in force, those retained from a failed fetch, and the completed items.
 	available map[string][]byte
 }
 
--- a/internal/confsync/gossip.go
+++ b/internal/confsync/gossip.go
@@ -157,9 +157,9 @@
 }
 
 // mayTrustResuming allows two instances that were paused at the same time to confirm each
-// other. An instance that was not paused, or the platform, first gets the time to answer:
-// only if all were paused and the platform is down is nobody left that could have a newer
-// revision.
+// other. An instance that was not paused, or the platform, may have a newer revision and
+// first gets the time to answer. Only if all instances were paused and the platform is
+// down can nobody have one.
 func (c *Core) mayTrustResuming(now monotime.Instant) bool {
 	return c.resuming && now.Sub(c.resumedAt) > resumeTrustDelay
 }
--- a/internal/limits/home.go
+++ b/internal/limits/home.go
@@ -91,9 +91,9 @@
 	return give, ask.Requests > 0 || ask.Tokens > 0
 }
 
-// issue takes up to requested from the bucket. Each of the active holders is left its
-// part. It issues at least a quantum, or all of a smaller request, or nothing: a customer
-// far above its rate would otherwise cost two messages for each permit.
+// issue takes up to requested from the bucket, but no more than the bucket divided by the
+// active holders. It issues at least a quantum, or all of a smaller request, or nothing: a
+// customer far above its rate would otherwise cost two messages for each permit.
 func (b *bucket) issue(requested, active int, quantum float64) int {
 	minimum := min(float64(requested), quantum)
 	if requested <= 0 || b.level < minimum {
--- a/internal/node/expire.go
+++ b/internal/node/expire.go
@@ -9,8 +9,8 @@
 	"basilrudder/internal/schema/wire"
 )
 
-// renewalsPerLease is the number of renewals that a holder sends within one lease. With 3,
-// two lost messages in a row cost no slot.
+// renewalsPerLease is how often a holder renews its slots per lease. With 3, one lost
+// message costs no slot; after two in a row the next one is due as the lease ends.
 const renewalsPerLease = 3
 
 // expireRequests starts resumptions that are due and refuses waiting requests whose
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -29,7 +29,7 @@
 	// TickInterval is the interval at which Tick must be called.
 	TickInterval = 50 * time.Millisecond
 	// pauseThreshold is the time without a tick that counts as a pause of the process. It
-	// is far above scheduling noise and below the time within which a withdrawn server
+	// is far above scheduling delays and below the time within which a withdrawn server
 	// must have stopped receiving work.
 	pauseThreshold = time.Second
 	// confirmTimeout is how long dispatch waits for a confirmation after a pause before
--- a/internal/node/owner.go
+++ b/internal/node/owner.go
@@ -19,8 +19,9 @@
 const idleGroupTimeout = time.Minute
 
 const (
-	// ownerWarmUp covers the time until every holder has received the change of owner and
-	// reported the slots it holds.
+	// ownerWarmUp covers the time until the holders have received the change of owner and
+	// reported their slots. Until then only tiers with headroom get slots: a shorter one
+	// may give slots in use to lower tiers, a longer one delays these.
 	ownerWarmUp = 400 * time.Millisecond
 )
 
