--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -11,28 +11,28 @@
 
 // call is a request of a caller, from its first try to its end.
 type call struct {
-	sim      *sim
-	class    *Class
-	work     placement.Work
-	output   int
-	began    monotime.Instant
-	deadline monotime.Instant
+	sim       *sim
+	class     *Class
+	work      placement.Work
+	output    int
+	startedAt monotime.Instant
+	deadline  monotime.Instant
 
-	tried   bool
-	run     *run
-	engine  *engine
-	firstAt monotime.Instant
-	lastAt  monotime.Instant
-	paused  bool
-	over    bool
+	retried     bool
+	run         *run
+	engine      *engine
+	firstAt     monotime.Instant
+	lastAt      monotime.Instant
+	gapExceeded bool
+	finished    bool
 }
 
 func (s *sim) newCall(class *Class) *call {
 	s.calls++
-	own := s.around(class.OwnTokens)
-	shared := fmt.Sprintf("%s-%d", class.Name, s.random.IntN(max(1, class.Shared)))
-	c := &call{sim: s, class: class, output: s.around(class.Output)}
-	hint := float64(c.output) * math.Exp(hintSpread*s.random.NormFloat64())
+	own := s.drawLength(class.OwnTokens)
+	shared := fmt.Sprintf("%s-%d", class.Name, s.random.IntN(max(1, class.SharedParts)))
+	c := &call{sim: s, class: class, output: s.drawLength(class.Output)}
+	hint := float64(c.output) * math.Exp(outputHintSigma*s.random.NormFloat64())
 	c.work = placement.Work{
 		Parts: []placement.Part{
 			{ID: shared, Tokens: class.SharedTokens}, {ID: fmt.Sprintf("own-%d", s.calls), Tokens: own},
@@ -45,40 +45,40 @@
 
 // send sends the request to an instance by chance, for the first time or again.
 func (c *call) send() {
-	if c.began == 0 {
-		c.began = c.sim.now()
-		c.deadline = c.began.Add(c.class.Timeout)
+	if c.startedAt == 0 {
+		c.startedAt = c.sim.now()
+		c.deadline = c.startedAt.Add(c.class.Timeout)
 		c.sim.loop.At(c.deadline, c.timeout)
 	}
 	instances := c.sim.instances
-	instances[c.sim.random.IntN(len(instances))].take(c)
+	instances[c.sim.random.IntN(len(instances))].place(c)
 }
 
-func (c *call) refused() {
-	if c.tried {
+func (c *call) retryOrRefuse() {
+	if c.retried {
 		c.finish(Refused)
 		return
 	}
-	c.tried = true
-	back := backMin + time.Duration(c.sim.random.Float64()*float64(backSpread))
-	c.sim.loop.After(back, func() {
-		if !c.over {
+	c.retried = true
+	delay := minRetryDelay + time.Duration(c.sim.random.Float64()*float64(retryJitter))
+	c.sim.loop.After(delay, func() {
+		if !c.finished {
 			c.send()
 		}
 	})
 }
 
-func (c *call) event(now monotime.Instant) {
+func (c *call) recordEvent(now monotime.Instant) {
 	if c.firstAt == 0 {
 		c.firstAt = now
 	} else if c.class.MaxGap > 0 && now.Sub(c.lastAt) > c.class.MaxGap {
-		c.paused = true
+		c.gapExceeded = true
 	}
 	c.lastAt = now
 }
 
-func (c *call) done() {
-	if c.paused || c.firstAt.Sub(c.began) > c.class.Goal {
+func (c *call) complete() {
+	if c.gapExceeded || c.firstAt.Sub(c.startedAt) > c.class.Goal {
 		c.finish(Late)
 	} else {
 		c.finish(OnTime)
@@ -89,20 +89,20 @@
 
 // timeout ends a request whose caller gives up; its engine is free at once.
 func (c *call) timeout() {
-	if c.over {
+	if c.finished {
 		return
 	}
 	if c.engine != nil {
 		c.engine.remove(c.run)
-		c.run.instance.ended(c.run)
+		c.run.instance.endRun(c.run)
 	}
 	c.finish(Failed)
 }
 
 func (c *call) finish(o Outcome) {
-	if c.over {
+	if c.finished {
 		return
 	}
-	c.over = true
-	c.sim.result.add(c.class.Name, o)
+	c.finished = true
+	c.sim.result.count(c.class.Name, o)
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -25,9 +25,9 @@
 	Name string
 	// PerSecond is how many come in a second.
 	PerSecond float64
-	// Shared is the number of parts of SharedTokens that prompts of the class begin
+	// SharedParts is the number of parts of SharedTokens that prompts of the class begin
 	// with; each prompt has one of them.
-	Shared, SharedTokens int
+	SharedParts, SharedTokens int
 	// OwnTokens is the mean of the rest of a prompt.
 	OwnTokens int
 	// Output is the mean number of tokens of an answer.
@@ -42,7 +42,7 @@
 type Burst struct {
 	At, For time.Duration
 	Class   string
-	Times   float64
+	Factor  float64
 }
 
 // Fault has a share of the engines crash or turn slow for a while.
@@ -50,41 +50,41 @@
 	At, For time.Duration
 	// Share of the engines, from the first on.
 	Share float64
-	// Slow is how many times longer they take; 0 when they are down.
-	Slow float64
+	// SlowFactor is how many times longer they take; 0 when they are down.
+	SlowFactor float64
 }
 
 // Scenario is what is played.
 type Scenario struct {
 	Name      string
 	Instances int
-	// NewsDelay is the longest time until the others hear of a choice.
-	NewsDelay time.Duration
-	Engines   int
-	Kind      EngineKind
-	Classes   []Class
-	Bursts    []Burst
-	Faults    []Fault
+	// MaxUpdateDelay is the longest time until the others hear of a choice.
+	MaxUpdateDelay time.Duration
+	Engines        int
+	Kind           EngineKind
+	Classes        []Class
+	Bursts         []Burst
+	Faults         []Fault
 	// Length is how long requests come.
 	Length time.Duration
 }
 
 const (
-	// travel is the time between two machines, one way.
-	travel = time.Millisecond
+	// networkDelay is the time between two machines, one way.
+	networkDelay = time.Millisecond
 	// tick is the interval at which requests are drawn and evidence may be told.
 	tick = 10 * time.Millisecond
-	// evidenceEvery is how often instances tell each other what they have seen.
-	evidenceEvery = time.Second
-	// backMin and backSpread bound when a refused caller comes back.
-	backMin, backSpread = 350 * time.Millisecond, 700 * time.Millisecond
-	// spread is that of lengths, on a log scale.
-	spread = 0.5
-	// hintSpread is how far off a caller's estimate of its output is.
-	hintSpread = 0.4
-	// settle is how long after the last request answers are waited for.
-	settle  = 30 * time.Second
-	service = "engines"
+	// statisticsInterval is how often instances tell each other what they have seen.
+	statisticsInterval = time.Second
+	// minRetryDelay and retryJitter bound when a refused caller comes back.
+	minRetryDelay, retryJitter = 350 * time.Millisecond, 700 * time.Millisecond
+	// lengthSigma is that of lengths, on a log scale.
+	lengthSigma = 0.5
+	// outputHintSigma is how far off a caller's estimate of its output is.
+	outputHintSigma = 0.4
+	// drainTime is how long after the last request answers are waited for.
+	drainTime = 30 * time.Second
+	service   = "engines"
 )
 
 type sim struct {
@@ -107,7 +107,7 @@
 	}
 	s.loop.Run(time.Hour) // instants before the start are not negative
 	for n := range scenario.Engines {
-		e := &engine{kind: scenario.Kind, id: fmt.Sprintf("engine-%03d", n), sim: s, slow: 1, kept: make(map[string]keptPart)}
+		e := &engine{kind: scenario.Kind, id: fmt.Sprintf("engine-%03d", n), sim: s, slowFactor: 1, cache: make(map[string]cachedPart)}
 		s.engines = append(s.engines, e)
 		s.byID[e.id] = e
 	}
@@ -116,47 +116,47 @@
 	}
 	start := s.loop.Now()
 	for _, f := range scenario.Faults {
-		s.loop.At(start.Add(f.At), func() { s.begin(f) })
-		s.loop.At(start.Add(f.At+f.For), func() { s.end(f) })
+		s.loop.At(start.Add(f.At), func() { s.startFault(f) })
+		s.loop.At(start.Add(f.At+f.For), func() { s.endFault(f) })
 	}
 	for at := time.Duration(0); at < scenario.Length; at += tick {
-		s.loop.At(start.Add(at), func() { s.arrive(at) })
+		s.loop.At(start.Add(at), func() { s.scheduleArrivals(at) })
 	}
-	for at := evidenceEvery; at < scenario.Length; at += evidenceEvery {
-		s.loop.At(start.Add(at), s.tellEvidence)
+	for at := statisticsInterval; at < scenario.Length; at += statisticsInterval {
+		s.loop.At(start.Add(at), s.exchangeStatistics)
 	}
-	s.loop.Run(scenario.Length + settle)
+	s.loop.Run(scenario.Length + drainTime)
 	return s.result
 }
 
-func (s *sim) struck(f Fault) []*engine {
+func (s *sim) affectedEngines(f Fault) []*engine {
 	return s.engines[:int(math.Round(f.Share*float64(len(s.engines))))]
 }
 
-func (s *sim) begin(f Fault) {
-	for _, e := range s.struck(f) {
-		if f.Slow > 0 {
-			e.slow = f.Slow
+func (s *sim) startFault(f Fault) {
+	for _, e := range s.affectedEngines(f) {
+		if f.SlowFactor > 0 {
+			e.slowFactor = f.SlowFactor
 		} else {
 			e.crash()
 		}
 	}
 }
 
-func (s *sim) end(f Fault) {
-	for _, e := range s.struck(f) {
-		e.slow, e.down = 1, false
+func (s *sim) endFault(f Fault) {
+	for _, e := range s.affectedEngines(f) {
+		e.slowFactor, e.down = 1, false
 	}
 }
 
-// arrive draws the requests of one tick.
-func (s *sim) arrive(at time.Duration) {
+// scheduleArrivals draws the requests of one tick.
+func (s *sim) scheduleArrivals(at time.Duration) {
 	for i := range s.scenario.Classes {
 		class := &s.scenario.Classes[i]
 		rate := class.PerSecond
 		for _, b := range s.scenario.Bursts {
 			if b.Class == class.Name && at >= b.At && at < b.At+b.For {
-				rate *= b.Times
+				rate *= b.Factor
 			}
 		}
 		for n := s.poisson(rate * tick.Seconds()); n > 0; n-- {
@@ -175,17 +175,17 @@
 	return n
 }
 
-func (s *sim) around(mean int) int {
-	factor := math.Exp(spread*s.random.NormFloat64() - spread*spread/2)
+func (s *sim) drawLength(mean int) int {
+	factor := math.Exp(lengthSigma*s.random.NormFloat64() - lengthSigma*lengthSigma/2)
 	return max(1, int(float64(mean)*factor))
 }
 
-func (s *sim) tellEvidence() {
+func (s *sim) exchangeStatistics() {
 	for _, from := range s.instances {
-		told := from.board.PaceStatistics()
+		statistics := from.board.PaceStatistics()
 		for _, to := range s.instances {
 			if to != from {
-				for name, e := range told {
+				for name, e := range statistics {
 					to.board.MergePaceStatistics(from.name, name, e)
 				}
 			}
@@ -196,7 +196,7 @@
 // newBoard returns the Board of an instance, which knows nothing of the engines.
 func (s *sim) newBoard() *placement.Board {
 	b := placement.NewBoard(pace.DefaultPrior, "here")
-	b.SetPeers(s.scenario.Instances-1, s.scenario.NewsDelay)
+	b.SetPeers(s.scenario.Instances-1, s.scenario.MaxUpdateDelay)
 	b.Seed(s.random.Uint64())
 	return b
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -53,9 +53,9 @@
 // times faster, serve a load that they can carry. Nothing is known of them at first;
 // callers of the most urgent class get their answers on time all the same.
 func TestUnknownEnginesServeTheirLoadOnTime(t *testing.T) {
-	for name, least := range map[string]float64{"flat": 0.95, "steep": 0.9, "ten-slower": 0.9, "ten-faster": 0.9} {
+	for name, minOnTime := range map[string]float64{"flat": 0.95, "steep": 0.9, "ten-slower": 0.9, "ten-faster": 0.9} {
 		r := play(scenario(t, name))
-		if got := r.mean("live", OnTime); got < least {
+		if got := r.mean("live", OnTime); got < minOnTime {
 			t.Errorf("%s: %.3f of live answers on time", name, got)
 		}
 		if got := r.mean("report", Failed); got > 0.05 {
@@ -67,7 +67,7 @@
 // Reports come three times as often for six seconds, more than the engines can read
 // beside what they do. Reports may be refused; few may be cut off at their deadline,
 // and live answers, which are more urgent, go on.
-func TestABurstOfReportsCutsFewOff(t *testing.T) {
+func TestBurstOfReportsTimesFewOut(t *testing.T) {
 	r := play(scenario(t, "burst"))
 	if got := r.mean("report", Failed); got > 0.08 {
 		t.Errorf("%.3f of reports are cut off", got)
@@ -79,7 +79,7 @@
 
 // A third of the engines turn four times slower for six of fourteen seconds. Most live
 // answers are still on time: requests go to the others, and come back afterwards.
-func TestSlowEnginesAreLeftAndTakenBack(t *testing.T) {
+func TestSlowEnginesAreAvoidedUntilTheyRecover(t *testing.T) {
 	s := scenario(t, "slow-engines")
 	if got := play(s).mean("live", OnTime); got < 0.6 {
 		t.Errorf("%.3f of live answers on time", got)
@@ -94,7 +94,7 @@
 // Sixty instances hear of each other's choices up to 80 ms late, and engines have
 // twelve slots. They must not all send to the same ones: hardly a live answer is
 // refused while a quarter of the slots is free.
-func TestManyInstancesDoNotCrowdFewEngines(t *testing.T) {
+func TestManyInstancesDoNotOverloadTheSameEngines(t *testing.T) {
 	r := play(scenario(t, "many-instances"))
 	if got := r.mean("live", Refused); got > 0.02 {
 		t.Errorf("%.3f of live answers are refused", got)
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestAResultIsPrinted(t *testing.T) {
+func TestPrintListsTheClasses(t *testing.T) {
 	s := scenario(t, "flat")
 	s.Length = time.Second
 	r := Run(s, 1)
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -29,37 +29,37 @@
 	kind EngineKind
 	id   string
 	sim  *sim
-	// slow multiplies the time of every step; down engines do nothing.
-	slow  float64
-	down  bool
-	runs  []*run
-	queue []*run
-	// kept are the parts of prompts in memory, with their last use.
-	kept     map[string]keptPart
-	keptSum  int
-	stepping bool
+	// slowFactor multiplies the time of every step; down engines do nothing.
+	slowFactor float64
+	down       bool
+	running    []*run
+	queue      []*run
+	// cache are the parts of prompts in memory, with their last use.
+	cache        map[string]cachedPart
+	cachedTokens int
+	stepping     bool
 	// generation ends the steps of an engine that crashed.
 	generation int
 }
 
-type keptPart struct {
+type cachedPart struct {
 	tokens int
-	used   monotime.Instant
+	usedAt monotime.Instant
 }
 
 // run is a request at an engine.
 type run struct {
-	call     *call
-	instance *instance
-	number   int
-	unread   int
-	made     int
-	pending  int // tokens made since the last event
+	call      *call
+	instance  *instance
+	number    int
+	unread    int
+	generated int
+	pending   int // tokens made since the last event
 }
 
-// take takes a request and reports whether it has room for it.
-func (e *engine) take(r *run) bool {
-	if e.down || len(e.runs)+len(e.queue) >= e.kind.Slots+e.kind.Queue {
+// enqueue takes a request and reports whether it has room for it.
+func (e *engine) enqueue(r *run) bool {
+	if e.down || len(e.running)+len(e.queue) >= e.kind.Slots+e.kind.Queue {
 		return false
 	}
 	e.queue = append(e.queue, r)
@@ -67,70 +67,70 @@
 		return cmp.Compare(a.call.work.Priority, b.call.work.Priority)
 	})
 	e.admit()
-	e.step()
+	e.startStep()
 	return true
 }
 
 // admit starts waiting requests while slots are free.
 func (e *engine) admit() {
-	for len(e.queue) > 0 && len(e.runs) < e.kind.Slots {
+	for len(e.queue) > 0 && len(e.running) < e.kind.Slots {
 		r := e.queue[0]
 		e.queue = e.queue[1:]
-		r.unread = e.read(r.call.work)
-		e.sim.result.Read += r.unread
-		e.runs = append(e.runs, r)
+		r.unread = e.cachePrompt(r.call.work)
+		e.sim.result.PromptTokensRead += r.unread
+		e.running = append(e.running, r)
 	}
 }
 
-// read returns how many tokens of a prompt are not kept, and keeps its parts.
-func (e *engine) read(work placement.Work) int {
-	unread, known := work.Prompt, true
+// cachePrompt returns how many tokens of a prompt are not kept, and keeps its parts.
+func (e *engine) cachePrompt(work placement.Work) int {
+	unread, prefixCached := work.Prompt, true
 	for _, part := range work.Parts {
-		_, kept := e.kept[part.ID]
-		if known = known && kept; known {
+		_, cached := e.cache[part.ID]
+		if prefixCached = prefixCached && cached; prefixCached {
 			unread -= part.Tokens
 		}
-		if !kept {
-			e.keptSum += part.Tokens
+		if !cached {
+			e.cachedTokens += part.Tokens
 		}
-		e.kept[part.ID] = keptPart{tokens: part.Tokens, used: e.sim.loop.Now()}
+		e.cache[part.ID] = cachedPart{tokens: part.Tokens, usedAt: e.sim.loop.Now()}
 	}
-	for e.keptSum > e.kind.MemoryTokens && len(e.kept) > 0 {
-		e.dropOldest()
+	for e.cachedTokens > e.kind.MemoryTokens && len(e.cache) > 0 {
+		e.evictOldest()
 	}
 	return max(1, unread)
 }
 
-func (e *engine) dropOldest() {
+func (e *engine) evictOldest() {
 	oldest := ""
-	for id, part := range e.kept {
-		if at := e.kept[oldest].used; oldest == "" || part.used < at || part.used == at && id < oldest {
+	for id, part := range e.cache {
+		if at := e.cache[oldest].usedAt; oldest == "" || part.usedAt < at || part.usedAt == at && id < oldest {
 			oldest = id
 		}
 	}
-	e.keptSum -= e.kept[oldest].tokens
-	delete(e.kept, oldest)
+	e.cachedTokens -= e.cache[oldest].tokens
+	delete(e.cache, oldest)
 }
 
-// step plans the next step, unless one is under way or there is nothing to do.
-func (e *engine) step() {
-	if e.stepping || e.down || len(e.runs) == 0 {
+// startStep plans the next startStep, unless one is under way or there is nothing to do.
+func (e *engine) startStep() {
+	if e.stepping || e.down || len(e.running) == 0 {
 		return
 	}
 	e.stepping = true
-	took := e.kind.Pace.DecodeStep(len(e.runs))
+	duration := e.kind.Pace.DecodeStep(len(e.running))
 	budget := pace.Chunk
-	for _, r := range e.toRead() {
+	for _, r := range e.prefilling() {
 		if budget == 0 {
 			break
 		}
 		chunk := min(r.unread, budget)
-		took += e.kind.Pace.Read(chunk, r.call.work.Prompt-r.unread+chunk)
+		duration += e.kind.Pace.Read(chunk, r.call.work.Prompt-r.unread+chunk)
 		r.unread -= chunk
 		budget -= chunk
 	}
 	generation := e.generation
-	e.sim.loop.After(time.Duration(float64(took)*e.slow), func() {
+	e.sim.loop.After(time.Duration(float64(duration)*e.slowFactor), func() {
 		if generation == e.generation {
 			e.stepping = false
 			e.endStep()
@@ -138,10 +138,10 @@
 	})
 }
 
-// toRead are the requests whose prompt is not read yet, the more urgent first.
-func (e *engine) toRead() []*run {
+// prefilling are the requests whose prompt is not read yet, the more urgent first.
+func (e *engine) prefilling() []*run {
 	var out []*run
-	for _, r := range e.runs {
+	for _, r := range e.running {
 		if r.unread > 0 {
 			out = append(out, r)
 		}
@@ -155,14 +155,14 @@
 // endStep hands out the tokens of a step. A request makes its first token in the step
 // that reads the last of its prompt.
 func (e *engine) endStep() {
-	for _, r := range slices.Clone(e.runs) {
+	for _, r := range slices.Clone(e.running) {
 		if r.unread > 0 {
 			continue
 		}
-		r.made++
+		r.generated++
 		r.pending++
-		ended := r.made >= r.call.output
-		if r.made == 1 || r.pending >= e.kind.EventTokens || ended {
+		ended := r.generated >= r.call.output
+		if r.generated == 1 || r.pending >= e.kind.EventTokens || ended {
 			r.pending = 0
 			r.instance.event(r, ended)
 		}
@@ -171,22 +171,22 @@
 		}
 	}
 	e.admit()
-	e.step()
+	e.startStep()
 }
 
 // remove ends a request, however it ended.
 func (e *engine) remove(r *run) {
-	e.runs = slices.DeleteFunc(e.runs, func(x *run) bool { return x == r })
+	e.running = slices.DeleteFunc(e.running, func(x *run) bool { return x == r })
 	e.queue = slices.DeleteFunc(e.queue, func(x *run) bool { return x == r })
 }
 
 // crash loses all that the engine does and keeps.
 func (e *engine) crash() {
-	lost := append(slices.Clone(e.runs), e.queue...)
-	e.down, e.stepping, e.runs, e.queue = true, false, nil, nil
+	lost := append(slices.Clone(e.running), e.queue...)
+	e.down, e.stepping, e.running, e.queue = true, false, nil, nil
 	e.generation++
-	e.kept, e.keptSum = make(map[string]keptPart), 0
+	e.cache, e.cachedTokens = make(map[string]cachedPart), 0
 	for _, r := range lost {
-		r.instance.lost(r)
+		r.instance.failRun(r)
 	}
 }
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -10,22 +10,22 @@
 
 // instance is a relaying instance.
 type instance struct {
-	sim   *sim
-	name  string
-	board *placement.Board
-	runs  int
+	sim      *sim
+	name     string
+	board    *placement.Board
+	runCount int
 }
 
 func newInstance(s *sim, n int) *instance {
 	return &instance{sim: s, name: fmt.Sprintf("instance-%03d", n), board: s.newBoard()}
 }
 
-// tell has all others hear of something, late and each at its own time.
-func (i *instance) tell(news func(to *placement.Board, now monotime.Instant)) {
-	gathered := time.Duration(i.sim.random.Float64() * float64(i.sim.scenario.NewsDelay))
+// broadcast has all others hear of something, late and each at its own time.
+func (i *instance) broadcast(apply func(to *placement.Board, now monotime.Instant)) {
+	batchDelay := time.Duration(i.sim.random.Float64() * float64(i.sim.scenario.MaxUpdateDelay))
 	for _, to := range i.sim.instances {
 		if to != i {
-			i.sim.loop.After(gathered+travel, func() { news(to.board, i.sim.now()) })
+			i.sim.loop.After(batchDelay+networkDelay, func() { apply(to.board, i.sim.now()) })
 		}
 	}
 }
@@ -42,17 +42,17 @@
 	return out
 }
 
-// tries bounds the engines passed over for one request because they can't be reached.
-const tries = 4
+// maxAttempts bounds the engines passed over for one request because they can't be reached.
+const maxAttempts = 4
 
-// take places a request of a caller and sends it.
-func (i *instance) take(c *call) {
+// place places a request of a caller and sends it.
+func (i *instance) place(c *call) {
 	now := i.sim.now()
 	c.work.Left = c.deadline.Sub(now)
-	for range tries {
+	for range maxAttempts {
 		choice, refusal := i.board.Choose(c.work, i.candidates(), now)
 		if refusal != placement.Chosen {
-			c.refused()
+			c.retryOrRefuse()
 			return
 		}
 		e := i.sim.byID[choice.Server]
@@ -63,21 +63,21 @@
 		i.send(c, e, choice)
 		return
 	}
-	c.refused()
+	c.retryOrRefuse()
 }
 
 func (i *instance) send(c *call, e *engine, choice placement.Choice) {
-	i.runs++
-	r := &run{call: c, instance: i, number: i.runs}
+	i.runCount++
+	r := &run{call: c, instance: i, number: i.runCount}
 	id := placement.RunID{Instance: i.name, Number: r.number}
 	work := c.work
 	i.board.Begin(id, e.id, work, choice.Unread, i.sim.now())
-	i.tell(func(to *placement.Board, now monotime.Instant) { to.Begin(id, e.id, work, choice.Unread, now) })
+	i.broadcast(func(to *placement.Board, now monotime.Instant) { to.Begin(id, e.id, work, choice.Unread, now) })
 	c.run, c.engine = r, e
-	if !e.take(r) {
+	if !e.enqueue(r) {
 		i.board.Observe(e.id, placement.Refused, i.sim.now())
-		i.ended(r)
-		c.refused()
+		i.endRun(r)
+		c.retryOrRefuse()
 	}
 }
 
@@ -87,26 +87,26 @@
 	id := placement.RunID{Instance: i.name, Number: r.number}
 	if r.call.firstAt == 0 {
 		i.board.OwnFirstEvent(id, now)
-		i.tell(func(to *placement.Board, now monotime.Instant) { to.FirstEvent(id, now) })
+		i.broadcast(func(to *placement.Board, now monotime.Instant) { to.FirstEvent(id, now) })
 	}
 	i.board.Events(id, 1, now)
-	r.call.event(now)
+	r.call.recordEvent(now)
 	if last {
 		i.board.Observe(r.call.engine.id, placement.Served, now)
-		i.ended(r)
-		r.call.done()
+		i.endRun(r)
+		r.call.complete()
 	}
 }
 
-// lost ends a request whose engine crashed.
-func (i *instance) lost(r *run) {
+// failRun ends a request whose engine crashed.
+func (i *instance) failRun(r *run) {
 	i.board.Observe(r.call.engine.id, placement.Failed, i.sim.now())
-	i.ended(r)
+	i.endRun(r)
 	r.call.fail()
 }
 
-func (i *instance) ended(r *run) {
+func (i *instance) endRun(r *run) {
 	id := placement.RunID{Instance: i.name, Number: r.number}
 	i.board.End(id, i.sim.now())
-	i.tell(func(to *placement.Board, now monotime.Instant) { to.End(id, now) })
+	i.broadcast(func(to *placement.Board, now monotime.Instant) { to.End(id, now) })
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -20,17 +20,17 @@
 	// Failed: broken off, or not whole when the caller gave up.
 	Failed
 
-	outcomes
+	outcomeCount
 )
 
 // ClassResult counts outcomes.
 type ClassResult struct {
 	Name   string
-	Counts [outcomes]int
+	Counts [outcomeCount]int
 }
 
-// All is the number of requests.
-func (c *ClassResult) All() int {
+// Total is the number of requests.
+func (c *ClassResult) Total() int {
 	sum := 0
 	for _, n := range c.Counts {
 		sum += n
@@ -40,14 +40,14 @@
 
 // Share is the share of requests that ended so.
 func (c *ClassResult) Share(o Outcome) float64 {
-	return float64(c.Counts[o]) / float64(max(1, c.All()))
+	return float64(c.Counts[o]) / float64(max(1, c.Total()))
 }
 
 // Result is what callers got, by class in the order of the scenario.
 type Result struct {
 	Classes []ClassResult
-	// Read is the number of prompt tokens that engines read.
-	Read int
+	// PromptTokensRead is the number of prompt tokens that engines read.
+	PromptTokensRead int
 }
 
 func newResult(s Scenario) Result {
@@ -58,7 +58,7 @@
 	return r
 }
 
-func (r *Result) add(class string, o Outcome) { r.Class(class).Counts[o]++ }
+func (r *Result) count(class string, o Outcome) { r.Class(class).Counts[o]++ }
 
 // Class returns the counts of a class; nil when there is none of the name.
 func (r *Result) Class(name string) *ClassResult {
@@ -75,7 +75,7 @@
 	sum, all := 0, 0
 	for i := range r.Classes {
 		sum += r.Classes[i].Counts[OnTime]
-		all += r.Classes[i].All()
+		all += r.Classes[i].Total()
 	}
 	return float64(sum) / float64(max(1, all))
 }
@@ -87,11 +87,11 @@
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t\n",
-			c.Name, c.All(), c.Share(OnTime), c.Share(Late), c.Share(Refused), c.Share(Failed))
+			c.Name, c.Total(), c.Share(OnTime), c.Share(Late), c.Share(Refused), c.Share(Failed))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "on time over all %.3f; %.1f million prompt tokens read\n", r.OnTime(), float64(r.Read)/1e6)
+	_, err := fmt.Fprintf(out, "on time over all %.3f; %.1f million prompt tokens read\n", r.OnTime(), float64(r.PromptTokensRead)/1e6)
 	return err
 }
--- a/internal/emulator/scenarios.go
+++ b/internal/emulator/scenarios.go
@@ -8,14 +8,14 @@
 
 // Kinds of engines that have little in common.
 var (
-	// flat steps hardly grow with the requests that run; first events come at once.
-	flat = pace.Pace{Step: 4 * time.Millisecond, StepPerRun: time.Microsecond, ReadToken: 16 * time.Microsecond, AttentionPerM: 600 * time.Microsecond, First: time.Millisecond}
-	// steep steps double with forty requests.
-	steep = pace.Pace{Step: 6 * time.Millisecond, StepPerRun: 160 * time.Microsecond, ReadToken: 16 * time.Microsecond, AttentionPerM: 500 * time.Microsecond, First: time.Millisecond}
+	// flatPace steps hardly grow with the requests that run; first events come at once.
+	flatPace = pace.Pace{Step: 4 * time.Millisecond, StepPerRun: time.Microsecond, ReadToken: 16 * time.Microsecond, AttentionPerM: 600 * time.Microsecond, First: time.Millisecond}
+	// steepPace steps double with forty requests.
+	steepPace = pace.Pace{Step: 6 * time.Millisecond, StepPerRun: 160 * time.Microsecond, ReadToken: 16 * time.Microsecond, AttentionPerM: 500 * time.Microsecond, First: time.Millisecond}
 )
 
-// kind returns engines with 64 slots of a pace.
-func kind(p pace.Pace) EngineKind {
+// engineKind returns engines with 64 slots of a pace.
+func engineKind(p pace.Pace) EngineKind {
 	return EngineKind{Slots: 64, Queue: 64, MemoryTokens: 500_000, EventTokens: 4, Pace: p}
 }
 
@@ -23,15 +23,15 @@
 // reports whose prompts share parts. stretch multiplies all times and divides all
 // rates, for engines that are as many times slower.
 func classes(load, stretch float64) []Class {
-	long := func(d time.Duration) time.Duration { return time.Duration(float64(d) * stretch) }
+	scaled := func(d time.Duration) time.Duration { return time.Duration(float64(d) * stretch) }
 	rate := func(perSecond float64) float64 { return perSecond * load / stretch }
 	return []Class{
-		{Name: "live", PerSecond: rate(50), Shared: 20, SharedTokens: 200, OwnTokens: 600, Output: 280,
-			Goal: long(300 * time.Millisecond), MaxGap: long(200 * time.Millisecond), Timeout: long(15 * time.Second)},
-		{Name: "rewrite", PerSecond: rate(30), Shared: 40, SharedTokens: 600, OwnTokens: 1800, Output: 24, Priority: 1,
-			Goal: long(400 * time.Millisecond), MaxGap: long(300 * time.Millisecond), Timeout: long(3 * time.Second)},
-		{Name: "report", PerSecond: rate(15), Shared: 60, SharedTokens: 5400, OwnTokens: 6600, Output: 360, Priority: 2,
-			Goal: long(2500 * time.Millisecond), MaxGap: long(800 * time.Millisecond), Timeout: long(15 * time.Second)},
+		{Name: "live", PerSecond: rate(50), SharedParts: 20, SharedTokens: 200, OwnTokens: 600, Output: 280,
+			Goal: scaled(300 * time.Millisecond), MaxGap: scaled(200 * time.Millisecond), Timeout: scaled(15 * time.Second)},
+		{Name: "rewrite", PerSecond: rate(30), SharedParts: 40, SharedTokens: 600, OwnTokens: 1800, Output: 24, Priority: 1,
+			Goal: scaled(400 * time.Millisecond), MaxGap: scaled(300 * time.Millisecond), Timeout: scaled(3 * time.Second)},
+		{Name: "report", PerSecond: rate(15), SharedParts: 60, SharedTokens: 5400, OwnTokens: 6600, Output: 360, Priority: 2,
+			Goal: scaled(2500 * time.Millisecond), MaxGap: scaled(800 * time.Millisecond), Timeout: scaled(15 * time.Second)},
 	}
 }
 
@@ -39,24 +39,24 @@
 func Scenarios() []Scenario {
 	base := func(name string, p pace.Pace) Scenario {
 		return Scenario{
-			Name: name, Instances: 9, NewsDelay: 10 * time.Millisecond, Engines: 12, Kind: kind(p),
+			Name: name, Instances: 9, MaxUpdateDelay: 10 * time.Millisecond, Engines: 12, Kind: engineKind(p),
 			Classes: classes(1, 1), Length: 14 * time.Second,
 		}
 	}
-	calm, steepCalm := base("flat", flat), base("steep", steep)
-	burst := base("burst", flat)
-	burst.Bursts = []Burst{{At: 4 * time.Second, For: 6 * time.Second, Class: "report", Times: 3}}
+	calm, steepCalm := base("flat", flatPace), base("steep", steepPace)
+	burst := base("burst", flatPace)
+	burst.Bursts = []Burst{{At: 4 * time.Second, For: 6 * time.Second, Class: "report", Factor: 3}}
 	crash := burst
 	crash.Name = "burst-crash"
 	crash.Faults = []Fault{{At: 6 * time.Second, For: 4 * time.Second, Share: 0.25}}
-	slow := base("slow-engines", flat)
-	slow.Faults = []Fault{{At: 3 * time.Second, For: 6 * time.Second, Share: 0.34, Slow: 4}}
-	slower := base("ten-slower", flat.Slower(10))
+	slow := base("slow-engines", flatPace)
+	slow.Faults = []Fault{{At: 3 * time.Second, For: 6 * time.Second, Share: 0.34, SlowFactor: 4}}
+	slower := base("ten-slower", flatPace.Slower(10))
 	slower.Classes, slower.Length = classes(1, 10), 60*time.Second
-	faster := base("ten-faster", flat.Slower(0.1))
+	faster := base("ten-faster", flatPace.Slower(0.1))
 	faster.Classes, faster.Length = classes(1, 0.1), 4*time.Second
-	many := base("many-instances", flat)
-	many.Instances, many.NewsDelay, many.Engines = 60, 80*time.Millisecond, 60
+	many := base("many-instances", flatPace)
+	many.Instances, many.MaxUpdateDelay, many.Engines = 60, 80*time.Millisecond, 60
 	many.Kind.Slots, many.Kind.Queue = 12, 12
 	many.Classes = classes(5, 1)
 	many.Length = 5 * time.Second
--- a/internal/node/search_test.go
+++ b/internal/node/search_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("seed %d: no answer for %v", seed, left)
 		}
 		w.reportFailures()
-		steps += w.Events()
+		steps += w.Executed()
 		requests += len(w.calls)
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -7,10 +7,10 @@
 
 // Range and precision, in microseconds. A value outside is taken for the bound.
 const (
-	minMicros   = 1
-	maxMicros   = 24 * 3600 * 1000 * 1000
-	digits      = 2
-	microsPerMS = 1000
+	minMicros         = 1
+	maxMicros         = 24 * 3600 * 1000 * 1000
+	significantDigits = 2
+	microsPerMS       = 1000
 )
 
 // Summary tells how values are distributed, in milliseconds.
@@ -30,30 +30,30 @@
 // Histogram counts durations within 1% of their value. The zero value is ready.
 // It is not safe for concurrent use.
 type Histogram struct {
-	inner *hdrhistogram.Histogram
+	hdr *hdrhistogram.Histogram
 }
 
 // Record adds a duration in milliseconds.
 func (h *Histogram) Record(ms float64) {
-	if h.inner == nil {
-		h.inner = hdrhistogram.New(minMicros, maxMicros, digits)
+	if h.hdr == nil {
+		h.hdr = hdrhistogram.New(minMicros, maxMicros, significantDigits)
 	}
 	micros := min(max(ms*microsPerMS, minMicros), maxMicros)
 	// The value is in range, so recording cannot fail.
-	_ = h.inner.RecordValue(int64(micros))
+	_ = h.hdr.RecordValue(int64(micros))
 }
 
 // Summary returns the distribution so far.
 func (h *Histogram) Summary() Summary {
-	if h.inner == nil {
+	if h.hdr == nil {
 		return Summary{}
 	}
 	return Summary{
-		Count: h.inner.TotalCount(),
-		P50:   milliseconds(h.inner.ValueAtQuantile(50)),
-		P95:   milliseconds(h.inner.ValueAtQuantile(95)),
-		P99:   milliseconds(h.inner.ValueAtQuantile(99)),
-		Max:   milliseconds(h.inner.Max()),
+		Count: h.hdr.TotalCount(),
+		P50:   milliseconds(h.hdr.ValueAtQuantile(50)),
+		P95:   milliseconds(h.hdr.ValueAtQuantile(95)),
+		P99:   milliseconds(h.hdr.ValueAtQuantile(99)),
+		Max:   milliseconds(h.hdr.Max()),
 	}
 }
 
--- a/internal/replay/call.go
+++ b/internal/replay/call.go
@@ -70,8 +70,8 @@
 	c.id = p.newID()
 	c.sim.callByID[c.id] = c
 	p.deliver(0, func(now monotime.Instant) { c.submit(now, addresses[1:]) })
-	if c.request.Leaves > 0 {
-		c.sim.loop.After(c.request.Leaves, c.leave)
+	if c.request.CancelAfter > 0 {
+		c.sim.loop.After(c.request.CancelAfter, c.leave)
 	}
 }
 
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// burstEvery is the time from one burst to the next, burstFor its length.
-	burstEvery = 45 * time.Second
-	burstFor   = 15 * time.Second
-	// waveFor is the time in which a wave's requests of a burst come.
-	waveFor = 5 * time.Second
+	// burstInterval is the time from one burst to the next, burstFor its length.
+	burstInterval = 45 * time.Second
+	burstLength   = 15 * time.Second
+	// waveLength is the time in which a wave's requests of a burst come.
+	waveLength = 5 * time.Second
 	// batchSlowdown is the part of a step that each further request of a batch
 	// adds, by which capacity is estimated.
 	batchSlowdown = 0.01
-	// cachedPrompt is the part of a prompt that a warm prefix cache saves.
-	cachedPrompt = 0.5
-	// maxGenerated bounds the requests of one line.
-	maxGenerated = 2_000_000
+	// cachedPromptShare is the part of a prompt that a warm prefix cache saves.
+	cachedPromptShare = 0.5
+	// maxGeneratedRequests bounds the requests of one line.
+	maxGeneratedRequests = 2_000_000
 )
 
 // Generate makes the requests that a line asks for. The same line and inventory
@@ -45,7 +45,7 @@
 	}
 	scaled := line.Load*float64(engineCount(cat)) - g.fixedWork(m)
 	for i := range m.streams {
-		if err := g.stream(&m.streams[i], scaled); err != nil {
+		if err := g.generateStream(&m.streams[i], scaled); err != nil {
 			return nil, err
 		}
 	}
@@ -75,19 +75,19 @@
 
 // workOf is the mean work of a request in seconds of one engine.
 func (g *generator) workOf(s *stream) float64 {
-	engine := modelEngine(g.cat)
+	engine := firstModelEngine(g.cat)
 	if engine == nil {
 		return 1
 	}
 	slots := float64(engine.Slots)
 	step := engine.StepMS / 1000 * (1 + batchSlowdown*(slots-1))
-	mean := s.output * math.Exp(s.spread*s.spread/2)
-	prompt := s.prompt * (1 - cachedPrompt) / float64(engine.PrefillTokensPerS)
+	mean := s.output * math.Exp(s.outputSigma*s.outputSigma/2)
+	prompt := s.prompt * (1 - cachedPromptShare) / float64(engine.PrefillTokensPerS)
 	return prompt + mean*step/slots
 }
 
-// modelEngine returns the first model engine, which stands for all.
-func modelEngine(cat *catalog.Catalog) *inventory.Engine {
+// firstModelEngine returns the first model engine, which stands for all.
+func firstModelEngine(cat *catalog.Catalog) *inventory.Engine {
 	for _, group := range cat.GroupList {
 		for _, server := range group.Servers {
 			if server.Spec.Kind == inventory.ServerKindModel {
@@ -108,7 +108,7 @@
 	return n
 }
 
-func (g *generator) stream(s *stream, scaled float64) error {
+func (g *generator) generateStream(s *stream, scaled float64) error {
 	if g.cat.Classes[s.class] == nil {
 		return errors.Errorf("the inventory has no class %q", s.class)
 	}
@@ -129,50 +129,50 @@
 
 // arrivals draws a Poisson process whose rate follows the bursts, by thinning.
 func (g *generator) arrivals(s *stream, perSecond float64) error {
-	peak := perSecond * g.peak(s)
+	peak := perSecond * g.peakRateFactor(s)
 	for at := g.start; ; {
 		at += time.Duration(g.rng.ExpFloat64() / peak * float64(time.Second))
 		if at >= g.end {
 			return nil
 		}
-		if g.rng.Float64()*peak >= perSecond*g.level(s, at-g.start) {
+		if g.rng.Float64()*peak >= perSecond*g.rateFactor(s, at-g.start) {
 			continue
 		}
-		if len(g.out) >= maxGenerated {
+		if len(g.out) >= maxGeneratedRequests {
 			return errors.New("the line asks for too many requests")
 		}
 		g.out = append(g.out, g.request(s, at))
 	}
 }
 
-func (g *generator) bursts(s *stream) bool {
+func (g *generator) hasBursts(s *stream) bool {
 	return s.burst && g.line.Burst > 1
 }
 
-// peak is the greatest level.
-func (g *generator) peak(s *stream) float64 {
-	if !g.bursts(s) {
+// peakRateFactor is the greatest level.
+func (g *generator) peakRateFactor(s *stream) float64 {
+	if !g.hasBursts(s) {
 		return 1
 	}
 	if s.wave {
-		return g.line.Burst * float64(burstFor) / float64(waveFor)
+		return g.line.Burst * float64(burstLength) / float64(waveLength)
 	}
 	return g.line.Burst
 }
 
-// level is the rate against its mean at a time since the start. Between bursts
+// rateFactor is the rate against its mean at a time since the start. Between bursts
 // it is as low as the mean asks for.
-func (g *generator) level(s *stream, since time.Duration) float64 {
-	if !g.bursts(s) {
+func (g *generator) rateFactor(s *stream, since time.Duration) float64 {
+	if !g.hasBursts(s) {
 		return 1
 	}
-	length := burstFor
+	length := burstLength
 	if s.wave {
-		length = waveFor
+		length = waveLength
 	}
-	peak := g.peak(s)
-	part := float64(length) / float64(burstEvery)
-	if since%burstEvery >= burstEvery-burstFor && since%burstEvery < burstEvery-burstFor+length {
+	peak := g.peakRateFactor(s)
+	part := float64(length) / float64(burstInterval)
+	if since%burstInterval >= burstInterval-burstLength && since%burstInterval < burstInterval-burstLength+length {
 		return peak
 	}
 	return max(0, (1-peak*part)/(1-part))
@@ -188,33 +188,33 @@
 		OutputTokens: g.output(s),
 	}
 	if s.prefixes > 0 {
-		r.Prefix = prefixHash(fmt.Sprintf("%s/%s/%d", s.class, customer, g.popular(s.prefixes)))
+		r.Prefix = prefixHash(fmt.Sprintf("%s/%s/%d", s.class, customer, g.skewedIndex(s.prefixes)))
 	}
 	return r
 }
 
 func (g *generator) customer(s *stream) string {
-	left := 0.0
+	remaining := 0.0
 	for _, c := range s.customers {
-		left += c.share
+		remaining += c.share
 	}
-	left *= g.rng.Float64()
+	remaining *= g.rng.Float64()
 	for _, c := range s.customers {
-		left -= c.share
-		if left < 0 {
+		remaining -= c.share
+		if remaining < 0 {
 			return c.name
 		}
 	}
 	return s.customers[0].name
 }
 
-// popular draws one of n, the first ones more often.
-func (g *generator) popular(n int) int {
+// skewedIndex draws one of n, the first ones more often.
+func (g *generator) skewedIndex(n int) int {
 	u := g.rng.Float64()
 	return int(float64(n) * u * u)
 }
 
 func (g *generator) output(s *stream) int {
-	value := s.output * math.Exp(s.spread*g.rng.NormFloat64())
-	return min(max(int(value), 1), s.limit)
+	value := s.output * math.Exp(s.outputSigma*g.rng.NormFloat64())
+	return min(max(int(value), 1), s.maxOutput)
 }
--- a/internal/trace/mix.go
+++ b/internal/trace/mix.go
@@ -24,9 +24,9 @@
 	// prefixes is the number of distinct prompt prefixes per customer.
 	prefixes int
 	// output is the median of the answer's tokens (a service's milliseconds) and
-	// spread the sigma of its logarithm; limit bounds it.
-	output, spread float64
-	limit          int
+	// outputSigma the sigma of its logarithm; limit bounds it.
+	output, outputSigma float64
+	maxOutput           int
 }
 
 type customerShare struct {
@@ -55,14 +55,14 @@
 	}
 	reading := append([]customerShare{{"bureau-counters", 0.5}}, notaries[0], notaries[1])
 	return []stream{
-		{class: "clerk-lookup", customers: counters, perSecond: 18, burst: true, prompt: 250, prefixes: 12, output: 30, spread: 0.4, limit: 128},
-		{class: "account-status", customers: counters, perSecond: 25, burst: true, output: 15, spread: 0.4, limit: 500},
-		{class: "seal-registry", customers: counters, perSecond: 6, burst: true, output: 40, spread: 0.4, limit: 1000},
-		{class: "certificate-reading", customers: reading, share: 0.25, burst: true, prompt: 2500, prefixes: 30, output: 200, spread: 0.5, limit: 1024},
-		{class: "seal-note", customers: notaries, share: 0.1, burst: true, prompt: 800, prefixes: 4, output: 180, spread: 0.6, limit: 1024},
-		{class: "drafting", customers: notaries, share: 0.45, burst: true, prompt: 1200, prefixes: 6, output: 450, spread: 0.9, limit: 4096},
-		{class: "translation-check", customers: translators, share: 0.12, prompt: 1500, prefixes: 10, output: 300, spread: 0.7, limit: 2048},
-		{class: "archive-reading", customers: counters, share: 0.08, prompt: 3000, prefixes: 100, output: 250, spread: 0.5, limit: 1024},
+		{class: "clerk-lookup", customers: counters, perSecond: 18, burst: true, prompt: 250, prefixes: 12, output: 30, outputSigma: 0.4, maxOutput: 128},
+		{class: "account-status", customers: counters, perSecond: 25, burst: true, output: 15, outputSigma: 0.4, maxOutput: 500},
+		{class: "seal-registry", customers: counters, perSecond: 6, burst: true, output: 40, outputSigma: 0.4, maxOutput: 1000},
+		{class: "certificate-reading", customers: reading, share: 0.25, burst: true, prompt: 2500, prefixes: 30, output: 200, outputSigma: 0.5, maxOutput: 1024},
+		{class: "seal-note", customers: notaries, share: 0.1, burst: true, prompt: 800, prefixes: 4, output: 180, outputSigma: 0.6, maxOutput: 1024},
+		{class: "drafting", customers: notaries, share: 0.45, burst: true, prompt: 1200, prefixes: 6, output: 450, outputSigma: 0.9, maxOutput: 4096},
+		{class: "translation-check", customers: translators, share: 0.12, prompt: 1500, prefixes: 10, output: 300, outputSigma: 0.7, maxOutput: 2048},
+		{class: "archive-reading", customers: counters, share: 0.08, prompt: 3000, prefixes: 100, output: 250, outputSigma: 0.5, maxOutput: 1024},
 	}
 }
 
@@ -78,13 +78,13 @@
 	free := []customerShare{{"rubavu-guides", 0.6}, {"rusizi-guides", 0.4}}
 	all := append(append(append([]customerShare{}, paying...), schools...), free...)
 	return []stream{
-		{class: "alert", customers: paying, perSecond: 26, burst: true, wave: true, prompt: 200, prefixes: 2, output: 60, spread: 0.3, limit: 200},
-		{class: "delivery-receipt", customers: paying, perSecond: 26, burst: true, output: 20, spread: 0.3, limit: 500},
-		{class: "subscriber-lookup", customers: all, perSecond: 20, burst: true, output: 10, spread: 0.3, limit: 500},
-		{class: "alert", customers: schools, share: 0.15, burst: true, wave: true, prompt: 200, prefixes: 2, output: 60, spread: 0.3, limit: 200},
-		{class: "alert", customers: free, share: 0.35, burst: true, wave: true, prompt: 200, prefixes: 2, output: 60, spread: 0.3, limit: 200},
-		{class: "sighting-summary", customers: all, share: 0.25, burst: true, prompt: 600, prefixes: 5, output: 220, spread: 0.5, limit: 600},
-		{class: "digest", customers: all, share: 0.15, prompt: 900, prefixes: 5, output: 500, spread: 0.6, limit: 2048},
-		{class: "archive", customers: all, share: 0.1, prompt: 1500, prefixes: 50, output: 400, spread: 0.6, limit: 2048},
+		{class: "alert", customers: paying, perSecond: 26, burst: true, wave: true, prompt: 200, prefixes: 2, output: 60, outputSigma: 0.3, maxOutput: 200},
+		{class: "delivery-receipt", customers: paying, perSecond: 26, burst: true, output: 20, outputSigma: 0.3, maxOutput: 500},
+		{class: "subscriber-lookup", customers: all, perSecond: 20, burst: true, output: 10, outputSigma: 0.3, maxOutput: 500},
+		{class: "alert", customers: schools, share: 0.15, burst: true, wave: true, prompt: 200, prefixes: 2, output: 60, outputSigma: 0.3, maxOutput: 200},
+		{class: "alert", customers: free, share: 0.35, burst: true, wave: true, prompt: 200, prefixes: 2, output: 60, outputSigma: 0.3, maxOutput: 200},
+		{class: "sighting-summary", customers: all, share: 0.25, burst: true, prompt: 600, prefixes: 5, output: 220, outputSigma: 0.5, maxOutput: 600},
+		{class: "digest", customers: all, share: 0.15, prompt: 900, prefixes: 5, output: 500, outputSigma: 0.6, maxOutput: 2048},
+		{class: "archive", customers: all, share: 0.1, prompt: 1500, prefixes: 50, output: 400, outputSigma: 0.6, maxOutput: 2048},
 	}
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -30,8 +30,8 @@
 	PromptTokens int
 	// OutputTokens of the answer; for a plain service its time in milliseconds.
 	OutputTokens int
-	// Leaves is the time after At at which the caller leaves; 0 for never.
-	Leaves time.Duration
+	// CancelAfter is the time after At at which the caller leaves; 0 for never.
+	CancelAfter time.Duration
 }
 
 // Fault is one fault of a trace.
@@ -58,8 +58,8 @@
 	Length time.Duration
 }
 
-// maxLine bounds a line of a trace in bytes.
-const maxLine = 1 << 16
+// maxLineBytes bounds a line of a trace in bytes.
+const maxLineBytes = 1 << 16
 
 // Read reads a trace. The catalog gives the capacity that generated load is
 // measured against, and the names that lines may use.
@@ -75,7 +75,7 @@
 func ReadLines(name string, r io.Reader) ([]trace.Line, error) {
 	var lines []trace.Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for number := 1; scanner.Scan(); number++ {
 		text := bytes.TrimSpace(scanner.Bytes())
 		if len(text) == 0 {
@@ -100,11 +100,11 @@
 	if err := decoder.Decode(&line); err != nil {
 		return line, err
 	}
-	return line, check(&line)
+	return line, validate(&line)
 }
 
-// check finds the lines that could mean nothing.
-func check(line *trace.Line) error {
+// validate finds the lines that could mean nothing.
+func validate(line *trace.Line) error {
 	kinds := 0
 	for _, present := range []bool{line.Fault != nil, line.Class != "", line.Generate != ""} {
 		if present {
@@ -122,7 +122,7 @@
 		return errors.New("times are at most a week")
 	case line.Class != "" && line.Customer == "":
 		return errors.New("a request has a customer")
-	case line.Fault != nil && !known(*line.Fault):
+	case line.Fault != nil && !isKnownFault(*line.Fault):
 		return errors.Errorf("unknown fault %q", *line.Fault)
 	}
 	return nil
@@ -131,7 +131,7 @@
 // maxMS keeps every time far from overflow.
 const maxMS = 7 * 24 * 3600 * 1000
 
-func known(kind trace.FaultKind) bool {
+func isKnownFault(kind trace.FaultKind) bool {
 	return slices.Contains([]trace.FaultKind{
 		trace.FaultKindCrash, trace.FaultKindStraggle, trace.FaultKindPause, trace.FaultKindPartition,
 		trace.FaultKindSilence, trace.FaultKindConfigDown, trace.FaultKindConfigStale,
@@ -173,7 +173,7 @@
 		}
 		t.Requests = append(t.Requests, Request{
 			At: at, Customer: line.Customer, Class: line.Class, Prefix: prefixHash(line.Prefix),
-			PromptTokens: line.PromptTokens, OutputTokens: line.OutputTokens, Leaves: milliseconds(line.LeavesMS),
+			PromptTokens: line.PromptTokens, OutputTokens: line.OutputTokens, CancelAfter: milliseconds(line.LeavesMS),
 		})
 		t.Length = max(t.Length, at)
 	}
--- a/internal/vtime/loop.go
+++ b/internal/vtime/loop.go
@@ -12,9 +12,9 @@
 
 // Loop is a queue of events. The zero value starts at instant 0.
 type Loop struct {
-	now    monotime.Instant
-	events eventHeap
-	count  int
+	now       monotime.Instant
+	events    eventHeap
+	scheduled int
 }
 
 // Now returns the current instant.
@@ -22,9 +22,9 @@
 	return l.now
 }
 
-// Events returns the number of events carried out.
-func (l *Loop) Events() int {
-	return l.count - len(l.events)
+// Executed returns the number of events carried out.
+func (l *Loop) Executed() int {
+	return l.scheduled - len(l.events)
 }
 
 // After carries out do when d has passed; events due at one instant happen in
@@ -35,8 +35,8 @@
 
 // At carries out do at an instant, or at once if it has passed.
 func (l *Loop) At(at monotime.Instant, do func()) {
-	l.count++
-	heap.Push(&l.events, event{at: max(at, l.now), order: l.count, do: do})
+	l.scheduled++
+	heap.Push(&l.events, event{at: max(at, l.now), sequence: l.scheduled, do: do})
 }
 
 // Step carries out the next event and reports whether there was one.
@@ -60,9 +60,9 @@
 }
 
 type event struct {
-	at    monotime.Instant
-	order int
-	do    func()
+	at       monotime.Instant
+	sequence int
+	do       func()
 }
 
 // eventHeap implements heap.Interface, earliest first.
@@ -74,7 +74,7 @@
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
