--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -9,7 +9,7 @@
 	"basilrudder/internal/placement"
 )
 
-// call is a request of a caller, from its first try to its end.
+// call is one request of a caller, from its first attempt to its outcome.
 type call struct {
 	sim       *sim
 	class     *Class
@@ -43,7 +43,8 @@
 	return c
 }
 
-// send sends the request to an instance by chance, for the first time or again.
+// send sends the request to a randomly chosen instance. The first attempt also starts
+// the timeout.
 func (c *call) send() {
 	if c.startedAt == 0 {
 		c.startedAt = c.sim.now()
@@ -54,6 +55,7 @@
 	instances[c.sim.random.IntN(len(instances))].place(c)
 }
 
+// retryOrRefuse schedules the one retry, or finishes the call after the second refusal.
 func (c *call) retryOrRefuse() {
 	if c.retried {
 		c.finish(Refused)
@@ -68,6 +70,7 @@
 	})
 }
 
+// recordEvent records an event of the response and checks the gap before it.
 func (c *call) recordEvent(now monotime.Instant) {
 	if c.firstAt == 0 {
 		c.firstAt = now
@@ -87,7 +90,7 @@
 
 func (c *call) fail() { c.finish(Failed) }
 
-// timeout ends a request whose caller gives up; its engine is free at once.
+// timeout fails a call at its deadline and removes its run from the engine at once.
 func (c *call) timeout() {
 	if c.finished {
 		return
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,10 +1,10 @@
-// Package emulator plays load on relaying instances before modelled engines, in
-// virtual time. Each instance has a placement.Board of its own, as in the product, and
-// hears late what the others choose. The same scenario and seed give the same result.
-// Policies are tried with it, and tests check with it what callers get.
+// Package emulator simulates load on relaying instances and modelled engines in virtual
+// time. Each instance has its own placement.Board, as in production, and receives the
+// choices of the others with a delay. The same scenario and seed give the same result.
+// It serves to compare policies and to test the outcomes of requests.
 //
-// What is simplified: there is no store and no network; a crashed engine is noticed
-// when a connection to it fails; callers come back once after a refusal.
+// Simplifications: there is no store and no network but a delay of updates; a crashed
+// engine is detected when a connection to it fails; callers retry once after a refusal.
 package emulator
 
 import (
@@ -19,70 +19,79 @@
 	"basilrudder/internal/vtime"
 )
 
-// Class is a kind of request.
+// Class describes the requests of one class.
 type Class struct {
-	// Name in the result.
+	// Name of the class in the result.
 	Name string
-	// PerSecond is how many come in a second.
+	// PerSecond is the mean arrival rate.
 	PerSecond float64
-	// SharedParts is the number of parts of SharedTokens that prompts of the class begin
-	// with; each prompt has one of them.
+	// SharedParts is the number of distinct first parts of prompts, each SharedTokens
+	// long; every prompt begins with one of them.
 	SharedParts, SharedTokens int
-	// OwnTokens is the mean of the rest of a prompt.
+	// OwnTokens is the mean length of the rest of a prompt.
 	OwnTokens int
-	// Output is the mean number of tokens of an answer.
+	// Output is the mean number of tokens of a response.
 	Output int
-	// Goal, MaxGap and Timeout are those of placement.Work; Timeout is its Left.
+	// Goal and MaxGap are those of placement.Work; Timeout is its initial Left.
 	Goal, MaxGap, Timeout time.Duration
-	// Priority, 0 first.
+	// Priority; 0 is served first.
 	Priority int
 }
 
-// Burst multiplies the requests of a class for a while.
+// Burst multiplies the rate of a class by Factor from At for the time For.
 type Burst struct {
 	At, For time.Duration
 	Class   string
 	Factor  float64
 }
 
-// Fault has a share of the engines crash or turn slow for a while.
+// Fault makes a share of the engines crash or slow down from At for the time For.
 type Fault struct {
 	At, For time.Duration
-	// Share of the engines, from the first on.
+	// Share of the engines affected, counted from the first engine.
 	Share float64
-	// SlowFactor is how many times longer they take; 0 when they are down.
+	// SlowFactor multiplies their step time; 0 means that they are down.
 	SlowFactor float64
 }
 
-// Scenario is what is played.
+// Scenario describes a fleet, its load and its faults.
 type Scenario struct {
 	Name      string
 	Instances int
-	// MaxUpdateDelay is the longest time until the others hear of a choice.
+	// MaxUpdateDelay is the maximum batching delay before an update is sent to the
+	// other instances.
 	MaxUpdateDelay time.Duration
 	Engines        int
 	Kind           EngineKind
 	Classes        []Class
 	Bursts         []Burst
 	Faults         []Fault
-	// Length is how long requests come.
+	// Length is the time during which requests arrive.
 	Length time.Duration
 }
 
 const (
-	// networkDelay is the time between two machines, one way.
+	// networkDelay is the one-way delay of an update between instances. Longer delays
+	// make boards staler, and instances choose the same engines more often.
 	networkDelay = time.Millisecond
-	// tick is the interval at which requests are drawn and evidence may be told.
+	// tick is the interval for which the arrivals are drawn together. The starts and
+	// ends of bursts are rounded up to it.
 	tick = 10 * time.Millisecond
-	// statisticsInterval is how often instances tell each other what they have seen.
+	// statisticsInterval is how often instances exchange their pace statistics. Longer
+	// intervals leave each instance to its own samples at the start.
 	statisticsInterval = time.Second
-	// minRetryDelay and retryJitter bound when a refused caller comes back.
+	// A refused caller retries after minRetryDelay plus up to retryJitter. Without
+	// jitter, callers refused together would return together.
 	minRetryDelay, retryJitter = 350 * time.Millisecond, 700 * time.Millisecond
-	// lengthSigma is that of lengths, on a log scale.
+	// lengthSigma is the standard deviation of the logarithm of prompt and output
+	// lengths. Larger values produce more very long requests.
 	lengthSigma = 0.5
-	// outputHintSigma is how far off a caller's estimate of its output is.
+	// outputHintSigma is the standard deviation of the logarithm of the error in a
+	// caller's output estimate. At 0, placement gets the exact output length.
 	outputHintSigma = 0.4
-	// drainTime is how long after the last request answers are waited for.
+	// drainTime is how long responses are awaited after the last arrival. Calls that are
+	// unfinished after it are missing from the result, which can happen only if their
+	// timeout is longer.
 	drainTime = 30 * time.Second
 	service   = "engines"
 )
@@ -98,14 +107,14 @@
 	calls     int
 }
 
-// Run plays a scenario.
+// Run simulates a scenario; seed determines all random choices.
 func Run(scenario Scenario, seed uint64) Result {
 	s := &sim{
 		scenario: scenario, random: rand.New(rand.NewPCG(seed, seed+1)),
 		byID:   make(map[string]*engine),
 		result: newResult(scenario),
 	}
-	s.loop.Run(time.Hour) // instants before the start are not negative
+	s.loop.Run(time.Hour) // keeps instants before the start non-negative
 	for n := range scenario.Engines {
 		e := &engine{kind: scenario.Kind, id: fmt.Sprintf("engine-%03d", n), sim: s, slowFactor: 1, cache: make(map[string]cachedPart)}
 		s.engines = append(s.engines, e)
@@ -143,13 +152,14 @@
 	}
 }
 
+// endFault restores the affected engines to full speed.
 func (s *sim) endFault(f Fault) {
 	for _, e := range s.affectedEngines(f) {
 		e.slowFactor, e.down = 1, false
 	}
 }
 
-// scheduleArrivals draws the requests of one tick.
+// scheduleArrivals draws the requests of the tick that starts at the given time.
 func (s *sim) scheduleArrivals(at time.Duration) {
 	for i := range s.scenario.Classes {
 		class := &s.scenario.Classes[i]
@@ -166,6 +176,7 @@
 	}
 }
 
+// poisson draws a Poisson-distributed number by multiplying uniform ones.
 func (s *sim) poisson(mean float64) int {
 	n, p, bound := 0, s.random.Float64(), math.Exp(-mean)
 	for p > bound {
@@ -175,11 +186,13 @@
 	return n
 }
 
+// drawLength draws a log-normally distributed length with the given mean, at least 1.
 func (s *sim) drawLength(mean int) int {
 	factor := math.Exp(lengthSigma*s.random.NormFloat64() - lengthSigma*lengthSigma/2)
 	return max(1, int(float64(mean)*factor))
 }
 
+// exchangeStatistics merges the pace statistics of each instance into all others.
 func (s *sim) exchangeStatistics() {
 	for _, from := range s.instances {
 		statistics := from.board.PaceStatistics()
@@ -193,7 +206,7 @@
 	}
 }
 
-// newBoard returns the Board of an instance, which knows nothing of the engines.
+// newBoard returns the Board of an instance, without samples of the engines.
 func (s *sim) newBoard() *placement.Board {
 	b := placement.NewBoard(pace.DefaultPrior, "here")
 	b.SetPeers(s.scenario.Instances-1, s.scenario.MaxUpdateDelay)
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -19,10 +19,10 @@
 	return Scenario{}
 }
 
-// seeds are played of each load; a bound holds for their mean.
+// seeds are those run for each scenario; the bounds apply to the mean of the results.
 var seeds = []uint64{1, 2}
 
-// results are what the seeds of a scenario gave.
+// results holds one result for each seed.
 type results []Result
 
 func play(s Scenario) results {
@@ -33,7 +33,7 @@
 	return out
 }
 
-// mean is the mean share of a class's requests that ended so.
+// mean returns the mean share of an outcome in a class.
 func (r results) mean(class string, o Outcome) float64 {
 	sum := 0.0
 	for i := range r {
@@ -49,9 +49,9 @@
 	}
 }
 
-// Engines of kinds that no figure in this program knows, from ten times slower to ten
-// times faster, serve a load that they can carry. Nothing is known of them at first;
-// callers of the most urgent class get their answers on time all the same.
+// Guards against constants that fit only one kind of engine. Engines from ten times
+// slower to ten times faster get a load that they sustain, with no samples of their pace
+// at the start; the class with the highest priority must be on time.
 func TestUnknownEnginesServeTheirLoadOnTime(t *testing.T) {
 	for name, minOnTime := range map[string]float64{"flat": 0.95, "steep": 0.9, "ten-slower": 0.9, "ten-faster": 0.9} {
 		r := play(scenario(t, name))
@@ -64,10 +64,10 @@
 	}
 }
 
-// Reports come three times as often for six seconds, more than the engines can read
-// beside what they do. Reports may be refused; few may be cut off at their deadline,
-// and live answers, which are more urgent, go on.
-func TestBurstOfReportsTimesFewOut(t *testing.T) {
+// For six seconds reports arrive at three times their rate, more than the engines can
+// read. Reports may be refused, but few may be cut off at their deadline, and live
+// responses, which have priority, must stay on time.
+func TestBurstOfReportsCausesFewTimeouts(t *testing.T) {
 	r := play(scenario(t, "burst"))
 	if got := r.mean("report", Failed); got > 0.08 {
 		t.Errorf("%.3f of reports are cut off", got)
@@ -77,8 +77,8 @@
 	}
 }
 
-// A third of the engines turn four times slower for six of fourteen seconds. Most live
-// answers are still on time: requests go to the others, and come back afterwards.
+// A third of the engines are four times slower for six of fourteen seconds. Requests
+// must move to the others and return afterwards, with most live responses on time.
 func TestSlowEnginesAreAvoidedUntilTheyRecover(t *testing.T) {
 	s := scenario(t, "slow-engines")
 	if got := play(s).mean("live", OnTime); got < 0.6 {
@@ -91,9 +91,9 @@
 	}
 }
 
-// Sixty instances hear of each other's choices up to 80 ms late, and engines have
-// twelve slots. They must not all send to the same ones: hardly a live answer is
-// refused while a quarter of the slots is free.
+// Sixty instances receive each other's choices up to 80 ms late, and engines have twelve
+// slots. If all instances choose the same engines, these refuse live requests although a
+// quarter of the slots is free.
 func TestManyInstancesDoNotOverloadTheSameEngines(t *testing.T) {
 	r := play(scenario(t, "many-instances"))
 	if got := r.mean("live", Refused); got > 0.02 {
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -10,35 +10,35 @@
 	"basilrudder/internal/placement"
 )
 
-// EngineKind says what an engine can do and how fast it is.
+// EngineKind describes the capacity and the speed of an engine.
 type EngineKind struct {
-	// Slots is the number of requests it runs at once, and Queue how many may wait.
+	// Slots is the number of concurrent requests, Queue the maximum number waiting.
 	Slots, Queue int
-	// MemoryTokens is its room for prompts.
+	// MemoryTokens is the capacity of the prompt cache.
 	MemoryTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// Pace is how fast it works.
+	// Pace is the speed model.
 	Pace pace.Pace
 }
 
-// engine is one modelled engine: in each step every request whose prompt is read
-// makes a token, and a chunk of the prompts still to be read is read, the more urgent
-// first.
+// engine models an engine with continuous batching. In each step, every request whose
+// prompt has been read generates a token, and up to pace.Chunk tokens of the unread
+// prompts are read in order of priority.
 type engine struct {
 	kind EngineKind
 	id   string
 	sim  *sim
-	// slowFactor multiplies the time of every step; down engines do nothing.
+	// slowFactor multiplies the time of every step; an engine that is down refuses runs.
 	slowFactor float64
 	down       bool
 	running    []*run
 	queue      []*run
-	// cache are the parts of prompts in memory, with their last use.
+	// cache holds the prompt parts in memory by ID; cachedTokens is their sum.
 	cache        map[string]cachedPart
 	cachedTokens int
 	stepping     bool
-	// generation ends the steps of an engine that crashed.
+	// generation increases with each crash, which invalidates the step under way.
 	generation int
 }
 
@@ -47,17 +47,18 @@
 	usedAt monotime.Instant
 }
 
-// run is a request at an engine.
+// run is one execution of a request on an engine. unread counts the prompt tokens
+// still to be read.
 type run struct {
 	call      *call
 	instance  *instance
 	number    int
 	unread    int
-	generated int
-	pending   int // tokens made since the last event
+	generated int // output tokens so far
+	pending   int // tokens generated since the last event
 }
 
-// enqueue takes a request and reports whether it has room for it.
+// enqueue adds a run to the queue. It reports false if the engine is down or full.
 func (e *engine) enqueue(r *run) bool {
 	if e.down || len(e.running)+len(e.queue) >= e.kind.Slots+e.kind.Queue {
 		return false
@@ -71,7 +72,7 @@
 	return true
 }
 
-// admit starts waiting requests while slots are free.
+// admit starts queued runs while slots are free.
 func (e *engine) admit() {
 	for len(e.queue) > 0 && len(e.running) < e.kind.Slots {
 		r := e.queue[0]
@@ -82,7 +83,8 @@
 	}
 }
 
-// cachePrompt returns how many tokens of a prompt are not kept, and keeps its parts.
+// cachePrompt returns the number of prompt tokens after the cached prefix, at least 1,
+// and caches all parts of the prompt.
 func (e *engine) cachePrompt(work placement.Work) int {
 	unread, prefixCached := work.Prompt, true
 	for _, part := range work.Parts {
@@ -101,6 +103,7 @@
 	return max(1, unread)
 }
 
+// evictOldest evicts the least recently used part; ties go to the smallest ID.
 func (e *engine) evictOldest() {
 	oldest := ""
 	for id, part := range e.cache {
@@ -112,7 +115,8 @@
 	delete(e.cache, oldest)
 }
 
-// startStep plans the next startStep, unless one is under way or there is nothing to do.
+// startStep plans the next step and schedules its end, unless a step is under way, the
+// engine is down or nothing runs.
 func (e *engine) startStep() {
 	if e.stepping || e.down || len(e.running) == 0 {
 		return
@@ -138,7 +142,7 @@
 	})
 }
 
-// prefilling are the requests whose prompt is not read yet, the more urgent first.
+// prefilling returns the runs with unread prompt tokens in order of priority.
 func (e *engine) prefilling() []*run {
 	var out []*run
 	for _, r := range e.running {
@@ -152,8 +156,8 @@
 	return out
 }
 
-// endStep hands out the tokens of a step. A request makes its first token in the step
-// that reads the last of its prompt.
+// endStep emits the tokens of a step. A run generates its first token in the step that
+// reads the end of its prompt.
 func (e *engine) endStep() {
 	for _, r := range slices.Clone(e.running) {
 		if r.unread > 0 {
@@ -174,13 +178,13 @@
 	e.startStep()
 }
 
-// remove ends a request, however it ended.
+// remove removes a run from the slots and the queue.
 func (e *engine) remove(r *run) {
 	e.running = slices.DeleteFunc(e.running, func(x *run) bool { return x == r })
 	e.queue = slices.DeleteFunc(e.queue, func(x *run) bool { return x == r })
 }
 
-// crash loses all that the engine does and keeps.
+// crash takes the engine down, fails its runs and clears its cache.
 func (e *engine) crash() {
 	lost := append(slices.Clone(e.running), e.queue...)
 	e.down, e.stepping, e.running, e.queue = true, false, nil, nil
--- a/internal/emulator/instance.go
+++ b/internal/emulator/instance.go
@@ -8,7 +8,7 @@
 	"basilrudder/internal/placement"
 )
 
-// instance is a relaying instance.
+// instance is a relaying instance with its own view of the engines.
 type instance struct {
 	sim      *sim
 	name     string
@@ -20,7 +20,8 @@
 	return &instance{sim: s, name: fmt.Sprintf("instance-%03d", n), board: s.newBoard()}
 }
 
-// broadcast has all others hear of something, late and each at its own time.
+// broadcast applies an update to the boards of all other instances after a random
+// batching delay and the network delay.
 func (i *instance) broadcast(apply func(to *placement.Board, now monotime.Instant)) {
 	batchDelay := time.Duration(i.sim.random.Float64() * float64(i.sim.scenario.MaxUpdateDelay))
 	for _, to := range i.sim.instances {
@@ -42,10 +43,11 @@
 	return out
 }
 
-// maxAttempts bounds the engines passed over for one request because they can't be reached.
+// maxAttempts bounds the unreachable engines that are tried for one request, which is
+// refused after them. At 1, every crashed engine would cost a refusal.
 const maxAttempts = 4
 
-// place places a request of a caller and sends it.
+// place chooses an engine for a call and starts a run there, or refuses the call.
 func (i *instance) place(c *call) {
 	now := i.sim.now()
 	c.work.Left = c.deadline.Sub(now)
@@ -81,7 +83,7 @@
 	}
 }
 
-// event passes an event of a stream on to its caller.
+// event forwards an event of a stream to its caller and updates the boards.
 func (i *instance) event(r *run, last bool) {
 	now := i.sim.now()
 	id := placement.RunID{Instance: i.name, Number: r.number}
@@ -98,13 +100,14 @@
 	}
 }
 
-// failRun ends a request whose engine crashed.
+// failRun fails the call of a run whose engine crashed.
 func (i *instance) failRun(r *run) {
 	i.board.Observe(r.call.engine.id, placement.Failed, i.sim.now())
 	i.endRun(r)
 	r.call.fail()
 }
 
+// endRun ends a run on the own board and, later, on those of the other instances.
 func (i *instance) endRun(r *run) {
 	id := placement.RunID{Instance: i.name, Number: r.number}
 	i.board.End(id, i.sim.now())
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -6,30 +6,30 @@
 	"text/tabwriter"
 )
 
-// Outcome is what a caller got.
+// Outcome is the result of one request for its caller.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// OnTime: a whole answer, its first event and all pauses as asked.
+	// OnTime: complete, with the first event and all gaps within their bounds.
 	OnTime Outcome = iota
-	// Late: a whole answer, too late.
+	// Late: complete, but the first event or a gap exceeded its bound.
 	Late
-	// Refused: told twice to come back.
+	// Refused: refused on both attempts.
 	Refused
-	// Failed: broken off, or not whole when the caller gave up.
+	// Failed: interrupted by a crash, or incomplete at the timeout.
 	Failed
 
 	outcomeCount
 )
 
-// ClassResult counts outcomes.
+// ClassResult counts the outcomes of a class.
 type ClassResult struct {
 	Name   string
 	Counts [outcomeCount]int
 }
 
-// Total is the number of requests.
+// Total returns the number of requests.
 func (c *ClassResult) Total() int {
 	sum := 0
 	for _, n := range c.Counts {
@@ -38,12 +38,12 @@
 	return sum
 }
 
-// Share is the share of requests that ended so.
+// Share returns the fraction of requests with the given outcome.
 func (c *ClassResult) Share(o Outcome) float64 {
 	return float64(c.Counts[o]) / float64(max(1, c.Total()))
 }
 
-// Result is what callers got, by class in the order of the scenario.
+// Result holds the outcomes by class, in the order of the scenario.
 type Result struct {
 	Classes []ClassResult
 	// PromptTokensRead is the number of prompt tokens that engines read.
@@ -60,7 +60,7 @@
 
 func (r *Result) count(class string, o Outcome) { r.Class(class).Counts[o]++ }
 
-// Class returns the counts of a class; nil when there is none of the name.
+// Class returns the counts of a class, or nil if the scenario has no such class.
 func (r *Result) Class(name string) *ClassResult {
 	for i := range r.Classes {
 		if r.Classes[i].Name == name {
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// OnTime is the share of all requests that were on time.
+// OnTime returns the fraction of all requests that were on time.
 func (r *Result) OnTime() float64 {
 	sum, all := 0, 0
 	for i := range r.Classes {
@@ -80,7 +80,7 @@
 	return float64(sum) / float64(max(1, all))
 }
 
-// Print writes a table.
+// Print writes the outcomes as a table and a summary line.
 func (r *Result) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\trequests\ton time\tlate\trefused\tfailed\t")
--- a/internal/emulator/scenarios.go
+++ b/internal/emulator/scenarios.go
@@ -6,22 +6,23 @@
 	"basilrudder/internal/pace"
 )
 
-// Kinds of engines that have little in common.
+// Two speed models that differ in how batching slows a step.
 var (
-	// flatPace steps hardly grow with the requests that run; first events come at once.
+	// flatPace has a step time that hardly grows with the number of runs, and a short
+	// delay of first events.
 	flatPace = pace.Pace{Step: 4 * time.Millisecond, StepPerRun: time.Microsecond, ReadToken: 16 * time.Microsecond, AttentionPerM: 600 * time.Microsecond, First: time.Millisecond}
-	// steepPace steps double with forty requests.
+	// steepPace has a step time that doubles at about forty runs.
 	steepPace = pace.Pace{Step: 6 * time.Millisecond, StepPerRun: 160 * time.Microsecond, ReadToken: 16 * time.Microsecond, AttentionPerM: 500 * time.Microsecond, First: time.Millisecond}
 )
 
-// engineKind returns engines with 64 slots of a pace.
+// engineKind returns a kind with 64 slots and the given pace.
 func engineKind(p pace.Pace) EngineKind {
 	return EngineKind{Slots: 64, Queue: 64, MemoryTokens: 500_000, EventTokens: 4, Pace: p}
 }
 
-// classes of a deployment: live answers with short pauses, short rewrites, and long
-// reports whose prompts share parts. stretch multiplies all times and divides all
-// rates, for engines that are as many times slower.
+// classes returns three classes: live responses with short gaps, short rewrites, and
+// long reports whose prompts share parts. stretch multiplies all times and divides all
+// rates, to match engines that are slower by the same factor.
 func classes(load, stretch float64) []Class {
 	scaled := func(d time.Duration) time.Duration { return time.Duration(float64(d) * stretch) }
 	rate := func(perSecond float64) float64 { return perSecond * load / stretch }
@@ -35,7 +36,7 @@
 	}
 }
 
-// Scenarios are those that the command line plays by name.
+// Scenarios returns the scenarios that the command line offers by name.
 func Scenarios() []Scenario {
 	base := func(name string, p pace.Pace) Scenario {
 		return Scenario{
--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -1,11 +1,13 @@
-// Package quantile summarises durations by HDR histograms of bounded memory.
+// Package quantile summarises durations with HDR histograms, whose memory is bounded.
 package quantile
 
 import (
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision, in microseconds. A value outside is taken for the bound.
+// Range in microseconds, from 1 µs to 24 h, and precision. Values outside the range are
+// clamped to it. Two significant digits keep the error within 1%; a wider range or more
+// digits take more memory per histogram.
 const (
 	minMicros         = 1
 	maxMicros         = 24 * 3600 * 1000 * 1000
@@ -13,9 +15,9 @@
 	microsPerMS       = 1000
 )
 
-// Summary tells how values are distributed, in milliseconds.
+// Summary describes the distribution of durations in milliseconds.
 type Summary struct {
-	// Count of values.
+	// Count is the number of values.
 	Count int64 `json:"count"`
 	// P50 is the median.
 	P50 float64 `json:"p50"`
@@ -27,7 +29,7 @@
 	Max float64 `json:"max"`
 }
 
-// Histogram counts durations within 1% of their value. The zero value is ready.
+// Histogram counts durations with an error of at most 1%. The zero value is ready to use.
 // It is not safe for concurrent use.
 type Histogram struct {
 	hdr *hdrhistogram.Histogram
@@ -39,11 +41,11 @@
 		h.hdr = hdrhistogram.New(minMicros, maxMicros, significantDigits)
 	}
 	micros := min(max(ms*microsPerMS, minMicros), maxMicros)
-	// The value is in range, so recording cannot fail.
+	// The value was clamped to the range, so recording cannot fail.
 	_ = h.hdr.RecordValue(int64(micros))
 }
 
-// Summary returns the distribution so far.
+// Summary returns the distribution of the values recorded so far.
 func (h *Histogram) Summary() Summary {
 	if h.hdr == nil {
 		return Summary{}
--- a/internal/quantile/quantile_test.go
+++ b/internal/quantile/quantile_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A damaged line may hold any number; it must not stop a report.
+// A corrupted log line may contain any number, which must not make a report fail.
 func TestValuesOutOfRangeAreBounded(t *testing.T) {
 	var h Histogram
 	for _, ms := range []float64{-1, 0, 1e300, math.Inf(1)} {
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -15,22 +15,27 @@
 )
 
 const (
-	// burstInterval is the time from one burst to the next, burstFor its length.
+	// burstInterval is the time from one burst to the next, burstLength the length of a
+	// burst. Their ratio bounds the burst factor at which the mean rate is kept: above 3,
+	// the rate between bursts would have to be negative.
 	burstInterval = 45 * time.Second
 	burstLength   = 15 * time.Second
-	// waveLength is the time in which a wave's requests of a burst come.
+	// waveLength is the time within a burst in which the requests of a wave arrive. It
+	// must not exceed burstLength, or part of the wave is cut off.
 	waveLength = 5 * time.Second
-	// batchSlowdown is the part of a step that each further request of a batch
-	// adds, by which capacity is estimated.
+	// batchSlowdown is the fraction of a step that each further request in a batch adds
+	// in the capacity estimate. A larger value generates fewer requests for a load.
 	batchSlowdown = 0.01
-	// cachedPromptShare is the part of a prompt that a warm prefix cache saves.
+	// cachedPromptShare is the fraction of a prompt that a warm prefix cache saves in the
+	// capacity estimate. A larger value generates more requests for a load.
 	cachedPromptShare = 0.5
-	// maxGeneratedRequests bounds the requests of one line.
+	// maxGeneratedRequests bounds the requests of one line, and with them the memory.
 	maxGeneratedRequests = 2_000_000
 )
 
-// Generate makes the requests that a line asks for. The same line and inventory
-// give the same requests.
+// Generate returns the requests of a line with a mix, in order of At. The same line and
+// inventory give the same requests. It fails if the mix is unknown, the inventory lacks
+// one of its classes or customers, or the line gives more than maxGeneratedRequests.
 func Generate(line *trace.Line, cat *catalog.Catalog) ([]Request, error) {
 	m, ok := mixes[line.Generate]
 	if !ok {
@@ -61,7 +66,7 @@
 	out        []Request
 }
 
-// fixedWork is the engine work of the streams with a fixed rate, in engines.
+// fixedWork returns the load of the streams with a fixed rate, in engines.
 func (g *generator) fixedWork(m mix) float64 {
 	sum := 0.0
 	for i := range m.streams {
@@ -73,7 +78,7 @@
 	return sum
 }
 
-// workOf is the mean work of a request in seconds of one engine.
+// workOf returns the mean engine time of a request in seconds.
 func (g *generator) workOf(s *stream) float64 {
 	engine := firstModelEngine(g.cat)
 	if engine == nil {
@@ -86,7 +91,8 @@
 	return prompt + mean*step/slots
 }
 
-// firstModelEngine returns the first model engine, which stands for all.
+// firstModelEngine returns the first model engine, which represents all of them in the
+// capacity estimate, or nil if there is none.
 func firstModelEngine(cat *catalog.Catalog) *inventory.Engine {
 	for _, group := range cat.GroupList {
 		for _, server := range group.Servers {
@@ -127,7 +133,7 @@
 	return g.arrivals(s, perSecond)
 }
 
-// arrivals draws a Poisson process whose rate follows the bursts, by thinning.
+// arrivals draws a Poisson process by thinning; its rate follows the bursts.
 func (g *generator) arrivals(s *stream, perSecond float64) error {
 	peak := perSecond * g.peakRateFactor(s)
 	for at := g.start; ; {
@@ -139,7 +145,7 @@
 			continue
 		}
 		if len(g.out) >= maxGeneratedRequests {
-			return errors.New("the line asks for too many requests")
+			return errors.New("a line generates too many requests")
 		}
 		g.out = append(g.out, g.request(s, at))
 	}
@@ -149,7 +155,7 @@
 	return s.burst && g.line.Burst > 1
 }
 
-// peakRateFactor is the greatest level.
+// peakRateFactor returns the maximum of rateFactor.
 func (g *generator) peakRateFactor(s *stream) float64 {
 	if !g.hasBursts(s) {
 		return 1
@@ -160,8 +166,8 @@
 	return g.line.Burst
 }
 
-// rateFactor is the rate against its mean at a time since the start. Between bursts
-// it is as low as the mean asks for.
+// rateFactor returns the ratio of the rate to its mean at a time since the start. The
+// rate between bursts is lowered to keep the mean, but not below 0.
 func (g *generator) rateFactor(s *stream, since time.Duration) float64 {
 	if !g.hasBursts(s) {
 		return 1
@@ -208,7 +214,7 @@
 	return s.customers[0].name
 }
 
-// skewedIndex draws one of n, the first ones more often.
+// skewedIndex draws an index below n; smaller ones are more frequent.
 func (g *generator) skewedIndex(n int) int {
 	u := g.rng.Float64()
 	return int(float64(n) * u * u)
--- a/internal/trace/mix.go
+++ b/internal/trace/mix.go
@@ -1,7 +1,7 @@
 package trace
 
-// mix is the traffic of a deployment. Some streams keep their rate whatever the
-// load is; the others share what is left of it.
+// mix is the traffic of a deployment. Some streams have a fixed rate; the others share
+// the rest of the load.
 type mix struct {
 	streams []stream
 }
@@ -9,22 +9,23 @@
 // stream is the traffic of one class.
 type stream struct {
 	class string
-	// customers and their shares of the stream.
+	// customers with their shares of the stream.
 	customers []customerShare
 	// perSecond is a fixed rate; 0 for a stream that scales with the load.
 	perSecond float64
-	// share of the engine work that the scaling streams have together.
+	// share of the engine time left by the streams with a fixed rate.
 	share float64
-	// burst says that the stream follows the bursts of the line; wave that all
-	// its requests of a burst come within its first seconds.
+	// burst makes the stream follow the bursts of the line; wave concentrates its
+	// requests of a burst in the first waveLength of it.
 	burst bool
 	wave  bool
-	// prompt is the mean of the prompt tokens.
+	// prompt is the mean number of prompt tokens.
 	prompt float64
 	// prefixes is the number of distinct prompt prefixes per customer.
 	prefixes int
-	// output is the median of the answer's tokens (a service's milliseconds) and
-	// outputSigma the sigma of its logarithm; limit bounds it.
+	// output is the median number of output tokens (for a plain service, its time in
+	// milliseconds), outputSigma the standard deviation of its logarithm, and maxOutput
+	// its bound.
 	output, outputSigma float64
 	maxOutput           int
 }
@@ -34,14 +35,14 @@
 	share float64
 }
 
-// mixes of the two deployments.
+// mixes by name, one for each example deployment.
 var mixes = map[string]mix{
 	"chikushi": {streams: chikushiStreams()},
 	"kivu":     {streams: kivuStreams()},
 }
 
-// chikushiStreams: counters that look up while a family waits, notaries who
-// draft letters of unknown length, three large customers among ten.
+// chikushiStreams returns interactive lookups at counters, drafts of very variable length
+// by notaries, and a load dominated by three large customers out of ten.
 func chikushiStreams() []stream {
 	counters := []customerShare{{"bureau-counters", 1}}
 	notaries := []customerShare{
@@ -66,7 +67,7 @@
 	}
 }
 
-// kivuStreams: when the sky lights up every subscriber asks at once.
+// kivuStreams returns a load in which all subscribers send alert requests at once.
 func kivuStreams() []stream {
 	paying := []customerShare{
 		{"volcanoes-lodges", 0.36}, {"kivu-shore-lodges", 0.34}, {"nyungwe-lodges", 0.2},
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace reads traces: requests and faults as JSON lines, with seeded
-// mixes of requests that are generated when the trace is read.
+// Package trace reads traces of requests and faults in JSON lines. A line can also name
+// a mix and a seed, from which requests are generated while reading.
 package trace
 
 import (
@@ -22,15 +22,16 @@
 type Request struct {
 	// At is the time since the start of the trace.
 	At time.Duration
-	// Customer and Class by name.
+	// Customer and Class are names in the inventory.
 	Customer, Class string
 	// Prefix is the hash of the prompt's prefix; 0 for none.
 	Prefix uint64
-	// PromptTokens of the request.
+	// PromptTokens is the length of the prompt.
 	PromptTokens int
-	// OutputTokens of the answer; for a plain service its time in milliseconds.
+	// OutputTokens is the length of the response; for a plain service, its time in
+	// milliseconds.
 	OutputTokens int
-	// CancelAfter is the time after At at which the caller leaves; 0 for never.
+	// CancelAfter is the time after At at which the caller disconnects; 0 for never.
 	CancelAfter time.Duration
 }
 
@@ -42,27 +43,29 @@
 	Kind trace.FaultKind
 	// Target is a server, an instance, a data centre, or empty.
 	Target string
-	// For is how long it lasts.
+	// For is the duration.
 	For time.Duration
-	// Factor of a straggler.
+	// Factor is the slowdown of a straggler.
 	Factor float64
 }
 
-// Trace is what happens to a fleet.
+// Trace holds the requests and faults of a simulated fleet.
 type Trace struct {
 	// Requests in order of At.
 	Requests []Request
 	// Faults in order of At.
 	Faults []Fault
-	// Length is the time of the last request or the end of the generated ones.
+	// Length is the time of the last request, or the end of the last generated load if
+	// that is later.
 	Length time.Duration
 }
 
-// maxLineBytes bounds a line of a trace in bytes.
+// maxLineBytes bounds a line of a trace and thus the read buffer. Reading fails at a
+// longer line.
 const maxLineBytes = 1 << 16
 
-// Read reads a trace. The catalog gives the capacity that generated load is
-// measured against, and the names that lines may use.
+// Read reads and expands a trace. The catalog gives the capacity to which generated load
+// is relative, and the valid names. name is the file name in errors.
 func Read(name string, r io.Reader, cat *catalog.Catalog) (*Trace, error) {
 	lines, err := ReadLines(name, r)
 	if err != nil {
@@ -71,7 +74,7 @@
 	return Expand(name, lines, cat)
 }
 
-// ReadLines reads the lines of a trace as they stand.
+// ReadLines parses and validates the lines of a trace without expanding them.
 func ReadLines(name string, r io.Reader) ([]trace.Line, error) {
 	var lines []trace.Line
 	scanner := bufio.NewScanner(r)
@@ -103,7 +106,7 @@
 	return line, validate(&line)
 }
 
-// validate finds the lines that could mean nothing.
+// validate returns an error for a line that is ambiguous or out of range.
 func validate(line *trace.Line) error {
 	kinds := 0
 	for _, present := range []bool{line.Fault != nil, line.Class != "", line.Generate != ""} {
@@ -113,22 +116,22 @@
 	}
 	switch {
 	case kinds != 1:
-		return errors.New("a line has exactly one of class, fault and generate")
+		return errors.New("a line must have exactly one of class, fault and generate")
 	case line.AtMS < 0 || line.ForMS < 0 || line.Factor < 0 || line.Load < 0 || line.Burst < 0 || line.LeavesMS < 0:
-		return errors.New("times, factors and loads are not negative")
+		return errors.New("times, factors and loads must not be negative")
 	case line.PromptTokens < 0 || line.OutputTokens < 0 || line.Seed < 0:
-		return errors.New("tokens and seeds are not negative")
+		return errors.New("tokens and seeds must not be negative")
 	case line.AtMS > maxMS || line.ForMS > maxMS || line.LeavesMS > maxMS:
-		return errors.New("times are at most a week")
+		return errors.New("times must be at most a week")
 	case line.Class != "" && line.Customer == "":
-		return errors.New("a request has a customer")
+		return errors.New("a request must have a customer")
 	case line.Fault != nil && !isKnownFault(*line.Fault):
 		return errors.Errorf("unknown fault %q", *line.Fault)
 	}
 	return nil
 }
 
-// maxMS keeps every time far from overflow.
+// maxMS is a week. It keeps sums of times far below the overflow of time.Duration.
 const maxMS = 7 * 24 * 3600 * 1000
 
 func isKnownFault(kind trace.FaultKind) bool {
@@ -139,8 +142,8 @@
 	}, kind)
 }
 
-// Expand turns lines into a trace, generates what they ask for and checks the
-// names of customers and classes.
+// Expand builds a trace from lines. It generates the requests of mixes and fails if a
+// customer or class is not in the inventory.
 func Expand(name string, lines []trace.Line, cat *catalog.Catalog) (*Trace, error) {
 	t := &Trace{}
 	for i := range lines {
--- a/internal/vtime/loop.go
+++ b/internal/vtime/loop.go
@@ -1,6 +1,6 @@
-// Package vtime carries out events in virtual time, in order and on one
-// goroutine, so that a run depends on its seed alone. Replay and the failure
-// tests of decision code use it.
+// Package vtime runs events in virtual time, in order and on one goroutine, which makes
+// a simulation depend only on its seed. Replay, the emulator and the failure tests of
+// decision code use it.
 package vtime
 
 import (
@@ -10,36 +10,36 @@
 	"basilrudder/internal/monotime"
 )
 
-// Loop is a queue of events. The zero value starts at instant 0.
+// Loop is an event queue with a virtual clock. The zero value starts at instant 0.
 type Loop struct {
 	now       monotime.Instant
 	events    eventHeap
 	scheduled int
 }
 
-// Now returns the current instant.
+// Now returns the current virtual time.
 func (l *Loop) Now() monotime.Instant {
 	return l.now
 }
 
-// Executed returns the number of events carried out.
+// Executed returns the number of events that have run or are running.
 func (l *Loop) Executed() int {
 	return l.scheduled - len(l.events)
 }
 
-// After carries out do when d has passed; events due at one instant happen in
-// the order in which they were put in.
+// After schedules do to run after d, or now if d is negative. Events due at the same
+// instant run in the order in which they were scheduled.
 func (l *Loop) After(d time.Duration, do func()) {
 	l.At(l.now.Add(max(d, 0)), do)
 }
 
-// At carries out do at an instant, or at once if it has passed.
+// At schedules do for an instant, or for the current one if that has passed.
 func (l *Loop) At(at monotime.Instant, do func()) {
 	l.scheduled++
 	heap.Push(&l.events, event{at: max(at, l.now), sequence: l.scheduled, do: do})
 }
 
-// Step carries out the next event and reports whether there was one.
+// Step runs the next event and reports whether there was one.
 func (l *Loop) Step() bool {
 	if len(l.events) == 0 {
 		return false
@@ -50,7 +50,7 @@
 	return true
 }
 
-// Run carries out what is due within d, and then the time is d later.
+// Run runs all events due within d and advances the clock by d.
 func (l *Loop) Run(d time.Duration) {
 	end := l.now.Add(d)
 	for len(l.events) > 0 && l.events[0].at <= end {
