--- a/internal/emulator/call.go
+++ b/internal/emulator/call.go
@@ -9,30 +9,30 @@
 	"basilrudder/internal/placement"
 )
 
-// call is a request of a caller, from its first try to its end.
+// call is one request of a caller, from its first attempt to its outcome.
 type call struct {
-	sim      *sim
-	class    *Class
-	work     placement.Work
-	output   int
-	began    monotime.Instant
-	deadline monotime.Instant
+	sim       *sim
+	class     *Class
+	work      placement.Work
+	output    int
+	startedAt monotime.Instant
+	deadline  monotime.Instant
 
-	tried   bool
-	run     *run
-	engine  *engine
-	firstAt monotime.Instant
-	lastAt  monotime.Instant
-	paused  bool
-	over    bool
+	retried     bool
+	run         *run
+	engine      *engine
+	firstAt     monotime.Instant
+	lastAt      monotime.Instant
+	gapExceeded bool
+	finished    bool
 }
 
 func (s *sim) newCall(class *Class) *call {
 	s.calls++
-	own := s.around(class.OwnTokens)
-	shared := fmt.Sprintf("%s-%d", class.Name, s.random.IntN(max(1, class.Shared)))
-	c := &call{sim: s, class: class, output: s.around(class.Output)}
-	hint := float64(c.output) * math.Exp(hintSpread*s.random.NormFloat64())
+	own := s.drawLength(class.OwnTokens)
+	shared := fmt.Sprintf("%s-%d", class.Name, s.random.IntN(max(1, class.SharedParts)))
+	c := &call{sim: s, class: class, output: s.drawLength(class.Output)}
+	hint := float64(c.output) * math.Exp(outputHintSigma*s.random.NormFloat64())
 	c.work = placement.Work{
 		Parts: []placement.Part{
 			{ID: shared, Tokens: class.SharedTokens}, {ID: fmt.Sprintf("own-%d", s.calls), Tokens: own},
@@ -43,42 +43,45 @@
 	return c
 }
 
-// send sends the request to an instance by chance, for the first time or again.
+// send sends the request to a randomly chosen instance. The first attempt also starts
+// the timeout.
 func (c *call) send() {
-	if c.began == 0 {
-		c.began = c.sim.now()
-		c.deadline = c.began.Add(c.class.Timeout)
+	if c.startedAt == 0 {
+		c.startedAt = c.sim.now()
+		c.deadline = c.startedAt.Add(c.class.Timeout)
 		c.sim.loop.At(c.deadline, c.timeout)
 	}
 	instances := c.sim.instances
-	instances[c.sim.random.IntN(len(instances))].take(c)
+	instances[c.sim.random.IntN(len(instances))].place(c)
 }
 
-func (c *call) refused() {
-	if c.tried {
+// retryOrRefuse schedules the one retry, or finishes the call after the second refusal.
+func (c *call) retryOrRefuse() {
+	if c.retried {
 		c.finish(Refused)
 		return
 	}
-	c.tried = true
-	back := backMin + time.Duration(c.sim.random.Float64()*float64(backSpread))
-	c.sim.loop.After(back, func() {
-		if !c.over {
+	c.retried = true
+	delay := minRetryDelay + time.Duration(c.sim.random.Float64()*float64(retryJitter))
+	c.sim.loop.After(delay, func() {
+		if !c.finished {
 			c.send()
 		}
 	})
 }
 
-func (c *call) event(now monotime.Instant) {
+// recordEvent records an event of the response and checks the gap before it.
+func (c *call) recordEvent(now monotime.Instant) {
 	if c.firstAt == 0 {
 		c.firstAt = now
 	} else if c.class.MaxGap > 0 && now.Sub(c.lastAt) > c.class.MaxGap {
-		c.paused = true
+		c.gapExceeded = true
 	}
 	c.lastAt = now
 }
 
-func (c *call) done() {
-	if c.paused || c.firstAt.Sub(c.began) > c.class.Goal {
+func (c *call) complete() {
+	if c.gapExceeded || c.firstAt.Sub(c.startedAt) > c.class.Goal {
 		c.finish(Late)
 	} else {
 		c.finish(OnTime)
@@ -87,22 +90,22 @@
 
 func (c *call) fail() { c.finish(Failed) }
 
-// timeout ends a request whose caller gives up; its engine is free at once.
+// timeout fails a call at its deadline and removes its run from the engine at once.
 func (c *call) timeout() {
-	if c.over {
+	if c.finished {
 		return
 	}
 	if c.engine != nil {
 		c.engine.remove(c.run)
-		c.run.instance.ended(c.run)
+		c.run.instance.endRun(c.run)
 	}
 	c.finish(Failed)
 }
 
 func (c *call) finish(o Outcome) {
-	if c.over {
+	if c.finished {
 		return
 	}
-	c.over = true
-	c.sim.result.add(c.class.Name, o)
+	c.finished = true
+	c.sim.result.count(c.class.Name, o)
 }
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -10,56 +10,57 @@
 	"basilrudder/internal/placement"
 )
 
-// EngineKind says what an engine can do and how fast it is.
+// EngineKind describes the capacity and the speed of an engine.
 type EngineKind struct {
-	// Slots is the number of requests it runs at once, and Queue how many may wait.
+	// Slots is the number of concurrent requests, Queue the maximum number waiting.
 	Slots, Queue int
-	// MemoryTokens is its room for prompts.
+	// MemoryTokens is the capacity of the prompt cache.
 	MemoryTokens int
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
-	// Pace is how fast it works.
+	// Pace is the speed model.
 	Pace pace.Pace
 }
 
-// engine is one modelled engine: in each step every request whose prompt is read
-// makes a token, and a chunk of the prompts still to be read is read, the more urgent
-// first.
+// engine models an engine with continuous batching. In each step, every request whose
+// prompt has been read generates a token, and up to pace.Chunk tokens of the unread
+// prompts are read in order of priority.
 type engine struct {
 	kind EngineKind
 	id   string
 	sim  *sim
-	// slow multiplies the time of every step; down engines do nothing.
-	slow  float64
-	down  bool
-	runs  []*run
-	queue []*run
-	// kept are the parts of prompts in memory, with their last use.
-	kept     map[string]keptPart
-	keptSum  int
-	stepping bool
-	// generation ends the steps of an engine that crashed.
+	// slowFactor multiplies the time of every step; an engine that is down refuses runs.
+	slowFactor float64
+	down       bool
+	running    []*run
+	queue      []*run
+	// cache holds the prompt parts in memory by ID; cachedTokens is their sum.
+	cache        map[string]cachedPart
+	cachedTokens int
+	stepping     bool
+	// generation increases with each crash, which invalidates the step under way.
 	generation int
 }
 
-type keptPart struct {
+type cachedPart struct {
 	tokens int
-	used   monotime.Instant
+	usedAt monotime.Instant
 }
 
-// run is a request at an engine.
+// run is one execution of a request on an engine. unread counts the prompt tokens
+// still to be read.
 type run struct {
-	call     *call
-	instance *instance
-	number   int
-	unread   int
-	made     int
-	pending  int // tokens made since the last event
+	call      *call
+	instance  *instance
+	number    int
+	unread    int
+	generated int // output tokens so far
+	pending   int // tokens generated since the last event
 }
 
-// take takes a request and reports whether it has room for it.
-func (e *engine) take(r *run) bool {
-	if e.down || len(e.runs)+len(e.queue) >= e.kind.Slots+e.kind.Queue {
+// enqueue adds a run to the queue. It reports false if the engine is down or full.
+func (e *engine) enqueue(r *run) bool {
+	if e.down || len(e.running)+len(e.queue) >= e.kind.Slots+e.kind.Queue {
 		return false
 	}
 	e.queue = append(e.queue, r)
@@ -67,70 +68,73 @@
 		return cmp.Compare(a.call.work.Priority, b.call.work.Priority)
 	})
 	e.admit()
-	e.step()
+	e.startStep()
 	return true
 }
 
-// admit starts waiting requests while slots are free.
+// admit starts queued runs while slots are free.
 func (e *engine) admit() {
-	for len(e.queue) > 0 && len(e.runs) < e.kind.Slots {
+	for len(e.queue) > 0 && len(e.running) < e.kind.Slots {
 		r := e.queue[0]
 		e.queue = e.queue[1:]
-		r.unread = e.read(r.call.work)
-		e.sim.result.Read += r.unread
-		e.runs = append(e.runs, r)
+		r.unread = e.cachePrompt(r.call.work)
+		e.sim.result.PromptTokensRead += r.unread
+		e.running = append(e.running, r)
 	}
 }
 
-// read returns how many tokens of a prompt are not kept, and keeps its parts.
-func (e *engine) read(work placement.Work) int {
-	unread, known := work.Prompt, true
+// cachePrompt returns the number of prompt tokens after the cached prefix, at least 1,
+// and caches all parts of the prompt.
+func (e *engine) cachePrompt(work placement.Work) int {
+	unread, prefixCached := work.Prompt, true
 	for _, part := range work.Parts {
-		_, kept := e.kept[part.ID]
-		if known = known && kept; known {
+		_, cached := e.cache[part.ID]
+		if prefixCached = prefixCached && cached; prefixCached {
 			unread -= part.Tokens
 		}
-		if !kept {
-			e.keptSum += part.Tokens
+		if !cached {
+			e.cachedTokens += part.Tokens
 		}
-		e.kept[part.ID] = keptPart{tokens: part.Tokens, used: e.sim.loop.Now()}
+		e.cache[part.ID] = cachedPart{tokens: part.Tokens, usedAt: e.sim.loop.Now()}
 	}
-	for e.keptSum > e.kind.MemoryTokens && len(e.kept) > 0 {
-		e.dropOldest()
+	for e.cachedTokens > e.kind.MemoryTokens && len(e.cache) > 0 {
+		e.evictOldest()
 	}
 	return max(1, unread)
 }
 
-func (e *engine) dropOldest() {
+// evictOldest evicts the least recently used part; ties go to the smallest ID.
+func (e *engine) evictOldest() {
 	oldest := ""
-	for id, part := range e.kept {
-		if at := e.kept[oldest].used; oldest == "" || part.used < at || part.used == at && id < oldest {
+	for id, part := range e.cache {
+		if at := e.cache[oldest].usedAt; oldest == "" || part.usedAt < at || part.usedAt == at && id < oldest {
 			oldest = id
 		}
 	}
-	e.keptSum -= e.kept[oldest].tokens
-	delete(e.kept, oldest)
+	e.cachedTokens -= e.cache[oldest].tokens
+	delete(e.cache, oldest)
 }
 
-// step plans the next step, unless one is under way or there is nothing to do.
-func (e *engine) step() {
-	if e.stepping || e.down || len(e.runs) == 0 {
+// startStep plans the next step and schedules its end, unless a step is under way, the
+// engine is down or nothing runs.
+func (e *engine) startStep() {
+	if e.stepping || e.down || len(e.running) == 0 {
 		return
 	}
 	e.stepping = true
-	took := e.kind.Pace.DecodeStep(len(e.runs))
+	duration := e.kind.Pace.DecodeStep(len(e.running))
 	budget := pace.Chunk
-	for _, r := range e.toRead() {
+	for _, r := range e.prefilling() {
 		if budget == 0 {
 			break
 		}
 		chunk := min(r.unread, budget)
-		took += e.kind.Pace.Read(chunk, r.call.work.Prompt-r.unread+chunk)
+		duration += e.kind.Pace.Read(chunk, r.call.work.Prompt-r.unread+chunk)
 		r.unread -= chunk
 		budget -= chunk
 	}
 	generation := e.generation
-	e.sim.loop.After(time.Duration(float64(took)*e.slow), func() {
+	e.sim.loop.After(time.Duration(float64(duration)*e.slowFactor), func() {
 		if generation == e.generation {
 			e.stepping = false
 			e.endStep()
@@ -138,10 +142,10 @@
 	})
 }
 
-// toRead are the requests whose prompt is not read yet, the more urgent first.
-func (e *engine) toRead() []*run {
+// prefilling returns the runs with unread prompt tokens in order of priority.
+func (e *engine) prefilling() []*run {
 	var out []*run
-	for _, r := range e.runs {
+	for _, r := range e.running {
 		if r.unread > 0 {
 			out = append(out, r)
 		}
@@ -152,17 +156,17 @@
 	return out
 }
 
-// endStep hands out the tokens of a step. A request makes its first token in the step
-// that reads the last of its prompt.
+// endStep emits the tokens of a step. A run generates its first token in the step that
+// reads the end of its prompt.
 func (e *engine) endStep() {
-	for _, r := range slices.Clone(e.runs) {
+	for _, r := range slices.Clone(e.running) {
 		if r.unread > 0 {
 			continue
 		}
-		r.made++
+		r.generated++
 		r.pending++
-		ended := r.made >= r.call.output
-		if r.made == 1 || r.pending >= e.kind.EventTokens || ended {
+		ended := r.generated >= r.call.output
+		if r.generated == 1 || r.pending >= e.kind.EventTokens || ended {
 			r.pending = 0
 			r.instance.event(r, ended)
 		}
@@ -171,22 +175,22 @@
 		}
 	}
 	e.admit()
-	e.step()
+	e.startStep()
 }
 
-// remove ends a request, however it ended.
+// remove removes a run from the slots and the queue.
 func (e *engine) remove(r *run) {
-	e.runs = slices.DeleteFunc(e.runs, func(x *run) bool { return x == r })
+	e.running = slices.DeleteFunc(e.running, func(x *run) bool { return x == r })
 	e.queue = slices.DeleteFunc(e.queue, func(x *run) bool { return x == r })
 }
 
-// crash loses all that the engine does and keeps.
+// crash takes the engine down, fails its runs and clears its cache.
 func (e *engine) crash() {
-	lost := append(slices.Clone(e.runs), e.queue...)
-	e.down, e.stepping, e.runs, e.queue = true, false, nil, nil
+	lost := append(slices.Clone(e.running), e.queue...)
+	e.down, e.stepping, e.running, e.queue = true, false, nil, nil
 	e.generation++
-	e.kept, e.keptSum = make(map[string]keptPart), 0
+	e.cache, e.cachedTokens = make(map[string]cachedPart), 0
 	for _, r := range lost {
-		r.instance.lost(r)
+		r.instance.failRun(r)
 	}
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -6,31 +6,31 @@
 	"text/tabwriter"
 )
 
-// Outcome is what a caller got.
+// Outcome is the result of one request for its caller.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// OnTime: a whole answer, its first event and all pauses as asked.
+	// OnTime: complete, with the first event and all gaps within their bounds.
 	OnTime Outcome = iota
-	// Late: a whole answer, too late.
+	// Late: complete, but the first event or a gap exceeded its bound.
 	Late
-	// Refused: told twice to come back.
+	// Refused: refused on both attempts.
 	Refused
-	// Failed: broken off, or not whole when the caller gave up.
+	// Failed: interrupted by a crash, or incomplete at the timeout.
 	Failed
 
-	outcomes
+	outcomeCount
 )
 
-// ClassResult counts outcomes.
+// ClassResult counts the outcomes of a class.
 type ClassResult struct {
 	Name   string
-	Counts [outcomes]int
+	Counts [outcomeCount]int
 }
 
-// All is the number of requests.
-func (c *ClassResult) All() int {
+// Total returns the number of requests.
+func (c *ClassResult) Total() int {
 	sum := 0
 	for _, n := range c.Counts {
 		sum += n
@@ -38,16 +38,16 @@
 	return sum
 }
 
-// Share is the share of requests that ended so.
+// Share returns the fraction of requests with the given outcome.
 func (c *ClassResult) Share(o Outcome) float64 {
-	return float64(c.Counts[o]) / float64(max(1, c.All()))
+	return float64(c.Counts[o]) / float64(max(1, c.Total()))
 }
 
-// Result is what callers got, by class in the order of the scenario.
+// Result holds the outcomes by class, in the order of the scenario.
 type Result struct {
 	Classes []ClassResult
-	// Read is the number of prompt tokens that engines read.
-	Read int
+	// PromptTokensRead is the number of prompt tokens that engines read.
+	PromptTokensRead int
 }
 
 func newResult(s Scenario) Result {
@@ -58,9 +58,9 @@
 	return r
 }
 
-func (r *Result) add(class string, o Outcome) { r.Class(class).Counts[o]++ }
+func (r *Result) count(class string, o Outcome) { r.Class(class).Counts[o]++ }
 
-// Class returns the counts of a class; nil when there is none of the name.
+// Class returns the counts of a class, or nil if the scenario has no such class.
 func (r *Result) Class(name string) *ClassResult {
 	for i := range r.Classes {
 		if r.Classes[i].Name == name {
@@ -70,28 +70,28 @@
 	return nil
 }
 
-// OnTime is the share of all requests that were on time.
+// OnTime returns the fraction of all requests that were on time.
 func (r *Result) OnTime() float64 {
 	sum, all := 0, 0
 	for i := range r.Classes {
 		sum += r.Classes[i].Counts[OnTime]
-		all += r.Classes[i].All()
+		all += r.Classes[i].Total()
 	}
 	return float64(sum) / float64(max(1, all))
 }
 
-// Print writes a table.
+// Print writes the outcomes as a table and a summary line.
 func (r *Result) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "class\trequests\ton time\tlate\trefused\tfailed\t")
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t\n",
-			c.Name, c.All(), c.Share(OnTime), c.Share(Late), c.Share(Refused), c.Share(Failed))
+			c.Name, c.Total(), c.Share(OnTime), c.Share(Late), c.Share(Refused), c.Share(Failed))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "on time over all %.3f; %.1f million prompt tokens read\n", r.OnTime(), float64(r.Read)/1e6)
+	_, err := fmt.Fprintf(out, "on time over all %.3f; %.1f million prompt tokens read\n", r.OnTime(), float64(r.PromptTokensRead)/1e6)
 	return err
 }
--- a/internal/quantile/quantile.go
+++ b/internal/quantile/quantile.go
@@ -1,21 +1,23 @@
-// Package quantile summarises durations by HDR histograms of bounded memory.
+// Package quantile summarises durations with HDR histograms, whose memory is bounded.
 package quantile
 
 import (
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision, in microseconds. A value outside is taken for the bound.
+// Range in microseconds, from 1 µs to 24 h, and precision. Values outside the range are
+// clamped to it. Two significant digits keep the error within 1%; a wider range or more
+// digits take more memory per histogram.
 const (
-	minMicros   = 1
-	maxMicros   = 24 * 3600 * 1000 * 1000
-	digits      = 2
-	microsPerMS = 1000
+	minMicros         = 1
+	maxMicros         = 24 * 3600 * 1000 * 1000
+	significantDigits = 2
+	microsPerMS       = 1000
 )
 
-// Summary tells how values are distributed, in milliseconds.
+// Summary describes the distribution of durations in milliseconds.
 type Summary struct {
-	// Count of values.
+	// Count is the number of values.
 	Count int64 `json:"count"`
 	// P50 is the median.
 	P50 float64 `json:"p50"`
@@ -27,33 +29,33 @@
 	Max float64 `json:"max"`
 }
 
-// Histogram counts durations within 1% of their value. The zero value is ready.
+// Histogram counts durations with an error of at most 1%. The zero value is ready to use.
 // It is not safe for concurrent use.
 type Histogram struct {
-	inner *hdrhistogram.Histogram
+	hdr *hdrhistogram.Histogram
 }
 
 // Record adds a duration in milliseconds.
 func (h *Histogram) Record(ms float64) {
-	if h.inner == nil {
-		h.inner = hdrhistogram.New(minMicros, maxMicros, digits)
+	if h.hdr == nil {
+		h.hdr = hdrhistogram.New(minMicros, maxMicros, significantDigits)
 	}
 	micros := min(max(ms*microsPerMS, minMicros), maxMicros)
-	// The value is in range, so recording cannot fail.
-	_ = h.inner.RecordValue(int64(micros))
+	// The value was clamped to the range, so recording cannot fail.
+	_ = h.hdr.RecordValue(int64(micros))
 }
 
-// Summary returns the distribution so far.
+// Summary returns the distribution of the values recorded so far.
 func (h *Histogram) Summary() Summary {
-	if h.inner == nil {
+	if h.hdr == nil {
 		return Summary{}
 	}
 	return Summary{
-		Count: h.inner.TotalCount(),
-		P50:   milliseconds(h.inner.ValueAtQuantile(50)),
-		P95:   milliseconds(h.inner.ValueAtQuantile(95)),
-		P99:   milliseconds(h.inner.ValueAtQuantile(99)),
-		Max:   milliseconds(h.inner.Max()),
+		Count: h.hdr.TotalCount(),
+		P50:   milliseconds(h.hdr.ValueAtQuantile(50)),
+		P95:   milliseconds(h.hdr.ValueAtQuantile(95)),
+		P99:   milliseconds(h.hdr.ValueAtQuantile(99)),
+		Max:   milliseconds(h.hdr.Max()),
 	}
 }
 
--- a/internal/trace/generate.go
+++ b/internal/trace/generate.go
@@ -15,22 +15,27 @@
 )
 
 const (
-	// burstEvery is the time from one burst to the next, burstFor its length.
-	burstEvery = 45 * time.Second
-	burstFor   = 15 * time.Second
-	// waveFor is the time in which a wave's requests of a burst come.
-	waveFor = 5 * time.Second
-	// batchSlowdown is the part of a step that each further request of a batch
-	// adds, by which capacity is estimated.
+	// burstInterval is the time from one burst to the next, burstLength the length of a
+	// burst. Their ratio bounds the burst factor at which the mean rate is kept: above 3,
+	// the rate between bursts would have to be negative.
+	burstInterval = 45 * time.Second
+	burstLength   = 15 * time.Second
+	// waveLength is the time within a burst in which the requests of a wave arrive. It
+	// must not exceed burstLength, or part of the wave is cut off.
+	waveLength = 5 * time.Second
+	// batchSlowdown is the fraction of a step that each further request in a batch adds
+	// in the capacity estimate. A larger value generates fewer requests for a load.
 	batchSlowdown = 0.01
-	// cachedPrompt is the part of a prompt that a warm prefix cache saves.
-	cachedPrompt = 0.5
-	// maxGenerated bounds the requests of one line.
-	maxGenerated = 2_000_000
+	// cachedPromptShare is the fraction of a prompt that a warm prefix cache saves in the
+	// capacity estimate. A larger value generates more requests for a load.
+	cachedPromptShare = 0.5
+	// maxGeneratedRequests bounds the requests of one line, and with them the memory.
+	maxGeneratedRequests = 2_000_000
 )
 
-// Generate makes the requests that a line asks for. The same line and inventory
-// give the same requests.
+// Generate returns the requests of a line with a mix, in order of At. The same line and
+// inventory give the same requests. It fails if the mix is unknown, the inventory lacks
+// one of its classes or customers, or the line gives more than maxGeneratedRequests.
 func Generate(line *trace.Line, cat *catalog.Catalog) ([]Request, error) {
 	m, ok := mixes[line.Generate]
 	if !ok {
@@ -45,7 +50,7 @@
 	}
 	scaled := line.Load*float64(engineCount(cat)) - g.fixedWork(m)
 	for i := range m.streams {
-		if err := g.stream(&m.streams[i], scaled); err != nil {
+		if err := g.generateStream(&m.streams[i], scaled); err != nil {
 			return nil, err
 		}
 	}
@@ -61,7 +66,7 @@
 	out        []Request
 }
 
-// fixedWork is the engine work of the streams with a fixed rate, in engines.
+// fixedWork returns the load of the streams with a fixed rate, in engines.
 func (g *generator) fixedWork(m mix) float64 {
 	sum := 0.0
 	for i := range m.streams {
@@ -73,21 +78,22 @@
 	return sum
 }
 
-// workOf is the mean work of a request in seconds of one engine.
+// workOf returns the mean engine time of a request in seconds.
 func (g *generator) workOf(s *stream) float64 {
-	engine := modelEngine(g.cat)
+	engine := firstModelEngine(g.cat)
 	if engine == nil {
 		return 1
 	}
 	slots := float64(engine.Slots)
 	step := engine.StepMS / 1000 * (1 + batchSlowdown*(slots-1))
-	mean := s.output * math.Exp(s.spread*s.spread/2)
-	prompt := s.prompt * (1 - cachedPrompt) / float64(engine.PrefillTokensPerS)
+	mean := s.output * math.Exp(s.outputSigma*s.outputSigma/2)
+	prompt := s.prompt * (1 - cachedPromptShare) / float64(engine.PrefillTokensPerS)
 	return prompt + mean*step/slots
 }
 
-// modelEngine returns the first model engine, which stands for all.
-func modelEngine(cat *catalog.Catalog) *inventory.Engine {
+// firstModelEngine returns the first model engine, which represents all of them in the
+// capacity estimate, or nil if there is none.
+func firstModelEngine(cat *catalog.Catalog) *inventory.Engine {
 	for _, group := range cat.GroupList {
 		for _, server := range group.Servers {
 			if server.Spec.Kind == inventory.ServerKindModel {
@@ -108,7 +114,7 @@
 	return n
 }
 
-func (g *generator) stream(s *stream, scaled float64) error {
+func (g *generator) generateStream(s *stream, scaled float64) error {
 	if g.cat.Classes[s.class] == nil {
 		return errors.Errorf("the inventory has no class %q", s.class)
 	}
@@ -127,52 +133,52 @@
 	return g.arrivals(s, perSecond)
 }
 
-// arrivals draws a Poisson process whose rate follows the bursts, by thinning.
+// arrivals draws a Poisson process by thinning; its rate follows the bursts.
 func (g *generator) arrivals(s *stream, perSecond float64) error {
-	peak := perSecond * g.peak(s)
+	peak := perSecond * g.peakRateFactor(s)
 	for at := g.start; ; {
 		at += time.Duration(g.rng.ExpFloat64() / peak * float64(time.Second))
 		if at >= g.end {
 			return nil
 		}
-		if g.rng.Float64()*peak >= perSecond*g.level(s, at-g.start) {
+		if g.rng.Float64()*peak >= perSecond*g.rateFactor(s, at-g.start) {
 			continue
 		}
-		if len(g.out) >= maxGenerated {
-			return errors.New("the line asks for too many requests")
+		if len(g.out) >= maxGeneratedRequests {
+			return errors.New("a line generates too many requests")
 		}
 		g.out = append(g.out, g.request(s, at))
 	}
 }
 
-func (g *generator) bursts(s *stream) bool {
+func (g *generator) hasBursts(s *stream) bool {
 	return s.burst && g.line.Burst > 1
 }
 
-// peak is the greatest level.
-func (g *generator) peak(s *stream) float64 {
-	if !g.bursts(s) {
+// peakRateFactor returns the maximum of rateFactor.
+func (g *generator) peakRateFactor(s *stream) float64 {
+	if !g.hasBursts(s) {
 		return 1
 	}
 	if s.wave {
-		return g.line.Burst * float64(burstFor) / float64(waveFor)
+		return g.line.Burst * float64(burstLength) / float64(waveLength)
 	}
 	return g.line.Burst
 }
 
-// level is the rate against its mean at a time since the start. Between bursts
-// it is as low as the mean asks for.
-func (g *generator) level(s *stream, since time.Duration) float64 {
-	if !g.bursts(s) {
+// rateFactor returns the ratio of the rate to its mean at a time since the start. The
+// rate between bursts is lowered to keep the mean, but not below 0.
+func (g *generator) rateFactor(s *stream, since time.Duration) float64 {
+	if !g.hasBursts(s) {
 		return 1
 	}
-	length := burstFor
+	length := burstLength
 	if s.wave {
-		length = waveFor
+		length = waveLength
 	}
-	peak := g.peak(s)
-	part := float64(length) / float64(burstEvery)
-	if since%burstEvery >= burstEvery-burstFor && since%burstEvery < burstEvery-burstFor+length {
+	peak := g.peakRateFactor(s)
+	part := float64(length) / float64(burstInterval)
+	if since%burstInterval >= burstInterval-burstLength && since%burstInterval < burstInterval-burstLength+length {
 		return peak
 	}
 	return max(0, (1-peak*part)/(1-part))
@@ -188,33 +194,33 @@
 		OutputTokens: g.output(s),
 	}
 	if s.prefixes > 0 {
-		r.Prefix = prefixHash(fmt.Sprintf("%s/%s/%d", s.class, customer, g.popular(s.prefixes)))
+		r.Prefix = prefixHash(fmt.Sprintf("%s/%s/%d", s.class, customer, g.skewedIndex(s.prefixes)))
 	}
 	return r
 }
 
 func (g *generator) customer(s *stream) string {
-	left := 0.0
+	remaining := 0.0
 	for _, c := range s.customers {
-		left += c.share
+		remaining += c.share
 	}
-	left *= g.rng.Float64()
+	remaining *= g.rng.Float64()
 	for _, c := range s.customers {
-		left -= c.share
-		if left < 0 {
+		remaining -= c.share
+		if remaining < 0 {
 			return c.name
 		}
 	}
 	return s.customers[0].name
 }
 
-// popular draws one of n, the first ones more often.
-func (g *generator) popular(n int) int {
+// skewedIndex draws an index below n; smaller ones are more frequent.
+func (g *generator) skewedIndex(n int) int {
 	u := g.rng.Float64()
 	return int(float64(n) * u * u)
 }
 
 func (g *generator) output(s *stream) int {
-	value := s.output * math.Exp(s.spread*g.rng.NormFloat64())
-	return min(max(int(value), 1), s.limit)
+	value := s.output * math.Exp(s.outputSigma*g.rng.NormFloat64())
+	return min(max(int(value), 1), s.maxOutput)
 }
