--- a/internal/standin/appserver/appserver.go
+++ b/internal/standin/appserver/appserver.go
@@ -53,9 +53,9 @@
 	mu          sync.Mutex
 	started     *sync.Cond // on mu
 	serviceTime time.Duration
-	refusing    bool
-	present     int // calls running or waiting
-	limit       int
+	busy        bool
+	admitted    int // calls running or waiting
+	maxAdmitted int
 	runs        []Run
 }
 
@@ -67,7 +67,7 @@
 	s := &Server{
 		workers:     make(chan struct{}, cfg.Workers),
 		serviceTime: cfg.ServiceTime,
-		limit:       cfg.Workers + cfg.Queue,
+		maxAdmitted: cfg.Workers + cfg.Queue,
 	}
 	s.started = sync.NewCond(&s.mu)
 	s.Server = faultnet.NewServer(s.handle)
@@ -75,13 +75,13 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	if !s.enter() {
+	if !s.admit() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		ctx.Response.Header.Set(enginehttp.HeaderNotStarted, enginehttp.True)
 		ctx.Response.Header.Set(enginehttp.HeaderRetryAfter, "1")
 		return
 	}
-	defer s.leave()
+	defer s.release()
 	select {
 	case s.workers <- struct{}{}:
 	case <-s.Stopped():
@@ -89,7 +89,7 @@
 	}
 	defer func() { <-s.workers }()
 	run, serviceTime := s.start(ctx)
-	if !s.work(serviceTime) {
+	if !s.waitServiceTime(serviceTime) {
 		return
 	}
 	s.end(run)
@@ -105,20 +105,20 @@
 	ctx.SetBody(body)
 }
 
-func (s *Server) enter() bool {
+func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refusing || s.present >= s.limit {
+	if s.busy || s.admitted >= s.maxAdmitted {
 		return false
 	}
-	s.present++
+	s.admitted++
 	return true
 }
 
-func (s *Server) leave() {
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.present--
+	s.admitted--
 }
 
 func (s *Server) start(ctx *fasthttp.RequestCtx) (run int, serviceTime time.Duration) {
@@ -134,8 +134,8 @@
 	return len(s.runs) - 1, s.serviceTime
 }
 
-// work takes the service time. It returns false when the server stops.
-func (s *Server) work(serviceTime time.Duration) bool {
+// waitServiceTime takes the service time. It returns false when the server stops.
+func (s *Server) waitServiceTime(serviceTime time.Duration) bool {
 	timer := time.NewTimer(serviceTime)
 	defer timer.Stop()
 	select {
@@ -180,7 +180,7 @@
 func (s *Server) SetBusy(busy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusing = busy
+	s.busy = busy
 }
 
 // Crash resets every connection, and new ones until Restart.
--- a/internal/standin/appserver/appserver_test.go
+++ b/internal/standin/appserver/appserver_test.go
@@ -62,7 +62,7 @@
 
 // The server is reset while it works on a call. The caller can only be told
 // that the call may have run, and the record shows that it did start.
-func TestCrashDuringACallMayHaveRun(t *testing.T) {
+func TestCrashDuringCallReportsMayHaveRun(t *testing.T) {
 	s, target := start(t, Config{ServiceTime: time.Hour})
 	done := make(chan *verdict.Error)
 	go func() {
--- a/internal/standin/platform/handler.go
+++ b/internal/standin/platform/handler.go
@@ -17,12 +17,12 @@
 	pathInstances = "/v1/instances"
 )
 
-// maxWatch bounds how long a watch waits.
-const maxWatch = time.Minute
+// maxWatchWait bounds how long a watch waits.
+const maxWatchWait = time.Minute
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
-	served, ok := s.count(path)
+	served, ok := s.admit(path)
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
@@ -37,7 +37,7 @@
 		ctx.SetContentType("application/octet-stream")
 		ctx.SetBody(value)
 	case path == pathInstances:
-		answer(ctx, served.instances)
+		writeJSON(ctx, served.instances)
 	case path == pathWatch:
 		s.watch(ctx)
 	default:
@@ -45,9 +45,9 @@
 	}
 }
 
-// count counts a call and returns what to serve. It waits while the service
+// admit counts a call and returns what to serve. It waits while the service
 // hangs, and returns false when it is down or stops.
-func (s *Server) count(path string) (*snapshot, bool) {
+func (s *Server) admit(path string) (*snapshot, bool) {
 	s.mu.Lock()
 	switch {
 	case strings.HasPrefix(path, pathValues):
@@ -82,7 +82,7 @@
 	args := ctx.QueryArgs()
 	revision := args.GetUintOrZero("revision")
 	instances := args.GetUintOrZero("instances")
-	wait := min(time.Duration(args.GetUintOrZero("timeout_ms"))*time.Millisecond, maxWatch)
+	wait := min(time.Duration(args.GetUintOrZero("timeout_ms"))*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -92,7 +92,7 @@
 			return
 		}
 		if mode != Hanging && (served.revision > revision || served.instances.Version > instances) {
-			answer(ctx, platformapi.WatchAnswer{
+			writeJSON(ctx, platformapi.WatchAnswer{
 				Revision:         served.revision,
 				InstancesVersion: served.instances.Version,
 			})
@@ -113,7 +113,7 @@
 	}
 }
 
-func answer(ctx *fasthttp.RequestCtx, body any) {
+func writeJSON(ctx *fasthttp.RequestCtx, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -17,8 +17,8 @@
 	"basilrudder/internal/standin/faultnet"
 )
 
-// MaxValue is the size limit of a value in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the size limit of a value in bytes.
+const MaxValueBytes = 1 << 20
 
 // ManifestKey is the key of the manifest.
 const ManifestKey = "manifest"
@@ -115,7 +115,7 @@
 	next.values = make(map[string][]byte, len(files)+1)
 	manifest := platformapi.Manifest{Revision: next.revision}
 	for _, file := range files {
-		if err := check(file); err != nil {
+		if err := checkFile(file); err != nil {
 			return 0, err
 		}
 		digest := sha256.Sum256(file.Data)
@@ -132,16 +132,16 @@
 	}
 	next.values[ManifestKey] = data
 	s.history[next.revision] = &next
-	s.set(&next)
+	s.setLatest(&next)
 	return next.revision, nil
 }
 
-func check(file File) error {
+func checkFile(file File) error {
 	if file.Key == "" || file.Key == ManifestKey {
 		return errors.Errorf("key %q can't be used", file.Key)
 	}
-	if len(file.Data) > MaxValue {
-		return errors.Errorf("value %s has %d bytes, more than %d", file.Key, len(file.Data), MaxValue)
+	if len(file.Data) > MaxValueBytes {
+		return errors.Errorf("value %s has %d bytes, more than %d", file.Key, len(file.Data), MaxValueBytes)
 	}
 	return nil
 }
@@ -157,7 +157,7 @@
 			Version:   next.instances.Version + 1,
 			Instances: instances,
 		}
-		s.set(&next)
+		s.setLatest(&next)
 	}
 	if s.cfg.InstanceLag == 0 {
 		show()
@@ -173,7 +173,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
-	s.set(s.latest)
+	s.setLatest(s.latest)
 }
 
 // Rewind makes the service stale and serve an older revision, as a replica
@@ -187,12 +187,12 @@
 	}
 	s.mode = Stale
 	s.served = old
-	s.set(s.latest)
+	s.setLatest(s.latest)
 	return nil
 }
 
-// set takes a new snapshot and wakes the watches. The caller holds mu.
-func (s *Server) set(next *snapshot) {
+// setLatest takes a new snapshot and wakes the watches. The caller holds mu.
+func (s *Server) setLatest(next *snapshot) {
 	s.latest = next
 	if s.mode != Stale {
 		s.served = next
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-func TestTooLargeAValueIsNotPublished(t *testing.T) {
+func TestOversizedValueIsRejected(t *testing.T) {
 	s := New(Config{})
-	if _, err := s.Publish([]File{{Key: "a", Data: make([]byte, MaxValue+1)}}); err == nil {
+	if _, err := s.Publish([]File{{Key: "a", Data: make([]byte, MaxValueBytes+1)}}); err == nil {
 		t.Error("published")
 	}
 	if revision := s.Revision(); revision != 0 {
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestWatchAnswersAtAChange(t *testing.T) {
+func TestWatchReturnsOnChange(t *testing.T) {
 	s, url := start(t, Config{})
 	publish(t, s, "one")
 	if status, _ := get(t, url+"/v1/watch?revision=1&instances=0&timeout_ms=1"); status != fasthttp.StatusNoContent {
