--- a/internal/standin/appserver/appserver.go
+++ b/internal/standin/appserver/appserver.go
@@ -1,6 +1,7 @@
-// Package appserver is an HTTP stand-in for an application server. It answers
-// after a fixed time, records each call and can be made to fail. Like most
-// application servers, it does not notice a call that comes twice.
+// Package appserver is an HTTP stand-in for an application server. It answers after a
+// fixed service time, records each call that it starts, and can be made to refuse calls or
+// crash. Like most application servers, it does not deduplicate: a call sent twice runs
+// twice.
 package appserver
 
 import (
@@ -16,42 +17,45 @@
 	"basilrudder/internal/standin/faultnet"
 )
 
-// DefaultWorkers is how many calls run at once.
+// DefaultWorkers is the number of calls that run at once by default. With fewer, more
+// concurrent calls are queued or refused; with more, they run without waiting.
 const DefaultWorkers = 16
 
-// Config of a server.
+// Config configures a Server.
 type Config struct {
-	// ServiceTime is how long each call takes.
+	// ServiceTime is the duration of each call, without its time in the queue.
 	ServiceTime time.Duration
-	// Workers is how many calls run at once; 0 for the default.
+	// Workers is the maximum number of calls that run at once; 0 for DefaultWorkers.
 	Workers int
-	// Queue is how many more may wait; beyond that calls are refused.
+	// Queue is the maximum number of calls that wait for a worker. Further calls are
+	// refused with 503 and not started.
 	Queue int
 }
 
-// Run records one call that was started.
+// Run records one execution of a call.
 type Run struct {
 	RequestID string
 	Method    string
 	Path      string
 	Started   monotime.Instant
-	// Ended is when the answer was handed to the connection; 0 before.
+	// Ended is the time at which the service time was over, just before the answer is
+	// written; 0 if the call still runs or was stopped by Close.
 	Ended monotime.Instant
 }
 
-// Answer is the body of an answer.
+// Answer is the JSON body of the answer to a completed call.
 type Answer struct {
 	RequestID string `json:"request_id"`
 	Path      string `json:"path"`
 }
 
-// Server is one application server.
+// Server is a stand-in for one application server.
 type Server struct {
 	*faultnet.Server
-	workers chan struct{}
+	workers chan struct{} // one element per running call
 
 	mu          sync.Mutex
-	started     *sync.Cond // on mu
+	started     *sync.Cond // signals new runs; its lock is mu
 	serviceTime time.Duration
 	busy        bool
 	admitted    int // calls running or waiting
@@ -59,7 +63,7 @@
 	runs        []Run
 }
 
-// New returns a server.
+// New returns a Server that accepts calls once Serve is called.
 func New(cfg Config) *Server {
 	if cfg.Workers == 0 {
 		cfg.Workers = DefaultWorkers
@@ -74,6 +78,7 @@
 	return s
 }
 
+// handle refuses the call or runs it on a worker and answers.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	if !s.admit() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -105,6 +110,8 @@
 	ctx.SetBody(body)
 }
 
+// admit reserves a place for a call, running or queued. It returns false if the server is
+// busy or all places are taken.
 func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,12 +122,14 @@
 	return true
 }
 
+// release returns the place that admit reserved.
 func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.admitted--
 }
 
+// start records a new run and returns its index in runs and its service time.
 func (s *Server) start(ctx *fasthttp.RequestCtx) (run int, serviceTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +143,7 @@
 	return len(s.runs) - 1, s.serviceTime
 }
 
-// waitServiceTime takes the service time. It returns false when the server stops.
+// waitServiceTime waits for the service time. It returns false if the server stops first.
 func (s *Server) waitServiceTime(serviceTime time.Duration) bool {
 	timer := time.NewTimer(serviceTime)
 	defer timer.Stop()
@@ -146,20 +155,22 @@
 	}
 }
 
+// end records that the run has ended.
 func (s *Server) end(run int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[run].Ended = monotime.Now()
 }
 
-// Runs returns a record of every call that was started.
+// Runs returns the records of all started calls in the order of their start.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.runs)
 }
 
-// WaitForRuns waits until so many calls were started.
+// WaitForRuns blocks until at least count calls have been started. It has no timeout and
+// does not end with Close.
 func (s *Server) WaitForRuns(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,28 +179,30 @@
 	}
 }
 
-// SetServiceTime changes how long the calls that start from now on take.
+// SetServiceTime sets the service time of calls that start from now on. Running calls keep
+// theirs.
 func (s *Server) SetServiceTime(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.serviceTime = d
 }
 
-// SetBusy makes the server refuse calls without starting them, or take them
-// again.
+// SetBusy makes the server refuse new calls without starting them, or accept them again.
+// Unlike SetRefusing it answers them, with 503.
 func (s *Server) SetBusy(busy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy = busy
 }
 
-// Crash resets every connection, and new ones until Restart.
+// Crash resets all open connections, and new ones until Restart. Running calls go on and
+// lose their answers.
 func (s *Server) Crash() {
 	s.SetRefusing(true)
 	s.Cut()
 }
 
-// Restart brings a crashed server back.
+// Restart accepts connections again after Crash.
 func (s *Server) Restart() {
 	s.SetRefusing(false)
 }
--- a/internal/standin/appserver/appserver_test.go
+++ b/internal/standin/appserver/appserver_test.go
@@ -39,11 +39,11 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(answer.Body), "r1") {
-		t.Errorf("answer: %s", answer.Body)
+		t.Errorf("answer %s does not contain the request ID r1", answer.Body)
 	}
 	runs := s.Runs()
 	if len(runs) != 1 || runs[0].RequestID != "r1" || runs[0].Path != call.Path || runs[0].Ended == 0 {
-		t.Errorf("runs: %+v", runs)
+		t.Errorf("runs: %+v, want one ended run of r1 with the path of the call", runs)
 	}
 }
 
@@ -53,15 +53,15 @@
 	call := upstream.ServiceCall{RequestID: "r1", Method: "GET", Path: "/"}
 	_, err := upstream.New(upstream.Config{}).CallService(context.Background(), target, call)
 	if err == nil || err.Verdict != verdict.NotRun {
-		t.Errorf("error: %v", err)
+		t.Errorf("error of a call to a busy server: %v, want verdict NotRun", err)
 	}
 	if runs := len(s.Runs()); runs != 0 {
-		t.Errorf("%d runs", runs)
+		t.Errorf("busy server started %d calls, want 0", runs)
 	}
 }
 
-// The server is reset while it works on a call. The caller can only be told
-// that the call may have run, and the record shows that it did start.
+// The server crashes while it runs a call. The caller has no answer, so its error must be
+// MayHaveRun: the call did start, as WaitForRuns shows, and a retry could run it twice.
 func TestCrashDuringCallReportsMayHaveRun(t *testing.T) {
 	s, target := start(t, Config{ServiceTime: time.Hour})
 	done := make(chan *verdict.Error)
@@ -73,6 +73,6 @@
 	s.WaitForRuns(1)
 	s.Crash()
 	if err := <-done; err == nil || err.Verdict != verdict.MayHaveRun {
-		t.Errorf("error: %v", err)
+		t.Errorf("error of a call cut by a crash: %v, want verdict MayHaveRun", err)
 	}
 }
--- a/internal/standin/platform/handler.go
+++ b/internal/standin/platform/handler.go
@@ -10,16 +10,20 @@
 	"basilrudder/internal/schema/platformapi"
 )
 
-// Paths. The path of a value is pathValues followed by its key.
+// Paths of the protocol. The path of a value is pathValues followed by its key. Clients use
+// the same paths; any other one is answered with 404.
 const (
 	pathValues    = "/v1/values/"
 	pathWatch     = "/v1/watch"
 	pathInstances = "/v1/instances"
 )
 
-// maxWatchWait bounds how long a watch waits.
+// maxWatchWait is the maximum wait of a watch; one that requests more is answered with 204
+// after this time. Below half of the wait that an instance requests, the instance assumes a
+// service that does not wait and delays its next watch.
 const maxWatchWait = time.Minute
 
+// handle serves one call of the protocol.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	served, ok := s.admit(path)
@@ -45,8 +49,8 @@
 	}
 }
 
-// admit counts a call and returns what to serve. It waits while the service
-// hangs, and returns false when it is down or stops.
+// admit counts a call and returns the snapshot to serve. It waits while the mode is
+// Hanging. It returns false if the mode is Down or the server stops.
 func (s *Server) admit(path string) (*snapshot, bool) {
 	s.mu.Lock()
 	switch {
@@ -71,13 +75,17 @@
 	}
 }
 
+// state returns the served snapshot, the mode, and a channel that is closed when either
+// changes.
 func (s *Server) state() (*snapshot, Mode, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.served, s.mode, s.changed
 }
 
-// watch answers once something is newer than what the caller knows.
+// watch answers once the served revision or instance list is newer than the one that the
+// caller sent, or with 204 after the caller's timeout. The timeout has no effect while the
+// mode is Hanging.
 func (s *Server) watch(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
 	revision := args.GetUintOrZero("revision")
@@ -113,6 +121,7 @@
 	}
 }
 
+// writeJSON answers with the body as JSON.
 func writeJSON(ctx *fasthttp.RequestCtx, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is an HTTP stand-in for the configuration service and the
-// instance list. It can be read and watched, counts every call, lags, and can
-// be down, hang or serve an old revision.
+// Package platform is an HTTP stand-in for the configuration service and the instance
+// list. It serves reads and watches and counts every call. Tests can delay its instance
+// list and make it unavailable, hang or serve an old revision.
 package platform
 
 import (
@@ -17,13 +17,16 @@
 	"basilrudder/internal/standin/faultnet"
 )
 
-// MaxValueBytes is the size limit of a value in bytes.
+// MaxValueBytes is the maximum size of a value. The client refuses answers longer than
+// 1 MiB: a higher limit lets Publish accept values that no instance can read, a lower one
+// refuses values that instances could read.
 const MaxValueBytes = 1 << 20
 
-// ManifestKey is the key of the manifest.
+// ManifestKey is the key under which the manifest is read. It must equal the client's key,
+// or no revision is found.
 const ManifestKey = "manifest"
 
-// Mode is how the service behaves.
+// Mode selects how the service answers calls.
 type Mode uint8
 
 // Modes.
@@ -32,42 +35,44 @@
 	Up Mode = iota
 	// Down answers 503 to every call.
 	Down
-	// Hanging answers no call.
+	// Hanging holds every call until the mode changes or the server closes.
 	Hanging
-	// Stale serves what was the latest when the mode was set.
+	// Stale keeps serving the snapshot that was served when the mode was set.
 	Stale
 )
 
-// Config of a platform.
+// Config configures a Server.
 type Config struct {
-	// InstanceLag is how late the instance list shows a change.
+	// InstanceLag is the delay until a change appears in the instance list; 0 for none.
 	InstanceLag time.Duration
 }
 
-// File is a value to publish.
+// File is a value to publish under its key.
 type File struct {
 	Key  string
 	Data []byte
 }
 
-// Calls counts the calls since the start, a waiting watch as one.
+// Calls counts the calls received since the start. A watch counts once, however long it
+// waits. Refused and held calls count too, calls to unknown paths don't.
 type Calls struct {
 	Values, Watches, Instances int
 }
 
-// Total is the sum of all calls.
+// Total returns the sum over all kinds of calls.
 func (c Calls) Total() int {
 	return c.Values + c.Watches + c.Instances
 }
 
-// snapshot is what the service holds at one time; it is never changed.
+// snapshot is the published state at one time. It is immutable, so handlers read it
+// without a lock.
 type snapshot struct {
 	revision  int
 	values    map[string][]byte
 	instances platformapi.InstanceList
 }
 
-// Server is one platform.
+// Server is a stand-in for the configuration service and the instance list.
 type Server struct {
 	*faultnet.Server
 	cfg Config
@@ -76,13 +81,13 @@
 	mode    Mode
 	latest  *snapshot
 	served  *snapshot
-	history map[int]*snapshot // published revisions
-	changed chan struct{}     // closed at the next change
+	history map[int]*snapshot // by published revision, for Rewind
+	changed chan struct{}     // closed and replaced on each change of state or mode
 	calls   Calls
 	timers  []*time.Timer
 }
 
-// New returns a platform without values and instances.
+// New returns a Server at revision 0, without values and instances.
 func New(cfg Config) *Server {
 	empty := &snapshot{instances: platformapi.InstanceList{Instances: []platformapi.Instance{}}}
 	s := &Server{
@@ -96,7 +101,7 @@
 	return s
 }
 
-// Close ends the service.
+// Close stops pending changes of the instance list, then the server and its connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	for _, timer := range s.timers {
@@ -106,7 +111,8 @@
 	s.Server.Close()
 }
 
-// Publish makes the files the new revision, as a whole, and returns it.
+// Publish replaces all values by the files, writes their manifest and returns the new
+// revision. On an error, for a key or size that is not allowed, nothing is published.
 func (s *Server) Publish(files []File) (revision int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,17 +142,19 @@
 	return next.revision, nil
 }
 
+// checkFile refuses an empty key, the manifest's key and data above MaxValueBytes.
 func checkFile(file File) error {
 	if file.Key == "" || file.Key == ManifestKey {
-		return errors.Errorf("key %q can't be used", file.Key)
+		return errors.Errorf("key %q is empty or reserved for the manifest", file.Key)
 	}
 	if len(file.Data) > MaxValueBytes {
-		return errors.Errorf("value %s has %d bytes, more than %d", file.Key, len(file.Data), MaxValueBytes)
+		return errors.Errorf("value %q has %d bytes, the limit is %d", file.Key, len(file.Data), MaxValueBytes)
 	}
 	return nil
 }
 
-// SetInstances changes the instance list, which shows it after the lag.
+// SetInstances replaces the instance list once Config.InstanceLag has passed. Each
+// call increments the list's version, also if the list is the same.
 func (s *Server) SetInstances(instances []platformapi.Instance) {
 	instances = append([]platformapi.Instance{}, instances...)
 	show := func() {
@@ -168,7 +176,8 @@
 	s.timers = append(s.timers, time.AfterFunc(s.cfg.InstanceLag, show))
 }
 
-// SetMode changes how the service behaves.
+// SetMode changes how the service answers calls, including those that it holds. Any mode
+// but Stale serves the latest state again.
 func (s *Server) SetMode(mode Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,8 +185,9 @@
 	s.setLatest(s.latest)
 }
 
-// Rewind makes the service stale and serve an older revision, as a replica
-// that fell back would.
+// Rewind sets the mode to Stale and serves the values and instances as they were when the
+// revision was published, like a replica restored from an old copy. It returns an error if
+// the revision was not published.
 func (s *Server) Rewind(revision int) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,7 +201,8 @@
 	return nil
 }
 
-// setLatest takes a new snapshot and wakes the watches. The caller holds mu.
+// setLatest records the latest snapshot, serves it unless the mode is Stale, and wakes all
+// held calls. The caller holds mu.
 func (s *Server) setLatest(next *snapshot) {
 	s.latest = next
 	if s.mode != Stale {
@@ -201,14 +212,14 @@
 	s.changed = make(chan struct{})
 }
 
-// Calls returns the counted calls.
+// Calls returns the counts of calls received so far.
 func (s *Server) Calls() Calls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Revision returns the latest published revision.
+// Revision returns the latest published revision. In mode Stale an older one may be served.
 func (s *Server) Revision() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -75,20 +75,20 @@
 		t.Errorf("manifest (-want +got):\n%s", diff)
 	}
 	if status, value := get(t, url+"/v1/values/a.toml"); status != fasthttp.StatusOK || string(value) != "two" {
-		t.Errorf("value: %d %q", status, value)
+		t.Errorf("value: status %d, body %q, want 200 and \"two\"", status, value)
 	}
 	if calls := s.Calls(); calls.Values != 2 || calls.Total() != 2 {
-		t.Errorf("calls: %+v", calls)
+		t.Errorf("calls: %+v, want 2 reads of values and no others", calls)
 	}
 }
 
 func TestOversizedValueIsRejected(t *testing.T) {
 	s := New(Config{})
 	if _, err := s.Publish([]File{{Key: "a", Data: make([]byte, MaxValueBytes+1)}}); err == nil {
-		t.Error("published")
+		t.Error("published a value larger than MaxValueBytes without an error")
 	}
 	if revision := s.Revision(); revision != 0 {
-		t.Errorf("revision %d", revision)
+		t.Errorf("revision %d after a refused publish, want 0", revision)
 	}
 }
 
@@ -96,7 +96,7 @@
 	s, url := start(t, Config{})
 	publish(t, s, "one")
 	if status, _ := get(t, url+"/v1/watch?revision=1&instances=0&timeout_ms=1"); status != fasthttp.StatusNoContent {
-		t.Errorf("status %d when nothing is newer", status)
+		t.Errorf("status %d when nothing is newer, want 204", status)
 	}
 	answered := make(chan platformapi.WatchAnswer)
 	go func() {
@@ -106,13 +106,13 @@
 	}()
 	publish(t, s, "two")
 	if answer := <-answered; answer.Revision != 2 {
-		t.Errorf("answer: %+v", answer)
+		t.Errorf("answer: %+v, want revision 2", answer)
 	}
 	s.SetInstances([]platformapi.Instance{{ID: "i1"}})
 	var answer platformapi.WatchAnswer
 	getJSON(t, url+"/v1/watch?revision=2&instances=0&timeout_ms=60000", &answer)
 	if answer.InstancesVersion != 1 {
-		t.Errorf("answer: %+v", answer)
+		t.Errorf("answer: %+v, want instances version 1", answer)
 	}
 }
 
@@ -122,18 +122,18 @@
 	s.SetMode(Stale)
 	publish(t, s, "two")
 	if _, value := get(t, url+"/v1/values/a.toml"); string(value) != "one" {
-		t.Errorf("stale value %q", value)
+		t.Errorf("value %q while stale, want the one before", value)
 	}
 	s.SetMode(Up)
 	if err := s.Rewind(1); err != nil {
 		t.Fatal(err)
 	}
 	if _, value := get(t, url+"/v1/values/a.toml"); string(value) != "one" {
-		t.Errorf("rewound value %q", value)
+		t.Errorf("value %q after a rewind to revision 1, want its value", value)
 	}
 	s.SetMode(Down)
 	if status, _ := get(t, url+"/v1/instances"); status != fasthttp.StatusServiceUnavailable {
-		t.Errorf("status %d while down", status)
+		t.Errorf("status %d while down, want 503", status)
 	}
 	s.SetMode(Hanging)
 	answered := make(chan string)
@@ -143,6 +143,6 @@
 	}()
 	s.SetMode(Up)
 	if value := <-answered; value != "two" {
-		t.Errorf("value %q after hanging", value)
+		t.Errorf("value %q after hanging, want the latest", value)
 	}
 }
