--- a/internal/standin/platform/handler.go
+++ b/internal/standin/platform/handler.go
@@ -10,19 +10,23 @@
 	"basilrudder/internal/schema/platformapi"
 )
 
-// Paths. The path of a value is pathValues followed by its key.
+// Paths of the protocol. The path of a value is pathValues followed by its key. Clients use
+// the same paths; any other one is answered with 404.
 const (
 	pathValues    = "/v1/values/"
 	pathWatch     = "/v1/watch"
 	pathInstances = "/v1/instances"
 )
 
-// maxWatch bounds how long a watch waits.
-const maxWatch = time.Minute
+// maxWatchWait is the maximum wait of a watch; one that requests more is answered with 204
+// after this time. Below half of the wait that an instance requests, the instance assumes a
+// service that does not wait and delays its next watch.
+const maxWatchWait = time.Minute
 
+// handle serves one call of the protocol.
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
-	served, ok := s.count(path)
+	served, ok := s.admit(path)
 	if !ok {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
@@ -37,7 +41,7 @@
 		ctx.SetContentType("application/octet-stream")
 		ctx.SetBody(value)
 	case path == pathInstances:
-		answer(ctx, served.instances)
+		writeJSON(ctx, served.instances)
 	case path == pathWatch:
 		s.watch(ctx)
 	default:
@@ -45,9 +49,9 @@
 	}
 }
 
-// count counts a call and returns what to serve. It waits while the service
-// hangs, and returns false when it is down or stops.
-func (s *Server) count(path string) (*snapshot, bool) {
+// admit counts a call and returns the snapshot to serve. It waits while the mode is
+// Hanging. It returns false if the mode is Down or the server stops.
+func (s *Server) admit(path string) (*snapshot, bool) {
 	s.mu.Lock()
 	switch {
 	case strings.HasPrefix(path, pathValues):
@@ -71,18 +75,22 @@
 	}
 }
 
+// state returns the served snapshot, the mode, and a channel that is closed when either
+// changes.
 func (s *Server) state() (*snapshot, Mode, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.served, s.mode, s.changed
 }
 
-// watch answers once something is newer than what the caller knows.
+// watch answers once the served revision or instance list is newer than the one that the
+// caller sent, or with 204 after the caller's timeout. The timeout has no effect while the
+// mode is Hanging.
 func (s *Server) watch(ctx *fasthttp.RequestCtx) {
 	args := ctx.QueryArgs()
 	revision := args.GetUintOrZero("revision")
 	instances := args.GetUintOrZero("instances")
-	wait := min(time.Duration(args.GetUintOrZero("timeout_ms"))*time.Millisecond, maxWatch)
+	wait := min(time.Duration(args.GetUintOrZero("timeout_ms"))*time.Millisecond, maxWatchWait)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -92,7 +100,7 @@
 			return
 		}
 		if mode != Hanging && (served.revision > revision || served.instances.Version > instances) {
-			answer(ctx, platformapi.WatchAnswer{
+			writeJSON(ctx, platformapi.WatchAnswer{
 				Revision:         served.revision,
 				InstancesVersion: served.instances.Version,
 			})
@@ -113,7 +121,8 @@
 	}
 }
 
-func answer(ctx *fasthttp.RequestCtx, body any) {
+// writeJSON answers with the body as JSON.
+func writeJSON(ctx *fasthttp.RequestCtx, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
