--- a/tools/soak/faults.go
+++ b/tools/soak/faults.go
@@ -180,7 +180,7 @@
 func restoreStore(s *soak, r *rand.Rand, length time.Duration) {
 	s.restoring.Lock()
 	defer s.restoring.Unlock()
-	s.fleet.store.Copy()
+	s.fleet.store.SaveCopy()
 	time.Sleep(length)
 	s.fleet.store.SetDown(true)
 	time.Sleep(length / 4)
@@ -194,12 +194,12 @@
 	}
 	s.note(s.fleet.publishAgain())
 	time.Sleep(lapseTime)
-	s.fleet.store.KeepServers(s.fleet.serverIDs())
+	s.fleet.store.RetainServers(s.fleet.serverIDs())
 }
 
 // leaveUnheard has a server leave that can't write it to the store: its answers tell it.
 func (s *soak) leaveUnheard(u *upstream) {
-	u.server.Leave()
+	u.server.AnnounceLeaving()
 	s.shutDown(u)
 }
 
--- a/tools/soak/soak.go
+++ b/tools/soak/soak.go
@@ -201,8 +201,8 @@
 			tell(fmt.Sprintf("no answer for %v", a.took.Round(time.Millisecond)))
 		}
 		for _, run := range runs {
-			if run.Customer != customerName || run.KeyShown {
-				tell(fmt.Sprintf("run for %q, key shown: %t", run.Customer, run.KeyShown))
+			if run.Customer != customerName || run.KeyReceived {
+				tell(fmt.Sprintf("run for %q, key shown: %t", run.Customer, run.KeyReceived))
 			}
 		}
 	}
--- a/tools/soak/soak_test.go
+++ b/tools/soak/soak_test.go
@@ -90,7 +90,7 @@
 			l.Add(id, once)
 		}
 	}
-	l.Add("key-shown", standin.Run{Customer: customerName, KeyShown: true})
+	l.Add("key-shown", standin.Run{Customer: customerName, KeyReceived: true})
 	l.Add("for-another", standin.Run{Customer: "other"})
 	return l
 }
