--- a/internal/standin/enginemodel/engine.go
+++ b/internal/standin/enginemodel/engine.go
@@ -58,7 +58,7 @@
 		jobs:  make(map[string]*job),
 		cache: newPrefixCache(cfg.CacheTokens, log),
 	}
-	e.history.every = cfg.LoadLag / samplesPerLag
+	e.history.interval = cfg.LoadLag / samplesPerLag
 	e.SetSlowdown(cfg.Slowdown)
 	return e
 }
@@ -77,13 +77,13 @@
 // Submit takes a job, or returns a Refusal. From then on the job counts as a
 // run.
 func (e *Engine) Submit(now monotime.Instant, in Job) error {
-	e.run(now)
+	e.advanceTo(now)
 	if refusal := e.refusal(in.ID); refusal != 0 {
 		return refusal
 	}
 	in.OutputTokens = max(in.OutputTokens, 1)
 	e.nextSeq++
-	j := &job{Job: in, seq: e.nextSeq, run: len(e.runs)}
+	j := &job{Job: in, seq: e.nextSeq, runIndex: len(e.runs)}
 	cached := e.cachedTokens(j)
 	j.prefillLeft = max(in.PromptTokens-cached, 1)
 	e.runs = append(e.runs, Run{
@@ -128,7 +128,7 @@
 // Advance returns the tokens that were generated up to now for connected
 // streams, in order. The slice is valid until the next call of Advance.
 func (e *Engine) Advance(now monotime.Instant) []Token {
-	e.run(now)
+	e.advanceTo(now)
 	e.pending, e.returned = e.returned[:0], e.pending
 	return e.returned
 }
@@ -143,7 +143,7 @@
 
 // Cancel ends a run. It returns false when none of the id goes on.
 func (e *Engine) Cancel(now monotime.Instant, id string) bool {
-	e.run(now)
+	e.advanceTo(now)
 	j := e.jobs[id]
 	if j == nil || j.ended {
 		return false
@@ -158,14 +158,14 @@
 // The slice is valid until the next call on the engine.
 func (e *Engine) Runs() []Run {
 	for _, j := range e.batch {
-		e.runs[j.run].Tokens = j.generated
+		e.runs[j.runIndex].Tokens = j.generated
 	}
 	return e.runs
 }
 
 // CacheEvents returns published cache events from a sequence number on.
 func (e *Engine) CacheEvents(now monotime.Instant, after int) engineapi.CacheEvents {
-	e.run(now)
+	e.advanceTo(now)
 	return e.cache.log.after(now, after)
 }
 
--- a/internal/standin/enginemodel/fault.go
+++ b/internal/standin/enginemodel/fault.go
@@ -8,7 +8,7 @@
 
 // Crash ends every run and loses the cache. The engine is down until Restart.
 func (e *Engine) Crash(now monotime.Instant) {
-	e.run(now)
+	e.advanceTo(now)
 	running := slices.Clone(e.batch)
 	for _, j := range append(running, e.waiting...) {
 		e.end(now, j, Crashed)
@@ -46,7 +46,7 @@
 		return
 	}
 	if stalled {
-		e.run(now)
+		e.advanceTo(now)
 	}
 	e.stalled = stalled
 	if !stalled && e.stepping {
@@ -57,7 +57,7 @@
 // Silence makes the connections that are open now carry nothing more, while
 // their runs go on. The engine does not notice; new connections work.
 func (e *Engine) Silence(now monotime.Instant) {
-	e.run(now)
+	e.advanceTo(now)
 	for _, j := range e.batch {
 		j.silent = true
 	}
@@ -68,7 +68,7 @@
 
 // SilenceOne does what Silence does to the connection of one run.
 func (e *Engine) SilenceOne(now monotime.Instant, id string) {
-	e.run(now)
+	e.advanceTo(now)
 	if j := e.jobs[id]; j != nil {
 		j.silent = true
 	}
@@ -77,7 +77,7 @@
 // Detach tells the engine that the connection of a run is lost. The run goes
 // on for Linger, so that it can be resumed.
 func (e *Engine) Detach(now monotime.Instant, id string) {
-	e.run(now)
+	e.advanceTo(now)
 	j := e.jobs[id]
 	if j == nil || j.ended || j.detached {
 		return
@@ -90,7 +90,7 @@
 // Attach connects to a run again. It appends the tokens generated so far from
 // the offset on to out; later ones come from Advance.
 func (e *Engine) Attach(now monotime.Instant, id string, offset int, out []Token) ([]Token, error) {
-	e.run(now)
+	e.advanceTo(now)
 	if e.down {
 		return out, Down
 	}
@@ -98,7 +98,7 @@
 	if j == nil {
 		return out, Unknown
 	}
-	if j.ended && e.runs[j.run].End != Completed {
+	if j.ended && e.runs[j.runIndex].End != Completed {
 		return out, Unknown
 	}
 	if j.detached {
--- a/internal/standin/enginemodel/holding.go
+++ b/internal/standin/enginemodel/holding.go
@@ -16,29 +16,29 @@
 type WeightStore struct {
 	mu       sync.Mutex
 	loadTime time.Duration
-	lanes    []monotime.Instant // when each becomes free
+	freeAt   []monotime.Instant // when each becomes free
 	pending  []monotime.Instant // ends of the loads under way
 	peak     int
 	loads    int
 }
 
 // NewWeightStore returns a store that serves atOnce loads of loadTime each.
-func NewWeightStore(atOnce int, loadTime time.Duration) *WeightStore {
-	return &WeightStore{loadTime: loadTime, lanes: make([]monotime.Instant, max(atOnce, 1))}
+func NewWeightStore(concurrency int, loadTime time.Duration) *WeightStore {
+	return &WeightStore{loadTime: loadTime, freeAt: make([]monotime.Instant, max(concurrency, 1))}
 }
 
 // Begin starts a load and returns when it ends.
 func (s *WeightStore) Begin(now monotime.Instant) monotime.Instant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lane := 0
-	for i, free := range s.lanes {
-		if free < s.lanes[lane] {
-			lane = i
+	earliest := 0
+	for i, free := range s.freeAt {
+		if free < s.freeAt[earliest] {
+			earliest = i
 		}
 	}
-	end := max(now, s.lanes[lane]).Add(s.loadTime)
-	s.lanes[lane] = end
+	end := max(now, s.freeAt[earliest]).Add(s.loadTime)
+	s.freeAt[earliest] = end
 	s.pending = slices.DeleteFunc(s.pending, func(at monotime.Instant) bool { return at <= now })
 	s.pending = append(s.pending, end)
 	s.peak = max(s.peak, len(s.pending))
@@ -67,7 +67,7 @@
 	store         *WeightStore
 	fence         int
 	models        []string
-	wanted        []string
+	desired       []string
 	loading       []load
 	role          string
 }
@@ -84,7 +84,7 @@
 		checksFencing: checksFencing,
 		store:         store,
 		models:        slices.Clone(models),
-		wanted:        slices.Clone(models),
+		desired:       slices.Clone(models),
 		role:          role,
 	}
 }
@@ -92,7 +92,7 @@
 // Order takes an order or, on an engine that checks fencing, refuses an old
 // one.
 func (h *Holding) Order(now monotime.Instant, order engineapi.Order) engineapi.OrderAnswer {
-	h.settle(now)
+	h.finishLoads(now)
 	if h.checksFencing {
 		if order.Fence < h.fence {
 			return h.report(false)
@@ -100,14 +100,14 @@
 		h.fence = order.Fence
 	}
 	h.role = order.Role
-	h.wanted = slices.Clone(order.Models)
-	h.loading = slices.DeleteFunc(h.loading, func(l load) bool { return !slices.Contains(h.wanted, l.model) })
-	for _, model := range h.wanted {
+	h.desired = slices.Clone(order.Models)
+	h.loading = slices.DeleteFunc(h.loading, func(l load) bool { return !slices.Contains(h.desired, l.model) })
+	for _, model := range h.desired {
 		if !slices.Contains(h.models, model) && !h.isLoading(model) {
 			h.loading = append(h.loading, load{model: model, ends: h.loadEnd(now)})
 		}
 	}
-	h.settle(now)
+	h.finishLoads(now)
 	return h.report(true)
 }
 
@@ -122,9 +122,9 @@
 	return slices.ContainsFunc(h.loading, func(l load) bool { return l.model == model })
 }
 
-// settle ends loads. What is no longer wanted goes once nothing loads, so that
+// finishLoads ends loads. What is no longer wanted goes once nothing loads, so that
 // the old version serves until the new one can.
-func (h *Holding) settle(now monotime.Instant) {
+func (h *Holding) finishLoads(now monotime.Instant) {
 	h.loading = slices.DeleteFunc(h.loading, func(l load) bool {
 		done := l.ends <= now
 		if done {
@@ -133,13 +133,13 @@
 		return done
 	})
 	if len(h.loading) == 0 {
-		h.models = slices.DeleteFunc(h.models, func(m string) bool { return !slices.Contains(h.wanted, m) })
+		h.models = slices.DeleteFunc(h.models, func(m string) bool { return !slices.Contains(h.desired, m) })
 	}
 }
 
 // Report returns what the engine holds.
 func (h *Holding) Report(now monotime.Instant) engineapi.OrderAnswer {
-	h.settle(now)
+	h.finishLoads(now)
 	return h.report(true)
 }
 
@@ -160,7 +160,7 @@
 
 // Holds reports whether a model, with or without its version, can be served.
 func (h *Holding) Holds(now monotime.Instant, model string) bool {
-	h.settle(now)
+	h.finishLoads(now)
 	return slices.ContainsFunc(h.models, func(held string) bool {
 		name, _, _ := strings.Cut(held, "@")
 		return held == model || name == model
@@ -176,6 +176,6 @@
 func (h *Holding) Restart() {
 	h.fence = 0
 	h.models = nil
-	h.wanted = nil
+	h.desired = nil
 	h.loading = nil
 }
--- a/internal/standin/enginemodel/job.go
+++ b/internal/standin/enginemodel/job.go
@@ -93,17 +93,17 @@
 // job is a known run.
 type job struct {
 	Job
-	seq          uint64
-	run          int
-	generated    int
-	prefillLeft  int
-	prefillNow   int
-	running      bool
-	ended        bool
-	silent       bool
-	detached     bool
-	forgetAt     monotime.Instant
-	lingersUntil monotime.Instant
+	seq             uint64
+	runIndex        int
+	generated       int
+	prefillLeft     int
+	prefillThisStep int
+	running         bool
+	ended           bool
+	silent          bool
+	detached        bool
+	forgetAt        monotime.Instant
+	lingersUntil    monotime.Instant
 }
 
 // before orders jobs by priority and then by arrival.
--- a/internal/standin/enginemodel/load.go
+++ b/internal/standin/enginemodel/load.go
@@ -15,9 +15,9 @@
 
 // loadHistory remembers what the engine looked like a while ago.
 type loadHistory struct {
-	every   time.Duration
-	samples [loadSamples]loadSample
-	count   int
+	interval time.Duration
+	samples  [loadSamples]loadSample
+	count    int
 }
 
 type loadSample struct {
@@ -34,7 +34,7 @@
 		last := &h.samples[(h.count-1)%loadSamples]
 		idle := s.running == 0 && s.waiting == 0
 		wasIdle := last.running == 0 && last.waiting == 0
-		if s.at.Sub(last.at) < h.every && idle == wasIdle {
+		if s.at.Sub(last.at) < h.interval && idle == wasIdle {
 			return
 		}
 	}
@@ -61,7 +61,7 @@
 
 // Load returns a report that is LoadLag old.
 func (e *Engine) Load(now monotime.Instant) engineapi.LoadReport {
-	e.run(now)
+	e.advanceTo(now)
 	sample, previous := e.history.asOf(now.Add(-e.cfg.LoadLag))
 	report := engineapi.LoadReport{
 		Engine:    e.cfg.Name,
--- a/internal/standin/enginemodel/step.go
+++ b/internal/standin/enginemodel/step.go
@@ -8,12 +8,12 @@
 	"basilrudder/internal/monotime"
 )
 
-// run finishes every step that ends up to now.
-func (e *Engine) run(now monotime.Instant) {
+// advanceTo finishes every step that ends up to now.
+func (e *Engine) advanceTo(now monotime.Instant) {
 	for e.stepping && !e.stalled && e.stepEnd <= now {
 		e.finishStep()
 	}
-	e.forget(now)
+	e.pruneEnded(now)
 }
 
 // startStep fills the batch and begins a step, unless one goes on.
@@ -95,8 +95,8 @@
 		if next == nil {
 			break
 		}
-		next.prefillNow = min(next.prefillLeft, budget)
-		budget -= next.prefillNow
+		next.prefillThisStep = min(next.prefillLeft, budget)
+		budget -= next.prefillThisStep
 	}
 	return e.cfg.PrefillChunk - budget
 }
@@ -104,7 +104,7 @@
 func (e *Engine) nextToPrefill() *job {
 	var next *job
 	for _, j := range e.batch {
-		if j.prefillLeft == 0 || j.prefillNow > 0 {
+		if j.prefillLeft == 0 || j.prefillThisStep > 0 {
 			continue
 		}
 		if next == nil || j.before(next) {
@@ -136,8 +136,8 @@
 // stepJob returns whether the job has ended.
 func (e *Engine) stepJob(now monotime.Instant, j *job) bool {
 	if j.prefillLeft > 0 {
-		j.prefillLeft -= j.prefillNow
-		j.prefillNow = 0
+		j.prefillLeft -= j.prefillThisStep
+		j.prefillThisStep = 0
 		if j.prefillLeft > 0 {
 			return false
 		}
@@ -153,7 +153,7 @@
 		e.pending = append(e.pending, Token{ID: j.ID, Ref: j.Ref, At: now, Offset: offset, Done: done})
 	}
 	if offset == 0 {
-		e.runs[j.run].FirstToken = now
+		e.runs[j.runIndex].FirstToken = now
 	}
 	if done {
 		e.end(now, j, Completed)
@@ -163,7 +163,7 @@
 
 // end records the end of a run that has left the batch and the queue.
 func (e *Engine) end(now monotime.Instant, j *job, end End) {
-	run := &e.runs[j.run]
+	run := &e.runs[j.runIndex]
 	run.Ended = now
 	run.End = end
 	run.Tokens = j.generated
@@ -191,8 +191,8 @@
 	return slices.Delete(jobs, at, at+1)
 }
 
-// forget drops the ended runs whose time is over.
-func (e *Engine) forget(now monotime.Instant) {
+// pruneEnded drops the ended runs whose time is over.
+func (e *Engine) pruneEnded(now monotime.Instant) {
 	count := 0
 	for count < len(e.ended) && e.ended[count].forgetAt <= now {
 		delete(e.jobs, e.ended[count].ID)
