--- a/internal/standin/enginemodel/cache.go
+++ b/internal/standin/enginemodel/cache.go
@@ -10,8 +10,7 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// prefixCache holds prompt prefixes up to a number of tokens and evicts the
-// least recently used.
+// prefixCache is an LRU cache of prompt prefixes, bounded by its total tokens.
 type prefixCache struct {
 	capacity int
 	used     int
@@ -34,7 +33,7 @@
 	}
 }
 
-// hit returns the tokens cached under the key and marks them as used.
+// hit returns the number of tokens cached under the key and marks the entry as used.
 func (c *prefixCache) hit(key uint64) int {
 	element, ok := c.byKey[key]
 	if !ok {
@@ -77,7 +76,8 @@
 	c.recent.Init()
 }
 
-// eventLog publishes cache events late and with gaps.
+// eventLog publishes cache events with a delay and drops a share of them, which leaves
+// gaps in the sequence numbers.
 type eventLog struct {
 	lag    time.Duration
 	loss   float64
@@ -106,8 +106,8 @@
 	})
 }
 
-// after returns the published events with sequence numbers from seq on. It
-// stops at the first one that is not yet published, so that order holds.
+// after returns the published events with sequence numbers from seq on. It stops at the
+// first unpublished event, which keeps the events in order.
 func (l *eventLog) after(now monotime.Instant, seq int) engineapi.CacheEvents {
 	page := engineapi.CacheEvents{Next: seq, Events: []engineapi.CacheEvent{}}
 	for _, published := range l.events {
--- a/internal/standin/enginemodel/config.go
+++ b/internal/standin/enginemodel/config.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Defaults of Config, used for fields left zero.
+// Defaults of Config for fields left zero. With a shorter linger, a run ends before a
+// slow caller resumes it; once an ended run is no longer kept, its id is executed again.
 const (
 	DefaultSlots             = 16
 	DefaultStepMS            = 7.0
@@ -19,17 +20,18 @@
 	DefaultCacheEventLag     = time.Second
 )
 
-// cacheEventLogSize bounds the log of cache events; older ones are lost.
+// cacheEventLogSize bounds the log of cache events. A full log drops its older half; a
+// smaller log loses more events for readers that poll rarely, a larger one costs memory.
 const cacheEventLogSize = 1024
 
 // Config describes one engine. Zero fields take the defaults above.
 type Config struct {
-	// Name in load reports.
+	// Name is the engine's name in load reports.
 	Name string
-	// Slots is the most requests that one step decodes.
+	// Slots is the maximum number of requests in a batch.
 	Slots int
-	// MaxWaiting is the most requests that wait for a slot; 0 for as many as
-	// Slots, negative for none.
+	// MaxWaiting is the maximum number of requests waiting for a slot; 0 means Slots, a
+	// negative value none.
 	MaxWaiting int
 	// StepMS is the time of a step that decodes one request, in milliseconds.
 	StepMS float64
@@ -37,27 +39,29 @@
 	BatchSlowdown float64
 	// PrefillTokensPerS is the number of prompt tokens processed per second.
 	PrefillTokensPerS int
-	// PrefillChunk is the most prompt tokens that one step processes; 0 for as
-	// many as take one StepMS.
+	// PrefillChunk is the maximum number of prompt tokens per step; 0 means as many as
+	// take one StepMS.
 	PrefillChunk int
-	// CacheTokens is the capacity of the prefix cache.
+	// CacheTokens is the capacity of the prefix cache, in tokens.
 	CacheTokens int
-	// PrefixShare is the share of a prompt under its prefix key for jobs that
-	// do not say.
+	// PrefixShare is the share of the prompt that belongs to the prefix, for jobs without
+	// PrefixTokens.
 	PrefixShare float64
-	// Preempt lets a waiting job of a higher priority pause a running one. The
-	// paused job keeps its tokens and pays for its prompt again.
+	// Preempt lets a waiting job pause a running one of lower priority. The paused job
+	// keeps its generated tokens, but prompt and tokens are prefilled again.
 	Preempt bool
-	// Slowdown multiplies every step; 0 or 1 for none. A straggler has more.
+	// Slowdown multiplies the time of every step; 0 or 1 for none. A straggler's is
+	// greater than 1.
 	Slowdown float64
-	// Linger is how long a run goes on without a connection.
+	// Linger is how long a run continues without a connection.
 	Linger time.Duration
-	// KeepEnded is how long an ended run is known, for resume and duplicates.
+	// KeepEnded is how long an ended run is kept for resumption and the detection of
+	// duplicates.
 	KeepEnded time.Duration
 	// LoadLag is the age of load reports.
 	LoadLag time.Duration
-	// CacheEventLag is the least age of a cache event when it is published;
-	// half as much again is added at random.
+	// CacheEventLag is the minimum delay of a cache event; up to half of it is added as
+	// random jitter.
 	CacheEventLag time.Duration
 	// CacheEventLoss is the share of cache events that are never published.
 	CacheEventLoss float64
--- a/internal/standin/enginemodel/engine.go
+++ b/internal/standin/enginemodel/engine.go
@@ -1,7 +1,7 @@
-// Package enginemodel models a model engine: continuous batching, prompt
-// processing shortened by a prefix cache, priorities, and the ways an engine
-// fails. It is deterministic and reads no clock, so that the HTTP stand-in
-// drives it in real time and replay in virtual time.
+// Package enginemodel simulates an inference engine: continuous batching, prompt
+// processing shortened by a prefix cache, priorities, and an engine's failures. It is
+// deterministic and reads no clock: the HTTP stand-in drives it in real time and replay
+// in virtual time.
 //
 // An Engine is not safe for concurrent use.
 package enginemodel
@@ -14,7 +14,7 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// Engine is one modelled engine.
+// Engine simulates one engine.
 type Engine struct {
 	cfg Config
 	// stepTimes holds the duration of a step by the size of its batch.
@@ -22,10 +22,10 @@
 	prefillCost float64 // nanoseconds per prompt token
 
 	jobs     map[string]*job
-	batch    []*job // running, in order of entry
+	batch    []*job // running, in order of admission
 	waiting  []*job // sorted by job.before
-	paused   []*job // between leaving the batch and joining the queue
-	ended    []*job // known until forgetAt, in order of ending
+	paused   []*job // removed from the batch, not yet requeued
+	ended    []*job // kept until forgetAt, in order of ending
 	detached int
 	nextSeq  uint64
 
@@ -45,7 +45,8 @@
 	pending, returned []Token
 }
 
-// New returns an idle engine. The seed decides which cache events get lost.
+// New returns an idle engine. The seed determines which cache events are lost and
+// their jitter.
 func New(cfg Config, seed uint64) *Engine {
 	cfg = cfg.withDefaults()
 	log := eventLog{
@@ -63,7 +64,7 @@
 	return e
 }
 
-// SetSlowdown multiplies the steps that start from now on; 1 for none.
+// SetSlowdown multiplies the time of the steps that start from now on; 1 for none.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.cfg.Slowdown = factor
 	e.stepTimes = make([]time.Duration, e.cfg.Slots+1)
@@ -74,8 +75,7 @@
 	e.prefillCost = float64(time.Second) * factor / float64(e.cfg.PrefillTokensPerS)
 }
 
-// Submit takes a job, or returns a Refusal. From then on the job counts as a
-// run.
+// Submit accepts a job and records a run for it, or returns a Refusal.
 func (e *Engine) Submit(now monotime.Instant, in Job) error {
 	e.advanceTo(now)
 	if refusal := e.refusal(in.ID); refusal != 0 {
@@ -125,15 +125,16 @@
 	return min(e.cache.hit(j.Prefix), j.PrefixTokens, j.PromptTokens)
 }
 
-// Advance returns the tokens that were generated up to now for connected
-// streams, in order. The slice is valid until the next call of Advance.
+// Advance returns the tokens generated up to now for connected streams, in order. The
+// slice is valid until the next call of Advance.
 func (e *Engine) Advance(now monotime.Instant) []Token {
 	e.advanceTo(now)
 	e.pending, e.returned = e.returned[:0], e.pending
 	return e.returned
 }
 
-// NextEvent returns when Advance has something to do, or false when idle.
+// NextEvent returns when the next tokens are due or the current step ends, or false when
+// the engine is idle or stalled.
 func (e *Engine) NextEvent(monotime.Instant) (monotime.Instant, bool) {
 	if len(e.pending) > 0 {
 		return e.pending[0].At, true
@@ -141,7 +142,7 @@
 	return e.stepEnd, e.stepping && !e.stalled
 }
 
-// Cancel ends a run. It returns false when none of the id goes on.
+// Cancel ends a run. It returns false when no run of the id is in progress.
 func (e *Engine) Cancel(now monotime.Instant, id string) bool {
 	e.advanceTo(now)
 	j := e.jobs[id]
@@ -169,17 +170,18 @@
 	return e.cache.log.after(now, after)
 }
 
-// Counts is the true state of an engine, for tests and tools.
+// Counts is the current state of an engine, without the lag of load reports, for tests
+// and tools.
 type Counts struct {
-	// Running and Waiting requests.
+	// Running and Waiting are numbers of requests.
 	Running, Waiting int
-	// Tokens generated since the start.
+	// Tokens is the number of tokens generated since New.
 	Tokens uint64
 	// Busy is the time spent in steps.
 	Busy time.Duration
 }
 
-// Counts returns the true state.
+// Counts returns the current state.
 func (e *Engine) Counts() Counts {
 	return Counts{Running: len(e.batch), Waiting: len(e.waiting), Tokens: e.tokens, Busy: e.busy}
 }
--- a/internal/standin/enginemodel/engine_test.go
+++ b/internal/standin/enginemodel/engine_test.go
@@ -13,7 +13,7 @@
 
 const step = 10 * time.Millisecond
 
-// testConfig has round numbers: a step of 10 ms, 10 more per 10 prompt tokens.
+// testConfig has round numbers: a step takes 10 ms, and 10 ms more per 10 prompt tokens.
 func testConfig() Config {
 	return Config{
 		Name:              "e0",
--- a/internal/standin/enginemodel/fault.go
+++ b/internal/standin/enginemodel/fault.go
@@ -6,7 +6,7 @@
 	"basilrudder/internal/monotime"
 )
 
-// Crash ends every run and loses the cache. The engine is down until Restart.
+// Crash ends every run and clears the cache. The engine is down until Restart.
 func (e *Engine) Crash(now monotime.Instant) {
 	e.advanceTo(now)
 	running := slices.Clone(e.batch)
@@ -25,7 +25,7 @@
 	e.sampleLoad(now)
 }
 
-// Restart brings a crashed engine back. It has forgotten every request id.
+// Restart starts a crashed engine again, without any record of earlier request ids.
 func (e *Engine) Restart() {
 	e.down = false
 }
@@ -35,12 +35,12 @@
 	return e.down
 }
 
-// SetRefusing makes the engine refuse new requests, or take them again.
+// SetRefusing makes the engine refuse new requests, or accept them again.
 func (e *Engine) SetRefusing(refusing bool) {
 	e.refusing = refusing
 }
 
-// SetStalled stops the engine in the middle of a step, or lets it go on.
+// SetStalled stops the engine in the middle of a step, or lets it continue.
 func (e *Engine) SetStalled(now monotime.Instant, stalled bool) {
 	if stalled == e.stalled {
 		return
@@ -54,8 +54,8 @@
 	}
 }
 
-// Silence makes the connections that are open now carry nothing more, while
-// their runs go on. The engine does not notice; new connections work.
+// Silence makes all open connections unresponsive: they carry no further tokens, but
+// their runs continue and are not detached. New connections work.
 func (e *Engine) Silence(now monotime.Instant) {
 	e.advanceTo(now)
 	for _, j := range e.batch {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Detach tells the engine that the connection of a run is lost. The run goes
-// on for Linger, so that it can be resumed.
+// Detach reports that the connection of a run is lost. The run continues for
+// Config.Linger and can be resumed with Attach.
 func (e *Engine) Detach(now monotime.Instant, id string) {
 	e.advanceTo(now)
 	j := e.jobs[id]
@@ -87,8 +87,8 @@
 	e.detached++
 }
 
-// Attach connects to a run again. It appends the tokens generated so far from
-// the offset on to out; later ones come from Advance.
+// Attach reconnects to a run. It appends the tokens generated so far, from the offset
+// on, to out; Advance returns later ones. The error is Down or Unknown.
 func (e *Engine) Attach(now monotime.Instant, id string, offset int, out []Token) ([]Token, error) {
 	e.advanceTo(now)
 	if e.down {
@@ -113,13 +113,13 @@
 	return out, nil
 }
 
-// dropPending removes tokens that Attach delivers itself, so that none comes
-// twice.
+// dropPending removes the pending tokens of a run. Attach returns them itself, and
+// Advance would deliver them twice.
 func (e *Engine) dropPending(id string) {
 	e.pending = slices.DeleteFunc(e.pending, func(t Token) bool { return t.ID == id })
 }
 
-// abandon ends the runs that had no connection for too long.
+// abandon ends the runs that have had no connection for Config.Linger.
 func (e *Engine) abandon(now monotime.Instant) {
 	expired := func(j *job) bool { return j.detached && j.lingersUntil <= now }
 	for _, jobs := range []*[]*job{&e.batch, &e.waiting} {
--- a/internal/standin/enginemodel/fault_test.go
+++ b/internal/standin/enginemodel/fault_test.go
@@ -10,9 +10,9 @@
 	"basilrudder/internal/monotime"
 )
 
-// The engine crashes in the middle of an answer and comes back. The run is
-// recorded as crashed; the restarted process has forgotten the id and would
-// take it again, which is why callers must never re-send it.
+// An engine crashes in the middle of an answer and restarts. The run is recorded as
+// crashed. The restarted engine has no record of the id and accepts it again, which is
+// why callers must never re-send it.
 func TestCrashForgetsEverything(t *testing.T) {
 	e := New(testConfig(), 1)
 	submit(t, e, 0, Job{ID: "a", OutputTokens: 100})
@@ -44,9 +44,9 @@
 	}
 }
 
-// The connection goes silent after two tokens: the run goes on, nothing
-// arrives. A new connection asks for the rest from the offset and gets each
-// missing token exactly once.
+// A connection becomes unresponsive after two tokens while the run continues. A new
+// connection requests the rest from the offset and must get each missing token exactly
+// once.
 func TestAttachAfterSilenceGivesTheExactRest(t *testing.T) {
 	e := New(testConfig(), 1)
 	submit(t, e, 0, Job{ID: "a", OutputTokens: 6})
--- a/internal/standin/enginemodel/holding.go
+++ b/internal/standin/enginemodel/holding.go
@@ -11,18 +11,19 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// WeightStore models a store from which engines load models: it serves a few
-// loads at once and the others wait. It is safe for concurrent use.
+// WeightStore simulates a store from which engines load models. It serves a limited
+// number of loads concurrently; further loads wait. It is safe for concurrent use.
 type WeightStore struct {
 	mu       sync.Mutex
 	loadTime time.Duration
-	freeAt   []monotime.Instant // when each becomes free
-	pending  []monotime.Instant // ends of the loads under way
+	freeAt   []monotime.Instant // when each load slot becomes free
+	pending  []monotime.Instant // ends of the loads in progress or waiting
 	peak     int
 	loads    int
 }
 
-// NewWeightStore returns a store that serves atOnce loads of loadTime each.
+// NewWeightStore returns a store that serves up to concurrency loads at a time, each
+// taking loadTime.
 func NewWeightStore(concurrency int, loadTime time.Duration) *WeightStore {
 	return &WeightStore{loadTime: loadTime, freeAt: make([]monotime.Instant, max(concurrency, 1))}
 }
@@ -46,7 +47,7 @@
 	return end
 }
 
-// Peak returns the most loads that were under way at once.
+// Peak returns the maximum number of loads that were in progress or waiting at once.
 func (s *WeightStore) Peak() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,8 +61,7 @@
 	return s.loads
 }
 
-// Holding models which models and which role an engine holds, and how it takes
-// orders.
+// Holding simulates the models and the role of an engine, and how orders change them.
 type Holding struct {
 	checksFencing bool
 	store         *WeightStore
@@ -77,8 +77,8 @@
 	ends  monotime.Instant
 }
 
-// NewHolding returns an engine's holding at its start. A nil store loads at
-// once.
+// NewHolding returns the state of an engine at its start. With a nil store, loads end
+// immediately.
 func NewHolding(checksFencing bool, store *WeightStore, models []string, role string) *Holding {
 	return &Holding{
 		checksFencing: checksFencing,
@@ -89,8 +89,8 @@
 	}
 }
 
-// Order takes an order or, on an engine that checks fencing, refuses an old
-// one.
+// Order applies an order. An engine that checks fencing rejects an order with a fencing
+// number below the highest applied one.
 func (h *Holding) Order(now monotime.Instant, order engineapi.Order) engineapi.OrderAnswer {
 	h.finishLoads(now)
 	if h.checksFencing {
@@ -122,8 +122,9 @@
 	return slices.ContainsFunc(h.loading, func(l load) bool { return l.model == model })
 }
 
-// finishLoads ends loads. What is no longer wanted goes once nothing loads, so that
-// the old version serves until the new one can.
+// finishLoads adds the models whose loads have ended. Models that are no longer desired
+// are removed only when no load is in progress: the old version serves until the new
+// one is ready.
 func (h *Holding) finishLoads(now monotime.Instant) {
 	h.loading = slices.DeleteFunc(h.loading, func(l load) bool {
 		done := l.ends <= now
@@ -137,7 +138,7 @@
 	}
 }
 
-// Report returns what the engine holds.
+// Report returns the loaded and loading models, the role and the fencing number.
 func (h *Holding) Report(now monotime.Instant) engineapi.OrderAnswer {
 	h.finishLoads(now)
 	return h.report(true)
@@ -158,7 +159,7 @@
 	return answer
 }
 
-// Holds reports whether a model, with or without its version, can be served.
+// Holds reports whether a model, named with or without its version, is loaded.
 func (h *Holding) Holds(now monotime.Instant, model string) bool {
 	h.finishLoads(now)
 	return slices.ContainsFunc(h.models, func(held string) bool {
@@ -167,12 +168,12 @@
 	})
 }
 
-// Withdrawn reports whether new work is refused.
+// Withdrawn reports whether the engine refuses new work because of its role.
 func (h *Holding) Withdrawn() bool {
 	return h.role == enginehttp.RoleWithdrawn
 }
 
-// Restart is the loss of everything that was loaded, and of the fencing number.
+// Restart drops all models, all loads in progress and the fencing number.
 func (h *Holding) Restart() {
 	h.fence = 0
 	h.models = nil
--- a/internal/standin/enginemodel/job.go
+++ b/internal/standin/enginemodel/job.go
@@ -4,9 +4,9 @@
 
 // Job is a request to generate.
 type Job struct {
-	// ID of the request; an engine refuses an id that it knows.
+	// ID of the request; an engine refuses the id of a run that it still keeps.
 	ID string
-	// Ref comes back in every Token, so that the caller needs no look-up.
+	// Ref is copied to every Token, which saves the caller a look-up by ID.
 	Ref uint64
 	// Priority orders the waiting jobs; 0 is the highest.
 	Priority int
@@ -16,12 +16,13 @@
 	OutputTokens int
 	// Prefix key of the prompt; 0 for none.
 	Prefix uint64
-	// PrefixTokens are those of the prompt under Prefix; 0 for the configured
+	// PrefixTokens is the number of prompt tokens in the prefix; 0 for the configured
 	// share.
 	PrefixTokens int
 }
 
-// Token is one generated token. At is the end of the step that made it.
+// Token is one generated token. At is the end of the step that generated it, or the time
+// of the call for a token that Attach returns.
 type Token struct {
 	ID     string
 	Ref    uint64
@@ -30,20 +31,20 @@
 	Done   bool
 }
 
-// Refusal is why Submit or Attach did not take a request.
+// Refusal is the reason why Submit or Attach refused a request.
 type Refusal uint8
 
 // Refusals.
 const (
-	// Duplicate means that the id is known: the request ran or is running.
+	// Duplicate means that a run of the id is in progress or ended recently.
 	Duplicate Refusal = iota + 1
-	// Full means that no slot and no place in the queue is free.
+	// Full means that all slots and all places in the queue are taken.
 	Full
-	// Refusing means that the engine takes no work.
+	// Refusing means that the engine accepts no new requests.
 	Refusing
 	// Down means that the engine has crashed.
 	Down
-	// Unknown means that no run of the id is known.
+	// Unknown means that the engine has no run of the id that can be resumed.
 	Unknown
 )
 
@@ -63,9 +64,9 @@
 	StillRunning End = iota
 	// Completed means that every token was generated.
 	Completed
-	// Cancelled means that somebody cancelled the run.
+	// Cancelled means that Cancel ended the run.
 	Cancelled
-	// Abandoned means that the run had no connection for too long.
+	// Abandoned means that the run had no connection for Config.Linger.
 	Abandoned
 	// Crashed means that the engine crashed.
 	Crashed
@@ -74,7 +75,7 @@
 // Run records one accepted request. Two runs of one id are two executions.
 type Run struct {
 	ID string
-	// Accepted is when the engine took the request.
+	// Accepted is when the engine accepted the request.
 	Accepted monotime.Instant
 	// FirstToken is when the first token was generated; 0 before.
 	FirstToken monotime.Instant
@@ -82,7 +83,7 @@
 	Ended monotime.Instant
 	// Priority of the job.
 	Priority int
-	// PromptTokens of the job, of which CachedTokens cost nothing.
+	// PromptTokens of the job, of which CachedTokens were cached and need no prefill.
 	PromptTokens, CachedTokens int
 	// Tokens generated.
 	Tokens int
@@ -90,7 +91,7 @@
 	End End
 }
 
-// job is a known run.
+// job is a run that is in progress or was kept after its end.
 type job struct {
 	Job
 	seq             uint64
--- a/internal/standin/enginemodel/load.go
+++ b/internal/standin/enginemodel/load.go
@@ -8,12 +8,15 @@
 )
 
 const (
+	// loadSamples is the size of the ring of samples. Below samplesPerLag the ring does
+	// not reach back a whole lag, and Load reports an idle engine.
 	loadSamples = 64
-	// samplesPerLag keeps the ring long enough to reach back a whole lag.
+	// samplesPerLag is the number of regular samples per LoadLag. Above loadSamples the
+	// ring does not reach back a whole lag; a small number makes reports older.
 	samplesPerLag = 32
 )
 
-// loadHistory remembers what the engine looked like a while ago.
+// loadHistory holds recent samples of the engine's load.
 type loadHistory struct {
 	interval time.Duration
 	samples  [loadSamples]loadSample
@@ -27,8 +30,8 @@
 	cacheUsed        float64
 }
 
-// add records a sample unless the last one is recent. A change to idle is
-// always recorded, since no step follows it.
+// add records a sample unless the last one is younger than the interval. A change to or
+// from idle is always recorded: no step follows a change to idle.
 func (h *loadHistory) add(s loadSample) {
 	if h.count > 0 {
 		last := &h.samples[(h.count-1)%loadSamples]
@@ -42,8 +45,8 @@
 	h.count++
 }
 
-// asOf returns the newest sample that is not newer than the instant, and the
-// sample before it.
+// asOf returns the newest sample taken at or before the instant, and the sample before
+// it. Both are zero when the ring has none that old.
 func (h *loadHistory) asOf(at monotime.Instant) (sample, previous loadSample) {
 	oldest := max(h.count-loadSamples, 0)
 	for i := h.count - 1; i >= oldest; i-- {
@@ -59,7 +62,7 @@
 	return loadSample{}, loadSample{}
 }
 
-// Load returns a report that is LoadLag old.
+// Load returns the load as it was Config.LoadLag ago.
 func (e *Engine) Load(now monotime.Instant) engineapi.LoadReport {
 	e.advanceTo(now)
 	sample, previous := e.history.asOf(now.Add(-e.cfg.LoadLag))
--- a/internal/standin/enginemodel/step.go
+++ b/internal/standin/enginemodel/step.go
@@ -8,7 +8,7 @@
 	"basilrudder/internal/monotime"
 )
 
-// advanceTo finishes every step that ends up to now.
+// advanceTo finishes every step that ends at or before now and prunes ended runs.
 func (e *Engine) advanceTo(now monotime.Instant) {
 	for e.stepping && !e.stalled && e.stepEnd <= now {
 		e.finishStep()
@@ -16,7 +16,7 @@
 	e.pruneEnded(now)
 }
 
-// startStep fills the batch and begins a step, unless one goes on.
+// startStep fills the batch and starts a step, unless one is in progress.
 func (e *Engine) startStep(now monotime.Instant) {
 	if e.stepping {
 		return
@@ -51,8 +51,9 @@
 	e.sampleLoad(now)
 }
 
-// pauseFor pauses the last running job of a lower priority than j. It leaves
-// the batch here and joins the queue in requeuePaused.
+// pauseFor pauses the running job that is last by priority and arrival, if its priority
+// is lower than j's, and returns whether it did. The paused job leaves the batch here;
+// requeuePaused adds it to the queue.
 func (e *Engine) pauseFor(j *job) bool {
 	if !e.cfg.Preempt {
 		return false
@@ -86,8 +87,8 @@
 	e.waiting = slices.Insert(e.waiting, at, j)
 }
 
-// planPrefill shares the step's prompt tokens among the jobs that have not
-// finished their prompt, highest priority first, and returns their sum.
+// planPrefill distributes the step's PrefillChunk to the jobs with prompt tokens left,
+// highest priority first, and returns the number of tokens assigned.
 func (e *Engine) planPrefill() int {
 	budget := e.cfg.PrefillChunk
 	for budget > 0 {
@@ -114,7 +115,7 @@
 	return next
 }
 
-// finishStep gives each job of the batch its token and starts the next step.
+// finishStep applies the step to each job of the batch and starts the next step.
 func (e *Engine) finishStep() {
 	now := e.stepEnd
 	e.stepping = false
@@ -133,7 +134,8 @@
 	e.sampleLoad(now)
 }
 
-// stepJob returns whether the job has ended.
+// stepJob processes the job's prompt tokens of the step and, once none is left, generates
+// one token. It returns whether the job has ended.
 func (e *Engine) stepJob(now monotime.Instant, j *job) bool {
 	if j.prefillLeft > 0 {
 		j.prefillLeft -= j.prefillThisStep
@@ -161,7 +163,7 @@
 	return done
 }
 
-// end records the end of a run that has left the batch and the queue.
+// end records the end of a run. The caller removes the job from the batch or the queue.
 func (e *Engine) end(now monotime.Instant, j *job, end End) {
 	run := &e.runs[j.runIndex]
 	run.Ended = now
@@ -177,7 +179,7 @@
 	e.ended = append(e.ended, j)
 }
 
-// remove takes a job out of the batch or the queue.
+// remove removes a job from the batch or the queue.
 func (e *Engine) remove(j *job) {
 	if j.running {
 		e.batch = deleteJob(e.batch, j)
@@ -191,7 +193,7 @@
 	return slices.Delete(jobs, at, at+1)
 }
 
-// pruneEnded drops the ended runs whose time is over.
+// pruneEnded drops the runs that ended Config.KeepEnded ago or earlier.
 func (e *Engine) pruneEnded(now monotime.Instant) {
 	count := 0
 	for count < len(e.ended) && e.ended[count].forgetAt <= now {
