--- a/internal/standin/enginemodel/holding.go
+++ b/internal/standin/enginemodel/holding.go
@@ -11,34 +11,35 @@
 	"basilrudder/internal/schema/engineapi"
 )
 
-// WeightStore models a store from which engines load models: it serves a few
-// loads at once and the others wait. It is safe for concurrent use.
+// WeightStore simulates a store from which engines load models. It serves a limited
+// number of loads concurrently; further loads wait. It is safe for concurrent use.
 type WeightStore struct {
 	mu       sync.Mutex
 	loadTime time.Duration
-	lanes    []monotime.Instant // when each becomes free
-	pending  []monotime.Instant // ends of the loads under way
+	freeAt   []monotime.Instant // when each load slot becomes free
+	pending  []monotime.Instant // ends of the loads in progress or waiting
 	peak     int
 	loads    int
 }
 
-// NewWeightStore returns a store that serves atOnce loads of loadTime each.
-func NewWeightStore(atOnce int, loadTime time.Duration) *WeightStore {
-	return &WeightStore{loadTime: loadTime, lanes: make([]monotime.Instant, max(atOnce, 1))}
+// NewWeightStore returns a store that serves up to concurrency loads at a time, each
+// taking loadTime.
+func NewWeightStore(concurrency int, loadTime time.Duration) *WeightStore {
+	return &WeightStore{loadTime: loadTime, freeAt: make([]monotime.Instant, max(concurrency, 1))}
 }
 
 // Begin starts a load and returns when it ends.
 func (s *WeightStore) Begin(now monotime.Instant) monotime.Instant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lane := 0
-	for i, free := range s.lanes {
-		if free < s.lanes[lane] {
-			lane = i
+	earliest := 0
+	for i, free := range s.freeAt {
+		if free < s.freeAt[earliest] {
+			earliest = i
 		}
 	}
-	end := max(now, s.lanes[lane]).Add(s.loadTime)
-	s.lanes[lane] = end
+	end := max(now, s.freeAt[earliest]).Add(s.loadTime)
+	s.freeAt[earliest] = end
 	s.pending = slices.DeleteFunc(s.pending, func(at monotime.Instant) bool { return at <= now })
 	s.pending = append(s.pending, end)
 	s.peak = max(s.peak, len(s.pending))
@@ -46,7 +47,7 @@
 	return end
 }
 
-// Peak returns the most loads that were under way at once.
+// Peak returns the maximum number of loads that were in progress or waiting at once.
 func (s *WeightStore) Peak() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,14 +61,13 @@
 	return s.loads
 }
 
-// Holding models which models and which role an engine holds, and how it takes
-// orders.
+// Holding simulates the models and the role of an engine, and how orders change them.
 type Holding struct {
 	checksFencing bool
 	store         *WeightStore
 	fence         int
 	models        []string
-	wanted        []string
+	desired       []string
 	loading       []load
 	role          string
 }
@@ -77,22 +77,22 @@
 	ends  monotime.Instant
 }
 
-// NewHolding returns an engine's holding at its start. A nil store loads at
-// once.
+// NewHolding returns the state of an engine at its start. With a nil store, loads end
+// immediately.
 func NewHolding(checksFencing bool, store *WeightStore, models []string, role string) *Holding {
 	return &Holding{
 		checksFencing: checksFencing,
 		store:         store,
 		models:        slices.Clone(models),
-		wanted:        slices.Clone(models),
+		desired:       slices.Clone(models),
 		role:          role,
 	}
 }
 
-// Order takes an order or, on an engine that checks fencing, refuses an old
-// one.
+// Order applies an order. An engine that checks fencing rejects an order with a fencing
+// number below the highest applied one.
 func (h *Holding) Order(now monotime.Instant, order engineapi.Order) engineapi.OrderAnswer {
-	h.settle(now)
+	h.finishLoads(now)
 	if h.checksFencing {
 		if order.Fence < h.fence {
 			return h.report(false)
@@ -100,14 +100,14 @@
 		h.fence = order.Fence
 	}
 	h.role = order.Role
-	h.wanted = slices.Clone(order.Models)
-	h.loading = slices.DeleteFunc(h.loading, func(l load) bool { return !slices.Contains(h.wanted, l.model) })
-	for _, model := range h.wanted {
+	h.desired = slices.Clone(order.Models)
+	h.loading = slices.DeleteFunc(h.loading, func(l load) bool { return !slices.Contains(h.desired, l.model) })
+	for _, model := range h.desired {
 		if !slices.Contains(h.models, model) && !h.isLoading(model) {
 			h.loading = append(h.loading, load{model: model, ends: h.loadEnd(now)})
 		}
 	}
-	h.settle(now)
+	h.finishLoads(now)
 	return h.report(true)
 }
 
@@ -122,9 +122,10 @@
 	return slices.ContainsFunc(h.loading, func(l load) bool { return l.model == model })
 }
 
-// settle ends loads. What is no longer wanted goes once nothing loads, so that
-// the old version serves until the new one can.
-func (h *Holding) settle(now monotime.Instant) {
+// finishLoads adds the models whose loads have ended. Models that are no longer desired
+// are removed only when no load is in progress: the old version serves until the new
+// one is ready.
+func (h *Holding) finishLoads(now monotime.Instant) {
 	h.loading = slices.DeleteFunc(h.loading, func(l load) bool {
 		done := l.ends <= now
 		if done {
@@ -133,13 +134,13 @@
 		return done
 	})
 	if len(h.loading) == 0 {
-		h.models = slices.DeleteFunc(h.models, func(m string) bool { return !slices.Contains(h.wanted, m) })
+		h.models = slices.DeleteFunc(h.models, func(m string) bool { return !slices.Contains(h.desired, m) })
 	}
 }
 
-// Report returns what the engine holds.
+// Report returns the loaded and loading models, the role and the fencing number.
 func (h *Holding) Report(now monotime.Instant) engineapi.OrderAnswer {
-	h.settle(now)
+	h.finishLoads(now)
 	return h.report(true)
 }
 
@@ -158,24 +159,24 @@
 	return answer
 }
 
-// Holds reports whether a model, with or without its version, can be served.
+// Holds reports whether a model, named with or without its version, is loaded.
 func (h *Holding) Holds(now monotime.Instant, model string) bool {
-	h.settle(now)
+	h.finishLoads(now)
 	return slices.ContainsFunc(h.models, func(held string) bool {
 		name, _, _ := strings.Cut(held, "@")
 		return held == model || name == model
 	})
 }
 
-// Withdrawn reports whether new work is refused.
+// Withdrawn reports whether the engine refuses new work because of its role.
 func (h *Holding) Withdrawn() bool {
 	return h.role == enginehttp.RoleWithdrawn
 }
 
-// Restart is the loss of everything that was loaded, and of the fencing number.
+// Restart drops all models, all loads in progress and the fencing number.
 func (h *Holding) Restart() {
 	h.fence = 0
 	h.models = nil
-	h.wanted = nil
+	h.desired = nil
 	h.loading = nil
 }
--- a/internal/standin/enginemodel/step.go
+++ b/internal/standin/enginemodel/step.go
@@ -8,15 +8,15 @@
 	"basilrudder/internal/monotime"
 )
 
-// run finishes every step that ends up to now.
-func (e *Engine) run(now monotime.Instant) {
+// advanceTo finishes every step that ends at or before now and prunes ended runs.
+func (e *Engine) advanceTo(now monotime.Instant) {
 	for e.stepping && !e.stalled && e.stepEnd <= now {
 		e.finishStep()
 	}
-	e.forget(now)
+	e.pruneEnded(now)
 }
 
-// startStep fills the batch and begins a step, unless one goes on.
+// startStep fills the batch and starts a step, unless one is in progress.
 func (e *Engine) startStep(now monotime.Instant) {
 	if e.stepping {
 		return
@@ -51,8 +51,9 @@
 	e.sampleLoad(now)
 }
 
-// pauseFor pauses the last running job of a lower priority than j. It leaves
-// the batch here and joins the queue in requeuePaused.
+// pauseFor pauses the running job that is last by priority and arrival, if its priority
+// is lower than j's, and returns whether it did. The paused job leaves the batch here;
+// requeuePaused adds it to the queue.
 func (e *Engine) pauseFor(j *job) bool {
 	if !e.cfg.Preempt {
 		return false
@@ -86,8 +87,8 @@
 	e.waiting = slices.Insert(e.waiting, at, j)
 }
 
-// planPrefill shares the step's prompt tokens among the jobs that have not
-// finished their prompt, highest priority first, and returns their sum.
+// planPrefill distributes the step's PrefillChunk to the jobs with prompt tokens left,
+// highest priority first, and returns the number of tokens assigned.
 func (e *Engine) planPrefill() int {
 	budget := e.cfg.PrefillChunk
 	for budget > 0 {
@@ -95,8 +96,8 @@
 		if next == nil {
 			break
 		}
-		next.prefillNow = min(next.prefillLeft, budget)
-		budget -= next.prefillNow
+		next.prefillThisStep = min(next.prefillLeft, budget)
+		budget -= next.prefillThisStep
 	}
 	return e.cfg.PrefillChunk - budget
 }
@@ -104,7 +105,7 @@
 func (e *Engine) nextToPrefill() *job {
 	var next *job
 	for _, j := range e.batch {
-		if j.prefillLeft == 0 || j.prefillNow > 0 {
+		if j.prefillLeft == 0 || j.prefillThisStep > 0 {
 			continue
 		}
 		if next == nil || j.before(next) {
@@ -114,7 +115,7 @@
 	return next
 }
 
-// finishStep gives each job of the batch its token and starts the next step.
+// finishStep applies the step to each job of the batch and starts the next step.
 func (e *Engine) finishStep() {
 	now := e.stepEnd
 	e.stepping = false
@@ -133,11 +134,12 @@
 	e.sampleLoad(now)
 }
 
-// stepJob returns whether the job has ended.
+// stepJob processes the job's prompt tokens of the step and, once none is left, generates
+// one token. It returns whether the job has ended.
 func (e *Engine) stepJob(now monotime.Instant, j *job) bool {
 	if j.prefillLeft > 0 {
-		j.prefillLeft -= j.prefillNow
-		j.prefillNow = 0
+		j.prefillLeft -= j.prefillThisStep
+		j.prefillThisStep = 0
 		if j.prefillLeft > 0 {
 			return false
 		}
@@ -153,7 +155,7 @@
 		e.pending = append(e.pending, Token{ID: j.ID, Ref: j.Ref, At: now, Offset: offset, Done: done})
 	}
 	if offset == 0 {
-		e.runs[j.run].FirstToken = now
+		e.runs[j.runIndex].FirstToken = now
 	}
 	if done {
 		e.end(now, j, Completed)
@@ -161,9 +163,9 @@
 	return done
 }
 
-// end records the end of a run that has left the batch and the queue.
+// end records the end of a run. The caller removes the job from the batch or the queue.
 func (e *Engine) end(now monotime.Instant, j *job, end End) {
-	run := &e.runs[j.run]
+	run := &e.runs[j.runIndex]
 	run.Ended = now
 	run.End = end
 	run.Tokens = j.generated
@@ -177,7 +179,7 @@
 	e.ended = append(e.ended, j)
 }
 
-// remove takes a job out of the batch or the queue.
+// remove removes a job from the batch or the queue.
 func (e *Engine) remove(j *job) {
 	if j.running {
 		e.batch = deleteJob(e.batch, j)
@@ -191,8 +193,8 @@
 	return slices.Delete(jobs, at, at+1)
 }
 
-// forget drops the ended runs whose time is over.
-func (e *Engine) forget(now monotime.Instant) {
+// pruneEnded drops the runs that ended Config.KeepEnded ago or earlier.
+func (e *Engine) pruneEnded(now monotime.Instant) {
 	count := 0
 	for count < len(e.ended) && e.ended[count].forgetAt <= now {
 		delete(e.jobs, e.ended[count].ID)
