--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -108,7 +108,7 @@
 	if err := e.model.Submit(now, job); err != nil {
 		return nil, err
 	}
-	return e.open(job.ID, conn, nil), nil
+	return e.openStream(job.ID, conn, nil), nil
 }
 
 func (e *Engine) attach(id string, offset int, conn net.Conn) (*stream, error) {
@@ -118,14 +118,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return e.open(id, conn, tokens), nil
+	return e.openStream(id, conn, tokens), nil
 }
 
-// open makes a connection the one that gets the tokens, in place of an older
+// openStream makes a connection the one that gets the tokens, in place of an older
 // one.
-func (e *Engine) open(id string, conn net.Conn, tokens []enginemodel.Token) *stream {
+func (e *Engine) openStream(id string, conn net.Conn, tokens []enginemodel.Token) *stream {
 	if old := e.streams[id]; old != nil {
-		e.drop(old)
+		e.dropStream(old)
 	}
 	s := &stream{
 		id:     id,
@@ -142,16 +142,16 @@
 	return s
 }
 
-// drop ends a stream. Its connection goes first, so that its answer does not
+// dropStream ends a stream. Its connection goes first, so that its answer does not
 // look whole.
-func (e *Engine) drop(s *stream) {
+func (e *Engine) dropStream(s *stream) {
 	_ = s.conn.Close()
 	close(s.gone)
 	delete(e.streams, s.id)
 }
 
-// take moves the tokens of a stream into buf; a silenced one has none.
-func (e *Engine) take(s *stream, buf []enginemodel.Token) []enginemodel.Token {
+// takeTokens moves the tokens of a stream into buf; a silenced one has none.
+func (e *Engine) takeTokens(s *stream, buf []enginemodel.Token) []enginemodel.Token {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	buf = buf[:0]
@@ -168,8 +168,8 @@
 	return s.silent
 }
 
-// closed forgets a stream whose connection ended.
-func (e *Engine) closed(s *stream, whole bool) {
+// streamEnded forgets a stream whose connection ended.
+func (e *Engine) streamEnded(s *stream, whole bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.streams[s.id] != s {
@@ -225,7 +225,7 @@
 	e.model.Crash(monotime.Now())
 	e.holding.Restart()
 	for _, s := range e.streams {
-		e.drop(s)
+		e.dropStream(s)
 	}
 }
 
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -46,11 +46,11 @@
 	case strings.HasPrefix(path, enginehttp.PathStreams) && method == fasthttp.MethodDelete:
 		e.cancel(ctx, streamID(path))
 	case path == enginehttp.PathLoad:
-		answer(ctx, e.load())
+		writeJSON(ctx, e.load())
 	case path == enginehttp.PathCacheEvents:
-		answer(ctx, e.cacheEvents(ctx.QueryArgs().GetUintOrZero(enginehttp.QueryAfter)))
+		writeJSON(ctx, e.cacheEvents(ctx.QueryArgs().GetUintOrZero(enginehttp.QueryAfter)))
 	case path == enginehttp.PathOrders && method == fasthttp.MethodGet:
-		answer(ctx, e.Holds())
+		writeJSON(ctx, e.Holds())
 	case path == enginehttp.PathOrders && method == fasthttp.MethodPost:
 		e.order(ctx)
 	default:
@@ -137,8 +137,8 @@
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) { s.writeStream(w, e, st) })
 }
 
-// comment is an event stream's sign of life.
-const comment = ":\n\n"
+// heartbeatComment is an event stream's sign of life.
+const heartbeatComment = ":\n\n"
 
 func (s *Server) writeStream(w *bufio.Writer, e *Engine, st *stream) {
 	writer := eventWriter{w: w, tag: textTag(st.id)}
@@ -149,7 +149,7 @@
 	for err == nil && !writer.done {
 		select {
 		case <-st.wake:
-			tokens = e.take(st, tokens)
+			tokens = e.takeTokens(st, tokens)
 			err = writer.tokens(tokens)
 		case <-heartbeat.C:
 			if !e.isSilent(st) {
@@ -161,7 +161,7 @@
 			return
 		}
 	}
-	e.closed(st, writer.done)
+	e.streamEnded(st, writer.done)
 }
 
 // newHeartbeat returns a ticker that never fires for a negative interval.
@@ -182,7 +182,7 @@
 }
 
 func (w *eventWriter) comment() error {
-	if _, err := w.w.WriteString(comment); err != nil {
+	if _, err := w.w.WriteString(heartbeatComment); err != nil {
 		return err
 	}
 	return w.w.Flush()
@@ -227,7 +227,7 @@
 		return
 	}
 	if st := e.streams[id]; st != nil {
-		e.drop(st)
+		e.dropStream(st)
 	}
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
@@ -256,7 +256,7 @@
 	if !result.Accepted {
 		ctx.SetStatusCode(fasthttp.StatusConflict)
 	}
-	answer(ctx, result)
+	writeJSON(ctx, result)
 }
 
 // refuse says that the request was not started.
@@ -267,7 +267,7 @@
 	ctx.SetBodyString(message)
 }
 
-func answer(ctx *fasthttp.RequestCtx, body any) {
+func writeJSON(ctx *fasthttp.RequestCtx, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		ctx.SetStatusCode(fasthttp.StatusInternalServerError)
--- a/internal/standin/faultnet/server.go
+++ b/internal/standin/faultnet/server.go
@@ -28,16 +28,16 @@
 			Handler:               handler,
 			MaxRequestBodySize:    bodyLimit,
 			NoDefaultServerHeader: true,
-			Logger:                quiet{},
+			Logger:                discardLogger{},
 		},
 		stop: make(chan struct{}),
 	}
 }
 
-// quiet drops what fasthttp logs: connections that tests break.
-type quiet struct{}
+// discardLogger drops what fasthttp logs: connections that tests break.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Serve answers requests until Close or until the listener fails.
 func (s *Server) Serve(ln net.Listener) error {
@@ -62,7 +62,7 @@
 		return
 	}
 	close(s.stop)
-	s.each(func(ln *Listener) { _ = ln.Close() })
+	s.forEachListener(func(ln *Listener) { _ = ln.Close() })
 	s.Cut()
 }
 
@@ -73,27 +73,27 @@
 
 // SetRefusing resets new connections at once, or accepts them again.
 func (s *Server) SetRefusing(refusing bool) {
-	s.each(func(ln *Listener) { ln.SetRefusing(refusing) })
+	s.forEachListener(func(ln *Listener) { ln.SetRefusing(refusing) })
 }
 
 // Silence makes the open connections carry nothing more; new ones work.
 func (s *Server) Silence() {
-	s.each((*Listener).Silence)
+	s.forEachListener((*Listener).Silence)
 }
 
 // Cut resets the open connections.
 func (s *Server) Cut() {
-	s.each((*Listener).Cut)
+	s.forEachListener((*Listener).Cut)
 }
 
 // Accepted returns how many connections were accepted.
 func (s *Server) Accepted() int {
 	total := 0
-	s.each(func(ln *Listener) { total += ln.Accepted() })
+	s.forEachListener(func(ln *Listener) { total += ln.Accepted() })
 	return total
 }
 
-func (s *Server) each(do func(*Listener)) {
+func (s *Server) forEachListener(do func(*Listener)) {
 	s.mu.Lock()
 	listeners := append([]*Listener(nil), s.listeners...)
 	s.mu.Unlock()
--- a/internal/standin/narrownet/conn.go
+++ b/internal/standin/narrownet/conn.go
@@ -29,8 +29,8 @@
 	return &stream{up: up, down: down, changed: make(chan struct{})}
 }
 
-// change wakes those who wait; mu is held.
-func (s *stream) change() {
+// notifyChange wakes those who wait; mu is held.
+func (s *stream) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -39,14 +39,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.change()
+	s.notifyChange()
 }
 
 func (s *stream) abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abandoned = true
-	s.change()
+	s.notifyChange()
 }
 
 // put takes what there is room for; wait is closed when there may be more.
@@ -60,10 +60,10 @@
 	if n <= 0 {
 		return 0, s.changed, nil
 	}
-	left := s.up.pass(time.Now(), n)
-	s.parts = append(s.parts, part{at: s.down.pass(left.Add(delay), n), data: append([]byte(nil), p[:n]...)})
+	left := s.up.transmit(time.Now(), n)
+	s.parts = append(s.parts, part{at: s.down.transmit(left.Add(propagationDelay), n), data: append([]byte(nil), p[:n]...)})
 	s.buffered += n
-	s.change()
+	s.notifyChange()
 	return n, nil, nil
 }
 
@@ -90,7 +90,7 @@
 		s.parts = s.parts[1:]
 	}
 	s.buffered -= n
-	s.change()
+	s.notifyChange()
 	return n, until, nil, nil
 }
 
@@ -135,22 +135,22 @@
 }
 
 // await waits for a change, for an instant, or for a deadline, which is an error.
-func (c *conn) await(change <-chan struct{}, until time.Time, deadline *time.Time, moved *chan struct{}) error {
+func (c *conn) await(change <-chan struct{}, until time.Time, deadline *time.Time, deadlineChange *chan struct{}) error {
 	c.mu.Lock()
 	limit := *deadline
-	if *moved == nil {
-		*moved = make(chan struct{})
+	if *deadlineChange == nil {
+		*deadlineChange = make(chan struct{})
 	}
-	again := *moved
+	deadlineMoved := *deadlineChange
 	c.mu.Unlock()
-	late := !limit.IsZero() && (until.IsZero() || limit.Before(until))
-	if late {
+	deadlineFirst := !limit.IsZero() && (until.IsZero() || limit.Before(until))
+	if deadlineFirst {
 		until = limit
 	}
 	if until.IsZero() {
 		select {
 		case <-change:
-		case <-again:
+		case <-deadlineMoved:
 		}
 		return nil
 	}
@@ -158,9 +158,9 @@
 	defer timer.Stop()
 	select {
 	case <-change:
-	case <-again:
+	case <-deadlineMoved:
 	case <-timer.C:
-		if late {
+		if deadlineFirst {
 			return os.ErrDeadlineExceeded
 		}
 	}
@@ -182,29 +182,29 @@
 
 // SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
-	c.move(t, &c.readUntil, &c.readChange)
-	c.move(t, &c.writeUntil, &c.writeChange)
+	c.setDeadline(t, &c.readUntil, &c.readChange)
+	c.setDeadline(t, &c.writeUntil, &c.writeChange)
 	return nil
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.move(t, &c.readUntil, &c.readChange)
+	c.setDeadline(t, &c.readUntil, &c.readChange)
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
-	c.move(t, &c.writeUntil, &c.writeChange)
+	c.setDeadline(t, &c.writeUntil, &c.writeChange)
 	return nil
 }
 
-func (c *conn) move(t time.Time, deadline *time.Time, moved *chan struct{}) {
+func (c *conn) setDeadline(t time.Time, deadline *time.Time, deadlineChange *chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*deadline = t
-	if *moved != nil {
-		close(*moved)
-		*moved = nil
+	if *deadlineChange != nil {
+		close(*deadlineChange)
+		*deadlineChange = nil
 	}
 }
--- a/internal/standin/narrownet/narrownet.go
+++ b/internal/standin/narrownet/narrownet.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// delay is how long a byte is on its way from one idle link to another.
-	delay = time.Millisecond
+	// propagationDelay is how long a byte is on its way from one idle link to another.
+	propagationDelay = time.Millisecond
 	// window is what a connection holds that was not read, in bytes.
 	window = 64 << 10
 	// segment is the most that takes a link at once, in bytes.
@@ -63,22 +63,22 @@
 	rate float64
 
 	mu    sync.Mutex
-	free  time.Time
+	freeAt  time.Time
 	bytes int64
 }
 
-// pass returns when bytes that are at the link at an instant have passed it.
-func (d *direction) pass(at time.Time, bytes int) time.Time {
+// transmit returns when bytes that are at the link at an instant have passed it.
+func (d *direction) transmit(at time.Time, bytes int) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.free.Before(at) {
-		d.free = at
+	if d.freeAt.Before(at) {
+		d.freeAt = at
 	}
 	if d.rate > 0 {
-		d.free = d.free.Add(time.Duration(float64(bytes) / d.rate * float64(time.Second)))
+		d.freeAt = d.freeAt.Add(time.Duration(float64(bytes) / d.rate * float64(time.Second)))
 	}
 	d.bytes += int64(bytes)
-	return d.free
+	return d.freeAt
 }
 
 func (d *direction) total() int64 {
