--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -14,31 +14,31 @@
 	"basilrudder/internal/standin/enginemodel"
 )
 
-// FinishStop is the finish reason of a whole answer.
+// FinishStop is the finish reason of a complete answer.
 const FinishStop = "stop"
 
 // Engine is one engine of a Server.
 type Engine struct {
 	name string
-	// servesAny says that no model was configured.
+	// servesAny is true if no models were configured: the engine then serves every model.
 	servesAny bool
 	wake      chan struct{}
 
 	mu      sync.Mutex
-	changed *sync.Cond // on mu, after every change of a run
+	changed *sync.Cond // uses mu; broadcast after changes to runs
 	model   *enginemodel.Engine
 	holding *enginemodel.Holding
 	streams map[string]*stream
 }
 
-// stream is one connection to a run.
+// stream is a connection that receives the tokens of a run.
 type stream struct {
 	id     string
 	conn   net.Conn
 	wake   chan struct{}
-	gone   chan struct{}       // closed when the engine has dropped the stream
-	tokens []enginemodel.Token // under Engine.mu
-	silent bool                // under Engine.mu
+	gone   chan struct{}       // closed by dropStream
+	tokens []enginemodel.Token // guarded by Engine.mu
+	silent bool                // guarded by Engine.mu
 }
 
 func newEngine(cfg EngineConfig, server Config, seed uint64) *Engine {
@@ -69,10 +69,10 @@
 	}
 }
 
-// idleWait is how long an idle engine sleeps unless it is woken.
+// idleWait is how long an idle engine sleeps. Submitted requests wake it earlier.
 const idleWait = time.Hour
 
-// advance hands out tokens and returns the time to the next ones.
+// advance passes generated tokens to their streams and returns the time until the next event.
 func (e *Engine) advance() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,8 +121,8 @@
 	return e.openStream(id, conn, tokens), nil
 }
 
-// openStream makes a connection the one that gets the tokens, in place of an older
-// one.
+// openStream makes conn the receiver of a run's tokens and drops an earlier stream of the
+// run. The caller holds mu.
 func (e *Engine) openStream(id string, conn net.Conn, tokens []enginemodel.Token) *stream {
 	if old := e.streams[id]; old != nil {
 		e.dropStream(old)
@@ -142,15 +142,16 @@
 	return s
 }
 
-// dropStream ends a stream. Its connection goes first, so that its answer does not
-// look whole.
+// dropStream ends a stream. It closes the connection first: otherwise the handler could end
+// the response properly, and the truncated answer would look complete. The caller holds mu.
 func (e *Engine) dropStream(s *stream) {
 	_ = s.conn.Close()
 	close(s.gone)
 	delete(e.streams, s.id)
 }
 
-// takeTokens moves the tokens of a stream into buf; a silenced one has none.
+// takeTokens moves the pending tokens of a stream into buf. Those of a silenced stream are
+// discarded.
 func (e *Engine) takeTokens(s *stream, buf []enginemodel.Token) []enginemodel.Token {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,7 +169,8 @@
 	return s.silent
 }
 
-// streamEnded forgets a stream whose connection ended.
+// streamEnded removes a stream whose connection ended. Unless its answer was complete, the
+// run is detached.
 func (e *Engine) streamEnded(s *stream, whole bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,15 +183,14 @@
 	}
 }
 
-// Runs returns a record of every request that the engine accepted.
+// Runs returns the record of every request that the engine accepted.
 func (e *Engine) Runs() []enginemodel.Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.model.Runs())
 }
 
-// WaitForRun returns the first run that satisfies the condition, once there is
-// one.
+// WaitForRun blocks until a run satisfies the condition and returns the first such run.
 func (e *Engine) WaitForRun(want func(enginemodel.Run) bool) enginemodel.Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -202,22 +203,22 @@
 	}
 }
 
-// Counts returns the true state of the engine.
+// Counts returns the actual counts of the engine.
 func (e *Engine) Counts() enginemodel.Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.model.Counts()
 }
 
-// Holds returns what the engine holds.
+// Holds returns the report of the models and role that the engine holds.
 func (e *Engine) Holds() engineapi.OrderAnswer {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.holding.Report(monotime.Now())
 }
 
-// Crash loses every run, every model and every connection of the engine. It
-// refuses requests until Restart.
+// Crash drops every run, model and connection of the engine. The engine refuses requests
+// until Restart.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -229,28 +230,28 @@
 	}
 }
 
-// Restart brings a crashed engine back, without models and request ids.
+// Restart restarts a crashed engine, without its models and request ids.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.Restart()
 }
 
-// SetSlowdown makes the engine a straggler; 1 makes it normal again.
+// SetSlowdown makes the engine slower by the factor (a straggler); 1 is its normal speed.
 func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.SetSlowdown(factor)
 }
 
-// SetRefusing makes the engine refuse new requests, or take them again.
+// SetRefusing sets whether the engine refuses new requests.
 func (e *Engine) SetRefusing(refusing bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.model.SetRefusing(refusing)
 }
 
-// SetStalled stops the engine in the middle of a step, or lets it go on.
+// SetStalled stops the engine in the middle of a step, or resumes it.
 func (e *Engine) SetStalled(stalled bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -258,8 +259,8 @@
 	notify(e.wake)
 }
 
-// SilenceStream makes the connection of one request carry nothing more. The
-// run goes on and can be resumed over a new connection.
+// SilenceStream stops all data on the connection of one request. The run continues and
+// can be resumed over a new connection.
 func (e *Engine) SilenceStream(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -269,7 +270,7 @@
 	}
 }
 
-// SilenceStreams does what SilenceStream does to every open connection.
+// SilenceStreams silences every open stream as SilenceStream does.
 func (e *Engine) SilenceStreams() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -279,8 +280,8 @@
 	}
 }
 
-// TokenText returns the text of a token of the answer to a request, so that a
-// receiver can tell whether it got its own answer, whole and in order.
+// TokenText returns the text of the token at offset in the answer to a request. Receivers
+// compare it to check that they got their own answer, complete and in order.
 func TokenText(requestID string, offset int) string {
 	return string(appendText(nil, textTag(requestID), offset))
 }
--- a/internal/standin/engine/handler.go
+++ b/internal/standin/engine/handler.go
@@ -23,7 +23,7 @@
 	bytesPerToken       = 4
 )
 
-// generateBody is what the stand-in reads of a chat-completions request.
+// generateBody holds the fields of a chat-completions request that the stand-in uses.
 type generateBody struct {
 	Model        string `json:"model"`
 	MaxTokens    int    `json:"max_tokens"`
@@ -78,7 +78,7 @@
 	case err == nil:
 		s.startStream(ctx, e, st)
 	case errors.As(err, &refusal) && refusal == enginemodel.Duplicate:
-		// The request ran or is running: this must not say "not started".
+		// The request ran or is running, so the response must not carry HeaderNotStarted.
 		ctx.SetStatusCode(fasthttp.StatusConflict)
 		ctx.SetBodyString(err.Error())
 	case refusal == enginemodel.Full:
@@ -114,7 +114,7 @@
 	return job, body.Model, nil
 }
 
-// PrefixKey returns the key under which cache events tell of a prefix.
+// PrefixKey returns the key that identifies a prefix in cache events.
 func PrefixKey(prefix string) uint64 {
 	return xxhash.Sum64String(prefix)
 }
@@ -129,7 +129,7 @@
 	s.startStream(ctx, e, st)
 }
 
-// startStream answers with the tokens of a stream as they come.
+// startStream sends the tokens of a stream to the caller as they are generated.
 func (s *Server) startStream(ctx *fasthttp.RequestCtx, e *Engine, st *stream) {
 	ctx.Response.Header.Set(enginehttp.HeaderStarted, enginehttp.True)
 	ctx.SetContentType(enginehttp.TypeEventStream)
@@ -137,7 +137,7 @@
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) { s.writeStream(w, e, st) })
 }
 
-// heartbeatComment is an event stream's sign of life.
+// heartbeatComment is the event-stream comment that keeps an idle stream alive.
 const heartbeatComment = ":\n\n"
 
 func (s *Server) writeStream(w *bufio.Writer, e *Engine, st *stream) {
@@ -164,7 +164,7 @@
 	e.streamEnded(st, writer.done)
 }
 
-// newHeartbeat returns a ticker that never fires for a negative interval.
+// newHeartbeat returns a ticker for the interval; it never fires if that is not positive.
 func newHeartbeat(every time.Duration) *time.Ticker {
 	if every > 0 {
 		return time.NewTicker(every)
@@ -203,7 +203,7 @@
 	return w.w.Flush()
 }
 
-// appendEvent writes a TokenEvent. Its text needs no escapes.
+// appendEvent appends a TokenEvent in event-stream form. Token texts need no JSON escapes.
 func appendEvent(buf []byte, tag string, offset int, done bool) []byte {
 	buf = append(buf, "id: "...)
 	buf = strconv.AppendInt(buf, int64(offset), 10)
@@ -259,7 +259,7 @@
 	writeJSON(ctx, result)
 }
 
-// refuse says that the request was not started.
+// refuse responds with an error that states that the request was not started.
 func refuse(ctx *fasthttp.RequestCtx, status int, message string) {
 	ctx.SetStatusCode(status)
 	ctx.Response.Header.Set(enginehttp.HeaderNotStarted, enginehttp.True)
--- a/internal/standin/engine/server.go
+++ b/internal/standin/engine/server.go
@@ -1,6 +1,6 @@
-// Package engine is an HTTP stand-in for a server with model engines. It
-// speaks the engine protocol of docs/PROTOCOLS.md, drives one enginemodel per
-// engine in real time, and can be made to fail.
+// Package engine is an HTTP stand-in for a server with model engines. It implements the
+// engine protocol of docs/PROTOCOLS.md, runs one enginemodel per engine in real time, and
+// supports fault injection.
 package engine
 
 import (
@@ -11,36 +11,36 @@
 	"basilrudder/internal/standin/faultnet"
 )
 
-// DefaultHeartbeat is how often a stream without tokens carries a comment.
+// DefaultHeartbeat is the default interval between the heartbeat comments of a stream.
 const DefaultHeartbeat = 250 * time.Millisecond
 
-// Config of a server.
+// Config configures a Server.
 type Config struct {
 	// Engines of the server.
 	Engines []EngineConfig
-	// ChecksFencing says whether orders with an old fencing number are refused.
+	// ChecksFencing makes engines refuse orders with an old fencing number.
 	ChecksFencing bool
-	// Store that models are loaded from; nil loads at once.
+	// Store that models are loaded from; with nil, loading takes no time.
 	Store *enginemodel.WeightStore
-	// Heartbeat is how often a stream without tokens carries a comment; 0 for
-	// the default, negative for never.
+	// Heartbeat is the interval between the heartbeat comments of a stream; 0 means
+	// DefaultHeartbeat, a negative value disables them.
 	Heartbeat time.Duration
-	// Seed of the engines' randomness.
+	// Seed of the engines' random numbers; engine i uses Seed+i.
 	Seed uint64
 }
 
-// EngineConfig describes one engine.
+// EngineConfig configures one engine.
 type EngineConfig struct {
 	// Model of the engine's behaviour; its Name is the engine's name.
 	Model enginemodel.Config
-	// Models held at the start, as name@version; none for an engine that serves
-	// any model.
+	// Models held at the start, as name@version. An engine without any serves every
+	// model.
 	Models []string
 	// Role at the start.
 	Role string
 }
 
-// Server is one server with its engines.
+// Server is a stand-in server with its engines.
 type Server struct {
 	*faultnet.Server
 	cfg     Config
@@ -48,7 +48,7 @@
 	drivers sync.WaitGroup
 }
 
-// New returns a server whose engines run.
+// New returns a server and starts its engines. Close stops them.
 func New(cfg Config) *Server {
 	if cfg.Heartbeat == 0 {
 		cfg.Heartbeat = DefaultHeartbeat
@@ -66,19 +66,19 @@
 	return s
 }
 
-// Close ends the server, its engines and its connections.
+// Close closes the server and its connections and waits until its engines have stopped.
 func (s *Server) Close() {
 	s.Server.Close()
 	s.drivers.Wait()
 }
 
-// Engine returns the engine of a name, or nil.
+// Engine returns the engine with the given name, or nil.
 func (s *Server) Engine(name string) *Engine {
 	return s.engines[name]
 }
 
-// Crash is the loss of the whole server: every engine crashes, every
-// connection is reset and new ones are, until Restart.
+// Crash simulates the loss of the whole server: every engine crashes and all connections
+// are reset. New connections are reset until Restart.
 func (s *Server) Crash() {
 	s.SetRefusing(true)
 	s.Cut()
@@ -87,7 +87,7 @@
 	}
 }
 
-// Restart brings a crashed server back.
+// Restart restarts every engine of a crashed server and accepts connections again.
 func (s *Server) Restart() {
 	for _, e := range s.engines {
 		e.Restart()
--- a/internal/standin/faultnet/faultnet.go
+++ b/internal/standin/faultnet/faultnet.go
@@ -1,5 +1,5 @@
-// Package faultnet wraps a listener so that its connections can be cut, made
-// silent or refused. The HTTP stand-ins listen through it.
+// Package faultnet wraps a listener to inject faults: its connections can be reset,
+// silenced or refused. The HTTP stand-ins listen through it.
 package faultnet
 
 import (
@@ -8,7 +8,7 @@
 	"sync/atomic"
 )
 
-// Listener is a net.Listener with faults.
+// Listener is a net.Listener that can inject faults into its connections.
 type Listener struct {
 	net.Listener
 	mu       sync.Mutex
@@ -17,12 +17,13 @@
 	accepted atomic.Int64
 }
 
-// Wrap returns a Listener without faults.
+// Wrap returns a Listener over inner with no faults active.
 func Wrap(inner net.Listener) *Listener {
 	return &Listener{Listener: inner, conns: make(map[*conn]struct{})}
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. While refusing, it resets each new connection and does
+// not count it as accepted.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := l.Listener.Accept()
@@ -42,32 +43,32 @@
 	}
 }
 
-// Accepted returns how many connections were accepted.
+// Accepted returns the number of connections accepted so far.
 func (l *Listener) Accepted() int {
 	return int(l.accepted.Load())
 }
 
-// Open returns how many connections are open.
+// Open returns the number of open connections.
 func (l *Listener) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// SetRefusing resets new connections at once, or accepts them again.
+// SetRefusing sets whether new connections are reset as soon as they are accepted.
 func (l *Listener) SetRefusing(refusing bool) {
 	l.refusing.Store(refusing)
 }
 
-// Silence makes the open connections carry nothing more in either direction,
-// without either end being told. New connections work.
+// Silence stops all data on the open connections in both directions, without an error
+// at either end. New connections are not affected.
 func (l *Listener) Silence() {
 	for _, c := range l.open() {
 		c.silent.Store(true)
 	}
 }
 
-// Cut resets the open connections.
+// Cut resets all open connections.
 func (l *Listener) Cut() {
 	for _, c := range l.open() {
 		c.cut()
@@ -105,7 +106,7 @@
 			return n, err
 		}
 		if err != nil {
-			// Not even the end of a silent connection arrives.
+			// A silent connection does not report its end either.
 			<-c.closed
 			return 0, net.ErrClosed
 		}
@@ -137,7 +138,7 @@
 	})
 }
 
-// Reset closes a connection so that the other end sees a reset.
+// Reset closes a connection. Over TCP, the peer receives a reset (RST).
 func Reset(raw net.Conn) {
 	if tcp, ok := raw.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/standin/faultnet/server.go
+++ b/internal/standin/faultnet/server.go
@@ -7,11 +7,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// bodyLimit bounds a request body in bytes.
+// bodyLimit is the maximum size of a request body in bytes; fasthttp rejects larger ones.
 const bodyLimit = 16 << 20
 
-// Server is an HTTP server whose connections can be made to fail. Stand-ins
-// embed it.
+// Server is an HTTP server with fault injection on its connections. Stand-ins embed it.
 type Server struct {
 	http *fasthttp.Server
 	stop chan struct{}
@@ -21,7 +20,7 @@
 	closed    bool
 }
 
-// NewServer returns a server that answers with the handler.
+// NewServer returns a server that serves requests with handler.
 func NewServer(handler fasthttp.RequestHandler) *Server {
 	return &Server{
 		http: &fasthttp.Server{
@@ -34,12 +33,13 @@
 	}
 }
 
-// discardLogger drops what fasthttp logs: connections that tests break.
+// discardLogger discards fasthttp's log, which reports the connections that tests break.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
 
-// Serve answers requests until Close or until the listener fails.
+// Serve serves requests from ln until Close is called or ln fails. After Close it only
+// closes ln.
 func (s *Server) Serve(ln net.Listener) error {
 	wrapped := Wrap(ln)
 	s.mu.Lock()
@@ -52,7 +52,7 @@
 	return s.http.Serve(wrapped)
 }
 
-// Close ends the server and its connections. It may be called again.
+// Close closes the listeners and resets the open connections. Further calls do nothing.
 func (s *Server) Close() {
 	s.mu.Lock()
 	closed := s.closed
@@ -66,27 +66,27 @@
 	s.Cut()
 }
 
-// Stopped is closed by Close. A handler that waits must watch it.
+// Stopped returns a channel that Close closes. Handlers that block must select on it.
 func (s *Server) Stopped() <-chan struct{} {
 	return s.stop
 }
 
-// SetRefusing resets new connections at once, or accepts them again.
+// SetRefusing sets whether new connections are reset as soon as they are accepted.
 func (s *Server) SetRefusing(refusing bool) {
 	s.forEachListener(func(ln *Listener) { ln.SetRefusing(refusing) })
 }
 
-// Silence makes the open connections carry nothing more; new ones work.
+// Silence stops all data on the open connections; new ones are not affected.
 func (s *Server) Silence() {
 	s.forEachListener((*Listener).Silence)
 }
 
-// Cut resets the open connections.
+// Cut resets all open connections.
 func (s *Server) Cut() {
 	s.forEachListener((*Listener).Cut)
 }
 
-// Accepted returns how many connections were accepted.
+// Accepted returns the number of connections accepted by all listeners.
 func (s *Server) Accepted() int {
 	total := 0
 	s.forEachListener(func(ln *Listener) { total += ln.Accepted() })
--- a/internal/standin/narrownet/conn.go
+++ b/internal/standin/narrownet/conn.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stream carries bytes one way.
+// stream is one direction of a connection.
 type stream struct {
 	up, down *direction
 
@@ -17,7 +17,7 @@
 	buffered  int
 	closed    bool          // by the writer
 	abandoned bool          // by the reader
-	changed   chan struct{} // closed and replaced at each change
+	changed   chan struct{} // closed and replaced by notifyChange
 }
 
 type part struct {
@@ -29,7 +29,7 @@
 	return &stream{up: up, down: down, changed: make(chan struct{})}
 }
 
-// notifyChange wakes those who wait; mu is held.
+// notifyChange wakes all waiting readers and writers. The caller holds mu.
 func (s *stream) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -49,7 +49,8 @@
 	s.notifyChange()
 }
 
-// put takes what there is room for; wait is closed when there may be more.
+// put buffers up to one segment of p, as far as the window allows. If n is 0, wait is closed
+// at the next change, when the window may have space.
 func (s *stream) put(p []byte) (n int, wait <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,8 +68,8 @@
 	return n, nil, nil
 }
 
-// get returns what has come; until is when the next bytes come, or zero, and wait is
-// closed at the next change.
+// get copies bytes that have arrived into p. If n is 0, until is the arrival time of the
+// next bytes, or zero if none are in flight, and wait is closed at the next change.
 func (s *stream) get(p []byte) (n int, until time.Time, wait <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +135,8 @@
 	return written, nil
 }
 
-// await waits for a change, for an instant, or for a deadline, which is an error.
+// await returns nil at a change of the stream, at until (if not zero) or when the deadline
+// is moved. It returns os.ErrDeadlineExceeded if the deadline passes first.
 func (c *conn) await(change <-chan struct{}, until time.Time, deadline *time.Time, deadlineChange *chan struct{}) error {
 	c.mu.Lock()
 	limit := *deadline
@@ -167,7 +169,7 @@
 	return nil
 }
 
-// Close implements net.Conn. What is on its way is not lost.
+// Close implements net.Conn. The peer can still read bytes that are in flight.
 func (c *conn) Close() error {
 	c.write.close()
 	c.read.abandon()
--- a/internal/standin/narrownet/narrownet.go
+++ b/internal/standin/narrownet/narrownet.go
@@ -1,6 +1,6 @@
-// Package narrownet connects the instances of a test without sockets, over links of a
-// given speed: all connections of a host share its link in each direction. It works in
-// virtual time.
+// Package narrownet is an in-memory network with limited bandwidth for tests. All
+// connections of a host share its link, which has the same rate in each direction. It works
+// in virtual time.
 package narrownet
 
 import (
@@ -13,18 +13,20 @@
 )
 
 const (
-	// propagationDelay is how long a byte is on its way from one idle link to another.
+	// propagationDelay is the time from the sender's uplink to the receiver's downlink.
 	propagationDelay = time.Millisecond
-	// window is what a connection holds that was not read, in bytes.
+	// window is the maximum number of unread bytes per direction of a connection; a writer
+	// blocks when it is full. With propagationDelay it also bounds a connection's throughput.
 	window = 64 << 10
-	// segment is the most that takes a link at once, in bytes.
+	// segment is the maximum number of bytes that occupy a link at once. Larger segments
+	// make other connections of the host wait longer for the link.
 	segment = 1460
 )
 
-// ErrRefused says that nobody listens at an address.
+// ErrRefused is returned by Dial when there is no listener at the address.
 var ErrRefused = errors.New("connection refused")
 
-// Network is a set of hosts.
+// Network is a set of hosts and the addresses they listen on.
 type Network struct {
 	mu        sync.Mutex
 	hosts     map[string]*Host
@@ -36,14 +38,13 @@
 	return &Network{hosts: make(map[string]*Host), listeners: make(map[string]*listener)}
 }
 
-// Host has a link to the network.
+// Host is a host with one link to the network.
 type Host struct {
 	net      *Network
 	up, down *direction
 }
 
-// Host returns the host of a name, with a link of so many bytes a second; 0 for one that
-// takes no time.
+// Host adds a host whose link carries bytesPerSecond in each direction; 0 means unlimited.
 func (n *Network) Host(name string, bytesPerSecond float64) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,22 +53,23 @@
 	return h
 }
 
-// Sent returns how many bytes have left the host.
+// Sent returns the number of bytes that were put on the host's uplink.
 func (h *Host) Sent() int64 { return h.up.total() }
 
-// Received returns how many bytes the host has been sent.
+// Received returns the number of bytes sent to the host, including those in flight.
 func (h *Host) Received() int64 { return h.down.total() }
 
-// direction is one half of a link.
+// direction is the uplink or the downlink of a host.
 type direction struct {
 	rate float64
 
-	mu    sync.Mutex
-	freeAt  time.Time
-	bytes int64
+	mu     sync.Mutex
+	freeAt time.Time
+	bytes  int64
 }
 
-// transmit returns when bytes that are at the link at an instant have passed it.
+// transmit queues bytes that reach the link at the given time, and returns when the last of
+// them has passed it.
 func (d *direction) transmit(at time.Time, bytes int) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,7 +97,7 @@
 	once    sync.Once
 }
 
-// Listen accepts connections to an address.
+// Listen returns a listener for connections to address, in place of an earlier one.
 func (h *Host) Listen(address string) net.Listener {
 	l := &listener{host: h, address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 	h.net.mu.Lock()
@@ -128,7 +130,8 @@
 func (addr) Network() string  { return "narrow" }
 func (a addr) String() string { return string(a) }
 
-// Dial opens a connection from the host.
+// Dial opens a connection from the host to address. It blocks until the connection is
+// accepted and returns ErrRefused if there is no open listener.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	h.net.mu.Lock()
 	l := h.net.listeners[address]
