--- a/internal/standin/narrownet/conn.go
+++ b/internal/standin/narrownet/conn.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// stream carries bytes one way.
+// stream is one direction of a connection.
 type stream struct {
 	up, down *direction
 
@@ -17,7 +17,7 @@
 	buffered  int
 	closed    bool          // by the writer
 	abandoned bool          // by the reader
-	changed   chan struct{} // closed and replaced at each change
+	changed   chan struct{} // closed and replaced by notifyChange
 }
 
 type part struct {
@@ -29,8 +29,8 @@
 	return &stream{up: up, down: down, changed: make(chan struct{})}
 }
 
-// change wakes those who wait; mu is held.
-func (s *stream) change() {
+// notifyChange wakes all waiting readers and writers. The caller holds mu.
+func (s *stream) notifyChange() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -39,17 +39,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.change()
+	s.notifyChange()
 }
 
 func (s *stream) abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.abandoned = true
-	s.change()
+	s.notifyChange()
 }
 
-// put takes what there is room for; wait is closed when there may be more.
+// put buffers up to one segment of p, as far as the window allows. If n is 0, wait is closed
+// at the next change, when the window may have space.
 func (s *stream) put(p []byte) (n int, wait <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,15 +61,15 @@
 	if n <= 0 {
 		return 0, s.changed, nil
 	}
-	left := s.up.pass(time.Now(), n)
-	s.parts = append(s.parts, part{at: s.down.pass(left.Add(delay), n), data: append([]byte(nil), p[:n]...)})
+	left := s.up.transmit(time.Now(), n)
+	s.parts = append(s.parts, part{at: s.down.transmit(left.Add(propagationDelay), n), data: append([]byte(nil), p[:n]...)})
 	s.buffered += n
-	s.change()
+	s.notifyChange()
 	return n, nil, nil
 }
 
-// get returns what has come; until is when the next bytes come, or zero, and wait is
-// closed at the next change.
+// get copies bytes that have arrived into p. If n is 0, until is the arrival time of the
+// next bytes, or zero if none are in flight, and wait is closed at the next change.
 func (s *stream) get(p []byte) (n int, until time.Time, wait <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +91,7 @@
 		s.parts = s.parts[1:]
 	}
 	s.buffered -= n
-	s.change()
+	s.notifyChange()
 	return n, until, nil, nil
 }
 
@@ -134,23 +135,24 @@
 	return written, nil
 }
 
-// await waits for a change, for an instant, or for a deadline, which is an error.
-func (c *conn) await(change <-chan struct{}, until time.Time, deadline *time.Time, moved *chan struct{}) error {
+// await returns nil at a change of the stream, at until (if not zero) or when the deadline
+// is moved. It returns os.ErrDeadlineExceeded if the deadline passes first.
+func (c *conn) await(change <-chan struct{}, until time.Time, deadline *time.Time, deadlineChange *chan struct{}) error {
 	c.mu.Lock()
 	limit := *deadline
-	if *moved == nil {
-		*moved = make(chan struct{})
+	if *deadlineChange == nil {
+		*deadlineChange = make(chan struct{})
 	}
-	again := *moved
+	deadlineMoved := *deadlineChange
 	c.mu.Unlock()
-	late := !limit.IsZero() && (until.IsZero() || limit.Before(until))
-	if late {
+	deadlineFirst := !limit.IsZero() && (until.IsZero() || limit.Before(until))
+	if deadlineFirst {
 		until = limit
 	}
 	if until.IsZero() {
 		select {
 		case <-change:
-		case <-again:
+		case <-deadlineMoved:
 		}
 		return nil
 	}
@@ -158,16 +160,16 @@
 	defer timer.Stop()
 	select {
 	case <-change:
-	case <-again:
+	case <-deadlineMoved:
 	case <-timer.C:
-		if late {
+		if deadlineFirst {
 			return os.ErrDeadlineExceeded
 		}
 	}
 	return nil
 }
 
-// Close implements net.Conn. What is on its way is not lost.
+// Close implements net.Conn. The peer can still read bytes that are in flight.
 func (c *conn) Close() error {
 	c.write.close()
 	c.read.abandon()
@@ -182,29 +184,29 @@
 
 // SetDeadline implements net.Conn.
 func (c *conn) SetDeadline(t time.Time) error {
-	c.move(t, &c.readUntil, &c.readChange)
-	c.move(t, &c.writeUntil, &c.writeChange)
+	c.setDeadline(t, &c.readUntil, &c.readChange)
+	c.setDeadline(t, &c.writeUntil, &c.writeChange)
 	return nil
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.move(t, &c.readUntil, &c.readChange)
+	c.setDeadline(t, &c.readUntil, &c.readChange)
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
-	c.move(t, &c.writeUntil, &c.writeChange)
+	c.setDeadline(t, &c.writeUntil, &c.writeChange)
 	return nil
 }
 
-func (c *conn) move(t time.Time, deadline *time.Time, moved *chan struct{}) {
+func (c *conn) setDeadline(t time.Time, deadline *time.Time, deadlineChange *chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	*deadline = t
-	if *moved != nil {
-		close(*moved)
-		*moved = nil
+	if *deadlineChange != nil {
+		close(*deadlineChange)
+		*deadlineChange = nil
 	}
 }
