--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -127,7 +127,7 @@
 
 // Run writes the story. Accounting lines are looked at first, then log lines.
 func (c *ExplainCmd) Run(streams *Streams) error {
-	story, err := report.Explain(c.ID, c.Files)
+	explanation, err := report.Explain(c.ID, c.Files)
 	if errors.Is(err, report.ErrUnknownRequest) {
 		if relayed, logErr := relaylog.Explain(c.ID, c.Files); logErr == nil {
 			return relayed.WriteText(streams.Out)
@@ -137,7 +137,7 @@
 		return errors.Wrap(err, "explain")
 	}
 	if c.JSON {
-		return writeJSON(streams.Out, story)
+		return writeJSON(streams.Out, explanation)
 	}
-	return story.WriteText(streams.Out)
+	return explanation.WriteText(streams.Out)
 }
--- a/internal/cli/emulate.go
+++ b/internal/cli/emulate.go
@@ -16,12 +16,12 @@
 
 // Run implements the command.
 func (c *EmulateCmd) Run(streams *Streams) error {
-	played := false
+	found := false
 	for _, scenario := range emulator.Scenarios() {
 		if c.Scenario != "" && c.Scenario != scenario.Name {
 			continue
 		}
-		played = true
+		found = true
 		if _, err := fmt.Fprintf(streams.Out, "%s, seed %d\n", scenario.Name, c.Seed); err != nil {
 			return errors.Wrap(err, "write")
 		}
@@ -30,7 +30,7 @@
 			return errors.Wrap(err, "write")
 		}
 	}
-	if !played {
+	if !found {
 		return errors.Errorf("no scenario is called %q", c.Scenario)
 	}
 	return nil
--- a/internal/cli/ladder.go
+++ b/internal/cli/ladder.go
@@ -37,8 +37,8 @@
 	SVG        string  `name:"svg" type:"path" placeholder:"FILE" help:"Also write a plot."`
 }
 
-// Rung is one replay of the ladder.
-type Rung struct {
+// LadderPoint is one replay of the ladder.
+type LadderPoint struct {
 	// Policy that decided.
 	Policy string `json:"policy"`
 	// Load against the engines' capacity.
@@ -64,7 +64,7 @@
 	if len(problems) > 0 {
 		return problems
 	}
-	rungs, err := c.climb(inv)
+	rungs, err := c.replayAll(inv)
 	if err != nil {
 		return err
 	}
@@ -79,16 +79,16 @@
 	return printLadder(streams.Out, rungs)
 }
 
-// climb runs the replays side by side; each is deterministic by itself.
-func (c *LadderCmd) climb(inv *schema.Inventory) ([]Rung, error) {
+// replayAll runs the replays side by side; each is deterministic by itself.
+func (c *LadderCmd) replayAll(inv *schema.Inventory) ([]LadderPoint, error) {
 	names := sched.Policies()
-	rungs := make([]Rung, len(ladderLoads)*len(names))
+	rungs := make([]LadderPoint, len(ladderLoads)*len(names))
 	var group errgroup.Group
 	group.SetLimit(max(runtime.GOMAXPROCS(0)/2, 1))
 	for i, load := range ladderLoads {
 		for j, policy := range names {
 			group.Go(func() error {
-				rung, err := c.rung(inv, load, policy)
+				rung, err := c.replayOne(inv, load, policy)
 				rungs[j*len(ladderLoads)+i] = rung
 				return err
 			})
@@ -97,26 +97,26 @@
 	return rungs, group.Wait()
 }
 
-func (c *LadderCmd) rung(inv *schema.Inventory, load float64, policy sched.Policy) (Rung, error) {
+func (c *LadderCmd) replayOne(inv *schema.Inventory, load float64, policy sched.Policy) (LadderPoint, error) {
 	line, err := json.Marshal(schematrace.Line{
 		Generate: c.Mix, Seed: int(c.Seed), ForMS: c.Seconds * 1000, Load: load, Burst: c.Burst,
 	})
 	if err != nil {
-		return Rung{}, err
+		return LadderPoint{}, err
 	}
 	tr, err := trace.Read("ladder", bytes.NewReader(line), catalog.Compile(1, inv))
 	if err != nil {
-		return Rung{}, err
+		return LadderPoint{}, err
 	}
 	result, err := replay.Run(context.Background(), replay.Config{Inventory: inv, Trace: tr, Policy: policy, Seed: c.Seed})
 	if err != nil {
-		return Rung{}, errors.Wrapf(err, "load %v, policy %s", load, policy.Name)
+		return LadderPoint{}, errors.Wrapf(err, "load %v, policy %s", load, policy.Name)
 	}
-	return rungOf(load, result), nil
+	return newLadderPoint(load, result), nil
 }
 
-func rungOf(load float64, r *replay.Result) Rung {
-	out := Rung{
+func newLadderPoint(load float64, r *replay.Result) LadderPoint {
+	out := LadderPoint{
 		Policy: r.Policy, Load: load, Worst: 1, Goodput: r.Goodput, TokensPerS: r.TokensPerS,
 		WastedWork: r.WastedWork, LateWork: r.LateWork,
 	}
@@ -134,7 +134,7 @@
 	return out
 }
 
-func printLadder(out io.Writer, rungs []Rung) error {
+func printLadder(out io.Writer, rungs []LadderPoint) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "policy\tload\ttop tier\tgoodput/s\ttokens/s\twaste\tlate work\tworst class\t\tviolations\t\n")
 	for _, r := range rungs {
@@ -145,7 +145,7 @@
 	return w.Flush()
 }
 
-func (c *LadderCmd) plot(rungs []Rung) error {
+func (c *LadderCmd) plot(rungs []LadderPoint) error {
 	var lines []report.Line
 	for _, r := range rungs {
 		lines = append(lines, report.Line{Series: r.Policy, X: r.Load, Y: r.Goodput})
--- a/internal/cli/manifest.go
+++ b/internal/cli/manifest.go
@@ -34,7 +34,7 @@
 	}
 	manifest := platformapi.Manifest{Revision: c.Revision}
 	for _, name := range names {
-		chunk, err := chunkOf(name)
+		chunk, err := describeFile(name)
 		if err != nil {
 			return err
 		}
@@ -43,8 +43,8 @@
 	return writeJSON(streams.Out, manifest)
 }
 
-// chunkOf describes a file as the value under its base name.
-func chunkOf(name string) (platformapi.Chunk, error) {
+// describeFile describes a file as the value under its base name.
+func describeFile(name string) (platformapi.Chunk, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return platformapi.Chunk{}, err
--- a/internal/cli/manifest_test.go
+++ b/internal/cli/manifest_test.go
@@ -44,7 +44,7 @@
 	if err := os.WriteFile(large, make([]byte, platform.MaxValueBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := chunkOf(large); err == nil || !strings.Contains(err.Error(), "large.toml") {
+	if _, err := describeFile(large); err == nil || !strings.Contains(err.Error(), "large.toml") {
 		t.Errorf("a value above the platform's limit: %v", err)
 	}
 	broken := t.TempDir()
