--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -12,7 +12,7 @@
 	Dir string `arg:"" help:"Directory of TOML files to check." type:"path"`
 }
 
-// Run checks the directory and prints what it holds.
+// Run validates the directory and prints the number of entries of each kind.
 func (c *CheckCmd) Run(streams *Streams) error {
 	inv, problems := inventory.LoadDir(c.Dir)
 	if len(problems) > 0 {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds the commands of basilrudder that read accounting lines.
+// Package cli implements the commands of basilrudder.
 package cli
 
 import (
@@ -14,15 +14,16 @@
 
 // Exit codes of the commands.
 const (
-	// ExitOK means that the command did what was asked.
+	// ExitOK means that the command succeeded and no required outcome was missed.
 	ExitOK = 0
-	// ExitMissed means that a stated outcome was missed.
+	// ExitMissed means that the command ran but a required outcome was missed.
 	ExitMissed = 1
-	// ExitBadInput means that arguments or files could not be used.
+	// ExitBadInput is returned for every other error, such as invalid arguments or
+	// unreadable files.
 	ExitBadInput = 2
 )
 
-// ErrMissed means that a stated outcome was missed.
+// ErrMissed is wrapped by errors that report a missed outcome; see ExitMissed.
 var ErrMissed = errors.New("outcome missed")
 
 // ExitCode returns the exit code for the result of a command.
@@ -39,13 +40,13 @@
 
 // Streams are the outputs of a command; kong binds them to Run.
 type Streams struct {
-	// Out takes what was asked for.
+	// Out receives the command's result.
 	Out io.Writer
-	// Err takes messages.
+	// Err is meant for diagnostics.
 	Err io.Writer
 }
 
-// ReportCmd tells attainment, goodput, waste and burn.
+// ReportCmd reports attainment, goodput, waste and burn from accounting lines.
 type ReportCmd struct {
 	Files []string `arg:"" name:"file" help:"Files of accounting lines, in any order; - for standard input."`
 	JSON  bool     `name:"json" help:"Write JSON instead of a table."`
@@ -55,7 +56,7 @@
 	Check bool     `name:"check" help:"Exit with 1 when a class misses the goal."`
 }
 
-// Run writes the report.
+// Run writes the report. With --check it returns ErrMissed when a class misses the goal.
 func (c *ReportCmd) Run(streams *Streams) error {
 	if c.Goal <= 0 || c.Goal >= 1 {
 		return errors.Errorf("--goal is %v, expected a share between 0 and 1", c.Goal)
@@ -103,11 +104,11 @@
 	return encoder.Encode(value)
 }
 
-// checkGoal fails when a class misses the goal, or when there is no request to
-// judge by.
+// checkGoal returns ErrMissed when a class misses the goal, or when the report contains
+// no requests.
 func checkGoal(r *report.Report) error {
 	if r.Total.Requests == 0 {
-		return errors.Wrap(ErrMissed, "there are no requests")
+		return errors.Wrap(ErrMissed, "the accounting lines contain no requests")
 	}
 	for _, class := range r.Classes {
 		if class.Attainment < r.Goal {
@@ -118,14 +119,15 @@
 	return nil
 }
 
-// ExplainCmd tells the story of one request.
+// ExplainCmd prints the recorded events of one request.
 type ExplainCmd struct {
 	ID    string   `arg:"" help:"Request id."`
 	Files []string `arg:"" name:"file" help:"Files of accounting lines, or of the log lines of relaying instances; - for standard input."`
 	JSON  bool     `name:"json" help:"Write JSON."`
 }
 
-// Run writes the story. Accounting lines are looked at first, then log lines.
+// Run writes the explanation. It searches accounting lines first, and log lines of relaying
+// instances only if no accounting line has the request.
 func (c *ExplainCmd) Run(streams *Streams) error {
 	explanation, err := report.Explain(c.ID, c.Files)
 	if errors.Is(err, report.ErrUnknownRequest) {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -18,7 +18,7 @@
 {"msg":"accounting","ts":12,"kind":"end","instance":"i1","incarnation":"a","request":"r2","seq":1,"customer":"one","class":"draft","verdict":"not_run","reason":"overloaded"}
 `
 
-// run parses the arguments as the program does and runs the command.
+// run parses the arguments with kong, as the program does, and runs the command.
 func run(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	var commands struct {
--- a/internal/cli/emulate.go
+++ b/internal/cli/emulate.go
@@ -8,13 +8,13 @@
 	"basilrudder/internal/emulator"
 )
 
-// EmulateCmd plays load on relaying instances before modelled engines.
+// EmulateCmd runs load scenarios against relaying instances with modelled engines.
 type EmulateCmd struct {
 	Scenario string `arg:"" optional:"" help:"Name of a scenario; all when left out."`
 	Seed     uint64 `default:"1" help:"Seed of every random choice."`
 }
 
-// Run implements the command.
+// Run runs the selected scenarios and prints their results.
 func (c *EmulateCmd) Run(streams *Streams) error {
 	found := false
 	for _, scenario := range emulator.Scenarios() {
@@ -23,15 +23,15 @@
 		}
 		found = true
 		if _, err := fmt.Fprintf(streams.Out, "%s, seed %d\n", scenario.Name, c.Seed); err != nil {
-			return errors.Wrap(err, "write")
+			return errors.Wrap(err, "write result")
 		}
 		result := emulator.Run(scenario, c.Seed)
 		if err := result.Print(streams.Out); err != nil {
-			return errors.Wrap(err, "write")
+			return errors.Wrap(err, "write result")
 		}
 	}
 	if !found {
-		return errors.Errorf("no scenario is called %q", c.Scenario)
+		return errors.Errorf("unknown scenario %q", c.Scenario)
 	}
 	return nil
 }
--- a/internal/cli/ladder.go
+++ b/internal/cli/ladder.go
@@ -23,10 +23,11 @@
 	"basilrudder/internal/trace"
 )
 
-// ladderLoads are the loads of the ladder against the engines' capacity.
+// ladderLoads are the loads to replay, as multiples of the engines' capacity. Printed loads
+// have one decimal; finer steps would look alike in the table.
 var ladderLoads = []float64{0.5, 0.8, 1, 1.2, 1.5, 2, 3}
 
-// LadderCmd replays one mix at rising loads under every policy.
+// LadderCmd replays one mix of requests at each of ladderLoads under every policy.
 type LadderCmd struct {
 	Deployment string  `required:"" type:"path" placeholder:"DIR" help:"Inventory to run."`
 	Mix        string  `required:"" enum:"chikushi,kivu" help:"Mix of requests: chikushi or kivu."`
@@ -37,28 +38,28 @@
 	SVG        string  `name:"svg" type:"path" placeholder:"FILE" help:"Also write a plot."`
 }
 
-// LadderPoint is one replay of the ladder.
+// LadderPoint is the result of one replay, at one load under one policy.
 type LadderPoint struct {
-	// Policy that decided.
+	// Policy is the name of the scheduling policy.
 	Policy string `json:"policy"`
-	// Load against the engines' capacity.
+	// Load is a multiple of the engines' capacity.
 	Load float64 `json:"load"`
 	// TopTier is the attainment of tier 0.
 	TopTier float64 `json:"top_tier"`
-	// Worst is the least attainment of a class, and WorstClass its name.
+	// Worst is the lowest attainment of any class, and WorstClass its name.
 	Worst      float64 `json:"worst"`
 	WorstClass string  `json:"worst_class"`
-	// Goodput is answers on time per second, TokensPerS the tokens in them.
+	// Goodput is the number of answers on time per second, TokensPerS that of their tokens.
 	Goodput    float64 `json:"goodput"`
 	TokensPerS float64 `json:"tokens_per_s"`
-	// WastedWork and LateWork are shares of the engines' work.
+	// WastedWork and LateWork are shares of the engines' work, from 0 to 1.
 	WastedWork float64 `json:"wasted_work"`
 	LateWork   float64 `json:"late_work"`
-	// Violations of promises.
+	// Violations is the number of violations of all promises.
 	Violations int `json:"violations"`
 }
 
-// Run replays the ladder and prints it.
+// Run replays every load under every policy and prints the results.
 func (c *LadderCmd) Run(streams *Streams) error {
 	inv, problems := inventory.LoadDir(c.Deployment)
 	if len(problems) > 0 {
@@ -79,7 +80,8 @@
 	return printLadder(streams.Out, rungs)
 }
 
-// replayAll runs the replays side by side; each is deterministic by itself.
+// replayAll runs the replays concurrently, on at most half of GOMAXPROCS. Each replay is
+// deterministic by itself, so concurrency does not change the results.
 func (c *LadderCmd) replayAll(inv *schema.Inventory) ([]LadderPoint, error) {
 	names := sched.Policies()
 	rungs := make([]LadderPoint, len(ladderLoads)*len(names))
--- a/internal/cli/manifest.go
+++ b/internal/cli/manifest.go
@@ -14,13 +14,13 @@
 	"basilrudder/internal/schema/platformapi"
 )
 
-// ManifestCmd prints the manifest that makes the files of a directory a revision.
+// ManifestCmd prints the manifest that publishes the files of a directory as a revision.
 type ManifestCmd struct {
 	Dir      string `arg:"" help:"Directory of TOML files to publish." type:"path"`
 	Revision int    `required:"" help:"Revision to publish; it must be above the one published last."`
 }
 
-// Run checks the files and prints the manifest as JSON.
+// Run validates the files and prints the manifest as JSON.
 func (c *ManifestCmd) Run(streams *Streams) error {
 	if c.Revision < 1 {
 		return errors.Errorf("--revision is %d, expected at least 1", c.Revision)
@@ -43,7 +43,8 @@
 	return writeJSON(streams.Out, manifest)
 }
 
-// describeFile describes a file as the value under its base name.
+// describeFile returns the key, hash and size of a file; its base name is the key. It fails
+// if the file is larger than platform.MaxValueBytes.
 func describeFile(name string) (platformapi.Chunk, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -51,7 +52,7 @@
 	}
 	key := filepath.Base(name)
 	if len(data) > platform.MaxValueBytes {
-		return platformapi.Chunk{}, errors.Errorf("%s: %d bytes, expected at most %s, which is what the platform holds; split it",
+		return platformapi.Chunk{}, errors.Errorf("%s: %d bytes, expected at most %s, the platform's limit for a value; split the file",
 			key, len(data), strconv.Itoa(platform.MaxValueBytes))
 	}
 	sum := sha256.Sum256(data)
--- a/internal/cli/replay.go
+++ b/internal/cli/replay.go
@@ -32,7 +32,8 @@
 	JSON       bool   `name:"json" help:"Write JSON instead of a table."`
 }
 
-// Run replays the trace and checks its outcomes.
+// Run replays the trace, prints the result and checks it. It returns ErrMissed when an outcome
+// or a promise was missed.
 func (c *ReplayCmd) Run(streams *Streams) error {
 	inv, problems := inventory.LoadDir(c.Deployment)
 	if len(problems) > 0 {
@@ -44,11 +45,11 @@
 	}
 	policy, ok := sched.Named(c.Policy)
 	if !ok {
-		return errors.Errorf("no policy %q", c.Policy)
+		return errors.Errorf("unknown policy %q", c.Policy)
 	}
 	if c.Without != "" {
 		if policy, ok = policy.Without(c.Without); !ok {
-			return errors.Errorf("no rule %q", c.Without)
+			return errors.Errorf("unknown rule %q", c.Without)
 		}
 	}
 	result, err := replay.Run(context.Background(), replay.Config{
@@ -68,7 +69,7 @@
 	return c.check(result)
 }
 
-// ownerships by the names on the command line.
+// ownerships maps the values of --owners.
 var ownerships = map[string]node.Ownership{
 	"owner":       node.Owners,
 	"independent": node.Independent,
@@ -84,8 +85,8 @@
 	return trace.Read(name, file, catalog.Compile(1, inv))
 }
 
-// check compares the result with the stated outcomes; every promise must be
-// kept whether or not outcomes are stated.
+// check compares the result with the outcomes file, if given. Every promise must be kept,
+// with or without that file.
 func (c *ReplayCmd) check(result *replay.Result) error {
 	missed := result.Broken()
 	if c.Outcomes != "" {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -13,15 +13,17 @@
 	"basilrudder/internal/daemon"
 )
 
+// statusTimeout bounds the status request. An instance that takes longer is reported as an
+// error.
 const statusTimeout = 5 * time.Second
 
-// StatusCmd prints what an instance believes.
+// StatusCmd prints the status that an instance reports on its admin address.
 type StatusCmd struct {
 	Address string `arg:"" help:"Admin address of the instance, host:port."`
 	JSON    bool   `help:"Print JSON."`
 }
 
-// Run asks the instance and prints its answer.
+// Run requests the status and prints it.
 func (c *StatusCmd) Run(streams *Streams) error {
 	code, body, err := fasthttp.GetTimeout(nil, "http://"+c.Address+"/v1/status", statusTimeout)
 	if err != nil {
@@ -70,6 +72,7 @@
 	return w.Flush()
 }
 
+// seconds formats a duration in seconds; a negative one means never.
 func seconds(s float64) string {
 	if s < 0 {
 		return "never"
--- a/internal/cli/try.go
+++ b/internal/cli/try.go
@@ -16,10 +16,11 @@
 	"basilrudder/internal/trial"
 )
 
-// tryTimeout bounds a trial.
+// tryTimeout bounds the start of the fleet and the load together; the context of a longer
+// trial is cancelled.
 const tryTimeout = 20 * time.Second
 
-// TryCmd runs a fleet with stand-ins in one process and reports.
+// TryCmd runs a fleet and stand-ins in one process, sends load and prints a report.
 type TryCmd struct {
 	Deployment string        `type:"path" placeholder:"DIR" help:"Inventory to run; the chikushi example by default. Customers' credentials must be trial-NAME."`
 	Instances  int           `default:"4" help:"Daemons to run."`
@@ -30,7 +31,8 @@
 	HTML       string        `name:"html" type:"path" placeholder:"FILE" help:"Also write the report as a page."`
 }
 
-// Run starts the fleet, sends the load and prints the report.
+// Run starts the fleet, sends the load and prints the report. It returns ErrMissed if no answer
+// was complete or any request failed.
 func (c *TryCmd) Run(streams *Streams) error {
 	inv, err := c.inventory()
 	if err != nil {
@@ -86,7 +88,8 @@
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	// A drain waits for the last directory answer to expire; nobody keeps one here.
+	// A draining instance waits until its last directory answer has expired. No caller of a
+	// trial keeps one, so a short TTL only shortens the shutdown.
 	inv.Rules.DirectoryTTLS = 1
 	return inv, nil
 }
