--- a/internal/cli/ladder.go
+++ b/internal/cli/ladder.go
@@ -23,10 +23,11 @@
 	"basilrudder/internal/trace"
 )
 
-// ladderLoads are the loads of the ladder against the engines' capacity.
+// ladderLoads are the loads to replay, as multiples of the engines' capacity. Printed loads
+// have one decimal; finer steps would look alike in the table.
 var ladderLoads = []float64{0.5, 0.8, 1, 1.2, 1.5, 2, 3}
 
-// LadderCmd replays one mix at rising loads under every policy.
+// LadderCmd replays one mix of requests at each of ladderLoads under every policy.
 type LadderCmd struct {
 	Deployment string  `required:"" type:"path" placeholder:"DIR" help:"Inventory to run."`
 	Mix        string  `required:"" enum:"chikushi,kivu" help:"Mix of requests: chikushi or kivu."`
@@ -37,34 +38,34 @@
 	SVG        string  `name:"svg" type:"path" placeholder:"FILE" help:"Also write a plot."`
 }
 
-// Rung is one replay of the ladder.
-type Rung struct {
-	// Policy that decided.
+// LadderPoint is the result of one replay, at one load under one policy.
+type LadderPoint struct {
+	// Policy is the name of the scheduling policy.
 	Policy string `json:"policy"`
-	// Load against the engines' capacity.
+	// Load is a multiple of the engines' capacity.
 	Load float64 `json:"load"`
 	// TopTier is the attainment of tier 0.
 	TopTier float64 `json:"top_tier"`
-	// Worst is the least attainment of a class, and WorstClass its name.
+	// Worst is the lowest attainment of any class, and WorstClass its name.
 	Worst      float64 `json:"worst"`
 	WorstClass string  `json:"worst_class"`
-	// Goodput is answers on time per second, TokensPerS the tokens in them.
+	// Goodput is the number of answers on time per second, TokensPerS that of their tokens.
 	Goodput    float64 `json:"goodput"`
 	TokensPerS float64 `json:"tokens_per_s"`
-	// WastedWork and LateWork are shares of the engines' work.
+	// WastedWork and LateWork are shares of the engines' work, from 0 to 1.
 	WastedWork float64 `json:"wasted_work"`
 	LateWork   float64 `json:"late_work"`
-	// Violations of promises.
+	// Violations is the number of violations of all promises.
 	Violations int `json:"violations"`
 }
 
-// Run replays the ladder and prints it.
+// Run replays every load under every policy and prints the results.
 func (c *LadderCmd) Run(streams *Streams) error {
 	inv, problems := inventory.LoadDir(c.Deployment)
 	if len(problems) > 0 {
 		return problems
 	}
-	rungs, err := c.climb(inv)
+	rungs, err := c.replayAll(inv)
 	if err != nil {
 		return err
 	}
@@ -79,16 +80,17 @@
 	return printLadder(streams.Out, rungs)
 }
 
-// climb runs the replays side by side; each is deterministic by itself.
-func (c *LadderCmd) climb(inv *schema.Inventory) ([]Rung, error) {
+// replayAll runs the replays concurrently, on at most half of GOMAXPROCS. Each replay is
+// deterministic by itself, so concurrency does not change the results.
+func (c *LadderCmd) replayAll(inv *schema.Inventory) ([]LadderPoint, error) {
 	names := sched.Policies()
-	rungs := make([]Rung, len(ladderLoads)*len(names))
+	rungs := make([]LadderPoint, len(ladderLoads)*len(names))
 	var group errgroup.Group
 	group.SetLimit(max(runtime.GOMAXPROCS(0)/2, 1))
 	for i, load := range ladderLoads {
 		for j, policy := range names {
 			group.Go(func() error {
-				rung, err := c.rung(inv, load, policy)
+				rung, err := c.replayOne(inv, load, policy)
 				rungs[j*len(ladderLoads)+i] = rung
 				return err
 			})
@@ -97,26 +99,26 @@
 	return rungs, group.Wait()
 }
 
-func (c *LadderCmd) rung(inv *schema.Inventory, load float64, policy sched.Policy) (Rung, error) {
+func (c *LadderCmd) replayOne(inv *schema.Inventory, load float64, policy sched.Policy) (LadderPoint, error) {
 	line, err := json.Marshal(schematrace.Line{
 		Generate: c.Mix, Seed: int(c.Seed), ForMS: c.Seconds * 1000, Load: load, Burst: c.Burst,
 	})
 	if err != nil {
-		return Rung{}, err
+		return LadderPoint{}, err
 	}
 	tr, err := trace.Read("ladder", bytes.NewReader(line), catalog.Compile(1, inv))
 	if err != nil {
-		return Rung{}, err
+		return LadderPoint{}, err
 	}
 	result, err := replay.Run(context.Background(), replay.Config{Inventory: inv, Trace: tr, Policy: policy, Seed: c.Seed})
 	if err != nil {
-		return Rung{}, errors.Wrapf(err, "load %v, policy %s", load, policy.Name)
+		return LadderPoint{}, errors.Wrapf(err, "load %v, policy %s", load, policy.Name)
 	}
-	return rungOf(load, result), nil
+	return newLadderPoint(load, result), nil
 }
 
-func rungOf(load float64, r *replay.Result) Rung {
-	out := Rung{
+func newLadderPoint(load float64, r *replay.Result) LadderPoint {
+	out := LadderPoint{
 		Policy: r.Policy, Load: load, Worst: 1, Goodput: r.Goodput, TokensPerS: r.TokensPerS,
 		WastedWork: r.WastedWork, LateWork: r.LateWork,
 	}
@@ -134,7 +136,7 @@
 	return out
 }
 
-func printLadder(out io.Writer, rungs []Rung) error {
+func printLadder(out io.Writer, rungs []LadderPoint) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "policy\tload\ttop tier\tgoodput/s\ttokens/s\twaste\tlate work\tworst class\t\tviolations\t\n")
 	for _, r := range rungs {
@@ -145,7 +147,7 @@
 	return w.Flush()
 }
 
-func (c *LadderCmd) plot(rungs []Rung) error {
+func (c *LadderCmd) plot(rungs []LadderPoint) error {
 	var lines []report.Line
 	for _, r := range rungs {
 		lines = append(lines, report.Line{Series: r.Policy, X: r.Load, Y: r.Goodput})
